--- a/entry/answer.go
+++ b/entry/answer.go
@@ -14,87 +14,85 @@
 	"github.com/parsleydeal/parsleydeal/refusal"
 )
 
-// Names of the response headers.
+// Response header names.
 const (
 	requestHeader = "Parsleydeal-Request"
 	versionHeader = "Parsleydeal-Version"
 	sessionHeader = "Parsleydeal-Session"
 	runHeader     = "Parsleydeal-Run"
-	// movedHeader says why the session got another version.
+	// movedHeader gives the reason why the session was moved to another version.
 	movedHeader = "Parsleydeal-Session-Moved"
 )
 
-// eventEnd closes an event of a stream.
+// eventEnd terminates a server-sent event.
 const eventEnd = "\n\n"
 
-// answer writes the pieces of one chat answer as JSON or as server-sent events.
-type answer struct {
-	w       *patientWriter
-	req     *work
+// answerWriter writes the pieces of one chat answer as JSON or as server-sent events.
+type answerWriter struct {
+	w       *timeoutWriter
+	req     *requestState
 	created int64
 	message chat.Assembly
-	// started is true when the status has been sent and cannot change.
-	started bool
-	// spoken is true when an event of the stream has named the role.
-	spoken bool
-	reason string
-	usage  chat.Usage
-	// event is the buffer in which each event is made, and encode writes JSON
-	// into it.
-	event  bytes.Buffer
-	encode *json.Encoder
-	// head is what every chunk begins with, up to its choices.
-	head []byte
-}
-
-func newAnswer(w http.ResponseWriter, req *work, patience clock.Millis) *answer {
-	a := &answer{w: newPatientWriter(w, patience), req: req, created: time.Now().Unix()}
-	a.encode = json.NewEncoder(&a.event)
-	a.encode.SetEscapeHTML(false)
+	// headSent is true once the status has been sent and can no longer change.
+	headSent bool
+	// roleSent is true once an event of the stream has carried the role.
+	roleSent     bool
+	finishReason string
+	usage        chat.Usage
+	// event is the buffer in which each event is built; encoder writes JSON into it.
+	event   bytes.Buffer
+	encoder *json.Encoder
+	// chunkHead is the start of every chunk, up to its choices. It is built once per answer.
+	chunkHead []byte
+}
+
+func newAnswerWriter(w http.ResponseWriter, req *requestState, timeout clock.Millis) *answerWriter {
+	a := &answerWriter{w: newTimeoutWriter(w, timeout), req: req, created: time.Now().Unix()}
+	a.encoder = json.NewEncoder(&a.event)
+	a.encoder.SetEscapeHTML(false)
 	return a
 }
 
-func (a *answer) start(contentType string) {
+func (a *answerWriter) writeHead(contentType string) {
 	h := a.w.Header()
 	h.Set("Content-Type", contentType)
 	h.Set(requestHeader, a.req.id)
 	h.Set(versionHeader, a.req.version)
 	h.Set(runHeader, string(refusal.Ran))
-	if a.req.moved != "" {
-		h.Set(movedHeader, a.req.moved)
+	if a.req.sessionMoved != "" {
+		h.Set(movedHeader, a.req.sessionMoved)
 	}
 	if a.req.token != "" {
 		h.Set(sessionHeader, a.req.token)
 	}
 	a.w.WriteHeader(http.StatusOK)
-	a.started = true
+	a.headSent = true
 }
 
-// take handles the next piece in order. Data holds a delta that text alone
-// cannot stand for, such as a tool call; it passes through as the engine wrote
-// it.
-func (a *answer) take(p *wire.Piece) (err error) {
+// writePiece handles the next piece in order. A piece's data holds a delta that plain text cannot
+// represent, such as a tool call; it is passed through unchanged.
+func (a *answerWriter) writePiece(p *wire.Piece) (err error) {
 	if p.GetLast() {
-		a.finish(p)
+		a.recordEnd(p)
 	}
 	if !a.req.chat.Stream {
-		return a.gather(p)
+		return a.assemble(p)
 	}
-	if !a.started {
-		a.start("text/event-stream")
+	if !a.headSent {
+		a.writeHead("text/event-stream")
 	}
 	if len(p.GetData()) > 0 {
-		a.spoken = true
-		return a.chunk(func() { a.event.Write(p.GetData()) }, nil)
+		a.roleSent = true
+		return a.writeChunk(func() { a.event.Write(p.GetData()) }, nil)
 	}
 	if p.GetText() == "" {
 		return nil
 	}
-	return a.chunk(func() { a.textDelta(p.GetText()) }, nil)
+	return a.writeChunk(func() { a.writeTextDelta(p.GetText()) }, nil)
 }
 
-func (a *answer) finish(p *wire.Piece) {
-	a.reason = p.GetFinishReason()
+func (a *answerWriter) recordEnd(p *wire.Piece) {
+	a.finishReason = p.GetFinishReason()
 	u := p.GetUsage()
 	a.usage = chat.Usage{PromptTokens: u.GetInputTokens(), CompletionTokens: u.GetOutputTokens(), TotalTokens: u.GetInputTokens() + u.GetOutputTokens()}
 	if u.GetCachedTokens() > 0 {
@@ -102,7 +100,7 @@
 	}
 }
 
-func (a *answer) gather(p *wire.Piece) (err error) {
+func (a *answerWriter) assemble(p *wire.Piece) (err error) {
 	if len(p.GetData()) == 0 {
 		a.message.Text(p.GetText())
 		return nil
@@ -113,53 +111,53 @@
 	return nil
 }
 
-// drop forgets what was taken, for an answer that starts again.
-func (a *answer) drop() { a.message.Reset() }
+// reset discards the pieces received so far, for an answer that restarts.
+func (a *answerWriter) reset() { a.message.Reset() }
 
-func (a *answer) textDelta(text string) {
-	if !a.spoken {
+func (a *answerWriter) writeTextDelta(text string) {
+	if !a.roleSent {
 		a.event.WriteString(`{"role":"assistant","content":`)
-		a.spoken = true
+		a.roleSent = true
 	} else {
 		a.event.WriteString(`{"content":`)
 	}
-	a.json(text)
+	a.encodeValue(text)
 	a.event.WriteByte('}')
 }
 
-// json writes a value into the event without the encoder's newline.
-func (a *answer) json(v any) {
-	_ = a.encode.Encode(v)
+// encodeValue writes a value into the event without the encoder's trailing newline.
+func (a *answerWriter) encodeValue(v any) {
+	_ = a.encoder.Encode(v)
 	a.event.Truncate(a.event.Len() - 1)
 }
 
-// chunk writes one chunk with a choice whose delta the function writes.
-func (a *answer) chunk(delta func(), reason *string) (err error) {
-	a.begin()
+// writeChunk sends a chunk with one choice, whose delta is written by the given function.
+func (a *answerWriter) writeChunk(delta func(), reason *string) (err error) {
+	a.writeChunkHead()
 	a.event.WriteString(`"choices":[{"index":0,"delta":`)
 	delta()
 	a.event.WriteString(`,"finish_reason":`)
-	a.json(reason)
+	a.encodeValue(reason)
 	a.event.WriteString("}]}")
-	return a.send()
+	return a.flushEvent()
 }
 
-// begin starts a chunk up to its choices.
-func (a *answer) begin() {
-	if a.head == nil {
+// writeChunkHead writes the start of a chunk, up to its choices.
+func (a *answerWriter) writeChunkHead() {
+	if a.chunkHead == nil {
 		a.event.WriteString(`data: {"id":`)
-		a.json(a.req.id)
+		a.encodeValue(a.req.id)
 		fmt.Fprintf(&a.event, `,"object":"chat.completion.chunk","created":%d,"model":`, a.created)
-		a.json(a.req.version)
+		a.encodeValue(a.req.version)
 		a.event.WriteByte(',')
-		a.head = bytes.Clone(a.event.Bytes())
+		a.chunkHead = bytes.Clone(a.event.Bytes())
 		return
 	}
-	a.event.Write(a.head)
+	a.event.Write(a.chunkHead)
 }
 
-// send writes the event to the caller and empties the buffer.
-func (a *answer) send() (err error) {
+// flushEvent sends the event to the caller and empties the buffer.
+func (a *answerWriter) flushEvent() (err error) {
 	a.event.WriteString(eventEnd)
 	defer a.event.Reset()
 	if _, err = a.w.Write(a.event.Bytes()); err != nil {
@@ -169,45 +167,45 @@
 }
 
 // end completes the response after the last piece.
-func (a *answer) end() {
+func (a *answerWriter) end() {
 	if !a.req.chat.Stream {
-		a.endJSON()
+		a.writeJSON()
 		return
 	}
-	if a.chunk(func() { a.event.WriteString("{}") }, &a.reason) != nil {
+	if a.writeChunk(func() { a.event.WriteString("{}") }, &a.finishReason) != nil {
 		return
 	}
 	if o := a.req.chat.StreamOptions; o != nil && o.IncludeUsage {
-		a.begin()
+		a.writeChunkHead()
 		a.event.WriteString(`"choices":[],"usage":`)
-		a.json(a.usage)
+		a.encodeValue(a.usage)
 		a.event.WriteByte('}')
-		_ = a.send()
+		_ = a.flushEvent()
 	}
 	a.event.WriteString("data: [DONE]")
-	_ = a.send()
+	_ = a.flushEvent()
 }
 
-func (a *answer) endJSON() {
-	a.start("application/json")
+func (a *answerWriter) writeJSON() {
+	a.writeHead("application/json")
 	_ = json.NewEncoder(a.w).Encode(chat.Answer{
 		ID: a.req.id, Object: "chat.completion", Created: a.created, Model: a.req.version,
-		Choices: []chat.AnswerChoice{{Message: a.message.Message(), FinishReason: a.reason}},
+		Choices: []chat.AnswerChoice{{Message: a.message.Message(), FinishReason: a.finishReason}},
 		Usage:   a.usage,
 	})
 }
 
-// fail ends the response with a refusal. Once a stream has started the status
-// is sent, so the refusal goes into an event and no end mark follows.
-func (a *answer) fail(err error) {
-	if !a.started {
+// fail ends the response with a refusal. In a stream that has started the status is already sent,
+// so the refusal is sent as an event and the end marker is omitted.
+func (a *answerWriter) fail(err error) {
+	if !a.headSent {
 		writeRefusal(a.w, a.req.id, err)
 		return
 	}
 	a.event.Reset()
 	a.event.WriteString("data: ")
-	a.json(errorBody(refusal.Of(err)))
-	_ = a.send()
+	a.encodeValue(errorBody(refusal.Of(err)))
+	_ = a.flushEvent()
 }
 
 func errorBody(r *refusal.Refusal) chat.ErrorBody {
@@ -216,7 +214,7 @@
 	}}
 }
 
-// writeRefusal writes a typed error before anything else was written.
+// writeRefusal writes a typed error as the response. Nothing may have been written before.
 func writeRefusal(w http.ResponseWriter, request string, err error) {
 	r := refusal.Of(err)
 	refusalHeaders(w.Header(), request, r)
--- a/entry/answer_test.go
+++ b/entry/answer_test.go
@@ -12,21 +12,21 @@
 	"github.com/parsleydeal/parsleydeal/peer/wire"
 )
 
-// maxPieceAllocations bounds what one piece of a stream costs the entry: the
-// piece's text as a value to encode.
+// maxPieceAllocations bounds the allocations per streamed piece: one, for passing the text to the
+// encoder.
 const maxPieceAllocations = 1
 
-// discard takes an answer and keeps nothing.
-type discard struct{ header http.Header }
+// discardWriter is a response writer that discards the answer.
+type discardWriter struct{ header http.Header }
 
-func (d *discard) Header() http.Header         { return d.header }
-func (d *discard) Write(p []byte) (int, error) { return len(p), nil }
-func (d *discard) WriteHeader(int)             {}
-func (d *discard) Flush()                      {}
+func (d *discardWriter) Header() http.Header         { return d.header }
+func (d *discardWriter) Write(p []byte) (int, error) { return len(p), nil }
+func (d *discardWriter) WriteHeader(int)             {}
+func (d *discardWriter) Flush()                      {}
 
-func newTestAnswer(w http.ResponseWriter, stream bool) *answer {
-	req := &work{id: "r-1", version: "small@1", chat: &chat.Request{Stream: stream}}
-	return newAnswer(w, req, 30*clock.Second)
+func newTestAnswerWriter(w http.ResponseWriter, stream bool) *answerWriter {
+	req := &requestState{id: "r-1", version: "small@1", chat: &chat.Request{Stream: stream}}
+	return newAnswerWriter(w, req, 30*clock.Second)
 }
 
 func TestPieceAllocationsAreBounded(t *testing.T) {
@@ -34,32 +34,32 @@
 		t.Skip("the race detector allocates for itself")
 	}
 	is := is.New(t)
-	a := newTestAnswer(&discard{header: make(http.Header)}, true)
+	a := newTestAnswerWriter(&discardWriter{header: make(http.Header)}, true)
 	p := &wire.Piece{Text: "renewal <&> \"due\" "}
-	is.NoErr(a.take(p))
-	n := testing.AllocsPerRun(1000, func() { _ = a.take(p) })
+	is.NoErr(a.writePiece(p))
+	n := testing.AllocsPerRun(1000, func() { _ = a.writePiece(p) })
 	is.True(n <= maxPieceAllocations)
 }
 
 func BenchmarkAnswerPiece(b *testing.B) {
-	a := newTestAnswer(&discard{header: make(http.Header)}, true)
+	a := newTestAnswerWriter(&discardWriter{header: make(http.Header)}, true)
 	p := &wire.Piece{Text: "renewal "}
 	b.ReportAllocs()
 	for b.Loop() {
-		_ = a.take(p)
+		_ = a.writePiece(p)
 	}
 }
 
-// A tool call comes as a delta that text cannot stand for. It must reach a
-// streaming caller as the engine wrote it, and any other caller in the message.
+// A tool call arrives as a delta that plain text cannot represent. A streaming caller must get it
+// unchanged, any other caller as part of the message.
 func TestToolCallsPassThrough(t *testing.T) {
 	is := is.New(t)
 	const delta = `{"tool_calls":[{"index":0,"id":"a","function":{"name":"renew","arguments":"{}"}}]}`
 	for _, stream := range []bool{true, false} {
 		w := httptest.NewRecorder()
-		a := newTestAnswer(w, stream)
-		is.NoErr(a.take(&wire.Piece{Data: []byte(delta)}))
-		is.NoErr(a.take(&wire.Piece{Last: true, FinishReason: "tool_calls"}))
+		a := newTestAnswerWriter(w, stream)
+		is.NoErr(a.writePiece(&wire.Piece{Data: []byte(delta)}))
+		is.NoErr(a.writePiece(&wire.Piece{Last: true, FinishReason: "tool_calls"}))
 		a.end()
 		if stream {
 			is.True(strings.Contains(w.Body.String(), `"choices":[{"index":0,"delta":`+delta+`,"finish_reason":null}]}`))
--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -16,76 +16,76 @@
 )
 
 // attempt runs the request once on one endpoint.
-func (e *Entry) attempt(ctx context.Context, req *work, vm provider.VM, emit func(*wire.Piece) error) (err error) {
+func (e *Entry) attempt(ctx context.Context, req *requestState, vm provider.VM, emit func(*wire.Piece) error) (err error) {
 	req.attempts++
 	req.gateEpoch = req.view.Members().Load(vm.ID).GetEpoch()
-	if done, err := e.claimed(ctx, req, vm, emit); done || err != nil {
+	if done, err := e.ensureClaim(ctx, req, vm, emit); done || err != nil {
 		return err
 	}
 	e.inflight.Add(vm.ID, 1)
 	defer e.inflight.Add(vm.ID, -1)
 	seq := answers.NewSequence(req.id, req.attempts)
-	cut, err := e.open(ctx, req, vm, seq, emit)
+	disconnected, err := e.sendAttempt(ctx, req, vm, seq, emit)
 	switch {
-	case cut && req.kept() && ctx.Err() == nil:
+	case disconnected && req.survivesDisconnect() && ctx.Err() == nil:
 		return e.reattach(ctx, req, vm, seq, emit, err)
-	case seenBefore(req, err):
-		return e.again(ctx, req, vm, seq, emit, err)
+	case alreadyRan(req, err):
+		return e.fetchEarlierAnswer(ctx, req, vm, seq, emit, err)
 	}
 	return err
 }
 
-// open sends the attempt and takes its pieces. Cut is true when the connection
-// broke after the attempt may have arrived.
-func (e *Entry) open(ctx context.Context, req *work, vm provider.VM, seq *answers.Sequence, emit func(*wire.Piece) error) (cut bool, err error) {
-	ctx, quiet, cancel := listen(ctx)
+// sendAttempt sends the attempt and receives its pieces. Disconnected is true when the connection
+// broke after the attempt may have reached the endpoint.
+func (e *Entry) sendAttempt(ctx context.Context, req *requestState, vm provider.VM, seq *answers.Sequence, emit func(*wire.Piece) error) (disconnected bool, err error) {
+	ctx, watchdog, cancel := withSilenceWatchdog(ctx)
 	defer cancel()
-	defer func() { e.missed(ctx, vm.ID) }()
+	defer func() { e.reportSilence(ctx, vm.ID) }()
 	stream, err := e.node.Peers().Gate(ctx, vm.Address).Run(ctx)
 	if err != nil {
 		if ctx.Err() == nil {
 			e.node.NotReached(vm.ID)
 		}
-		return false, lost(ctx, err)
+		return false, connectionError(ctx, err)
 	}
 	defer stream.Close()
-	recv := quiet.next(stream.Recv)
-	head := e.head(ctx, req)
+	recv := watchdog.skipHeartbeats(stream.Recv)
+	head := e.runHead(ctx, req)
 	if req.service == "" {
 		if err = req.send(stream, head); err != nil {
-			return true, lost(ctx, err)
+			return true, connectionError(ctx, err)
 		}
 		return e.receive(ctx, req, seq, recv, emit)
 	}
-	stop := sendAside(req, func() error { return req.send(stream, head) }, cancel)
+	stop := sendConcurrently(req, func() error { return req.send(stream, head) }, cancel)
 	defer stop()
 	return e.receive(ctx, req, seq, recv, emit)
 }
 
-// missed tells choice and control of an endpoint that fell silent, so that new
-// requests keep away from it.
-func (e *Entry) missed(ctx context.Context, vm string) {
-	if !silent(ctx) {
+// reportSilence marks an endpoint as unreachable after it fell silent, so that it is not chosen
+// for new requests.
+func (e *Entry) reportSilence(ctx context.Context, vm string) {
+	if !endedBySilence(ctx) {
 		return
 	}
 	e.inflight.Lost(vm, e.node.Clock().Now())
 	e.node.NotReached(vm)
 }
 
-// errBody marks a caller's body that broke off.
-var errBody = errors.New("entry: caller's body broke off")
+// errBodyIncomplete marks a caller's body that could not be read to its end.
+var errBodyIncomplete = errors.New("entry: caller's body broke off")
 
-// sendAside sends a service's body while its answer comes back. Sending it first
-// would lock up on a service that answers before it has read all: it waits for
-// its answer to be taken, and the answer would wait for the body to be sent.
-// Stop ends the sending, also one that waits for the caller or for the gate.
-func sendAside(req *work, send func() error, cancel func()) (stop func()) {
+// sendConcurrently sends a service's body while the answer is received. Sending the body first would
+// deadlock with a service that answers before it has read everything: the service waits for its
+// answer to be read, and the answer would only be read once the body is sent.
+// Stop ends the sending, even while it waits for the caller or the gate.
+func sendConcurrently(req *requestState, send func() error, cancel func()) (stop func()) {
 	sent := make(chan struct{})
 	go func() {
 		defer close(sent)
-		// Only a body that broke off ends the attempt: a gate that refused it early
-		// takes no more of the body either, and its refusal must still be read.
-		if errors.Is(send(), errBody) {
+		// Only an incomplete body cancels the attempt. A gate that refuses early also stops reading the
+		// body, and its refusal must still be received.
+		if errors.Is(send(), errBodyIncomplete) {
 			cancel()
 		}
 	}()
@@ -101,26 +101,27 @@
 	}
 }
 
-// reattach asks the endpoint for the rest of an answer after the connection to it
-// broke. The run goes on there and may not be repeated, or need not be.
-func (e *Entry) reattach(ctx context.Context, req *work, vm provider.VM, seq *answers.Sequence, emit func(*wire.Piece) error, cause error) (err error) {
+// reattach fetches the rest of an answer from the endpoint after the connection to it broke. The run
+// continues there, and it must not or need not be repeated. If the rest cannot be fetched, cause is
+// returned.
+func (e *Entry) reattach(ctx context.Context, req *requestState, vm provider.VM, seq *answers.Sequence, emit func(*wire.Piece) error, cause error) (err error) {
 	in := &wire.KeptRequest{Request: req.id, Organisation: req.organisation, After: seq.Next()}
-	ctx, quiet, cancel := listen(ctx)
+	ctx, watchdog, cancel := withSilenceWatchdog(ctx)
 	defer cancel()
 	stream, err := e.node.Peers().Gate(ctx, vm.Address).Kept(ctx, in)
 	if err != nil {
 		return cause
 	}
 	defer stream.Close()
-	cut, err := e.receive(ctx, req, seq, quiet.next(stream.Recv), emit)
-	if r, ok := refusal.As(err); cut || ok && r.Code() == refusal.NotKept {
+	disconnected, err := e.receive(ctx, req, seq, watchdog.skipHeartbeats(stream.Recv), emit)
+	if r, ok := refusal.As(err); disconnected || ok && r.Code() == refusal.NotKept {
 		return cause
 	}
 	return err
 }
 
-// head describes the attempt to the gate.
-func (e *Entry) head(ctx context.Context, req *work) *wire.RunHead {
+// runHead describes the attempt to the gate.
+func (e *Entry) runHead(ctx context.Context, req *requestState) *wire.RunHead {
 	h := &wire.RunHead{
 		Request:        req.id,
 		Attempt:        req.attempts,
@@ -142,31 +143,30 @@
 		Entry:          e.node.Settings().VM,
 		Stream:         req.stream,
 		GateEpoch:      req.gateEpoch,
-		Claim:          req.claim,
+		Claim:          req.claimOffset,
 		ClaimStream:    req.claimStream(),
 	}
-	if req.way == answers.Resume {
+	if req.retryMode == answers.Resume {
 		h.ResumeAfter = req.progress.Tokens()
 		h.ResumeText = req.progress.Text()
 	}
 	return h
 }
 
-// receive hands pieces on in order. Pieces of another attempt and repeated ones
-// are dropped. A gap ends the attempt: the caller would get an answer that is
-// not whole.
-func (e *Entry) receive(ctx context.Context, req *work, seq *answers.Sequence, recv func() (*wire.Piece, error), emit func(*wire.Piece) error) (cut bool, err error) {
+// receive emits pieces in order. Pieces of other attempts and repeated pieces are dropped. A gap
+// ends the attempt, as the caller would get an incomplete answer.
+func (e *Entry) receive(ctx context.Context, req *requestState, seq *answers.Sequence, recv func() (*wire.Piece, error), emit func(*wire.Piece) error) (disconnected bool, err error) {
 	for {
 		p, err := recv()
 		if err != nil {
-			return true, lost(ctx, err)
+			return true, connectionError(ctx, err)
 		}
 		if !seq.Own(p) {
 			continue
 		}
-		e.note(p)
+		e.recordLoad(p)
 		if r := p.GetRefusal(); r != nil {
-			req.broken(p.GetStep())
+			req.addBrokenStep(p.GetStep())
 			return false, refusal.FromWire(r)
 		}
 		ok, err := seq.Take(p)
@@ -186,8 +186,8 @@
 	}
 }
 
-// note tells control what a piece says beside the answer.
-func (e *Entry) note(p *wire.Piece) {
+// recordLoad passes on the endpoint's table revision and load, which come with a piece.
+func (e *Entry) recordLoad(p *wire.Piece) {
 	e.node.Behind(p.GetLoad().GetVm(), "", p.GetRevision())
 	if p.GetLoad() != nil {
 		e.inflight.Report(p.GetLoad(), e.node.Clock().Now())
@@ -195,12 +195,12 @@
 	}
 }
 
-// lost names a broken connection. Only a failed dial proves that nothing ran.
-func lost(ctx context.Context, err error) error {
+// connectionError maps a broken connection to a refusal. Only a failed dial proves that nothing ran.
+func connectionError(ctx context.Context, err error) error {
 	switch {
 	case errorx.IsOfType(err, peer.ErrNotReached):
 		return refusal.New(refusal.EndpointLost, "endpoint cannot be reached")
-	case silent(ctx):
+	case endedBySilence(ctx):
 		return refusal.New(refusal.EndpointLost, "endpoint fell silent").WithRun(refusal.Unknown)
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
 		return refusal.New(refusal.DeadlinePassed, "deadline passed").WithRun(refusal.Unknown)
@@ -213,7 +213,7 @@
 	}
 }
 
-// remaining is how long the request's context still lasts.
+// remaining returns the time until the request's deadline.
 func remaining(ctx context.Context) clock.Millis {
 	d, ok := ctx.Deadline()
 	if !ok {
--- a/entry/attempt_test.go
+++ b/entry/attempt_test.go
@@ -20,16 +20,16 @@
 	"github.com/parsleydeal/parsleydeal/standin"
 )
 
-// scriptedGate is a gate whose calls a test writes.
+// scriptedGate is a gate that sends the pieces a test lists.
 type scriptedGate struct {
 	wire.DRPCGateUnimplementedServer
 	run  []*wire.Piece
 	kept []*wire.Piece
-	// asked gets what the entry asks for of a kept answer.
-	asked chan *wire.KeptRequest
+	// requests receives the entry's requests for the rest of a retained answer.
+	requests chan *wire.KeptRequest
 }
 
-// Run sends its pieces and breaks off unless one was the last.
+// Run sends the pieces in run, then closes the stream, whether or not a piece was the last one.
 func (g *scriptedGate) Run(stream wire.DRPCGate_RunStream) (err error) {
 	if _, err = stream.Recv(); err != nil {
 		return err
@@ -42,9 +42,9 @@
 	return nil
 }
 
-// Kept sends the kept pieces from the one asked for on.
+// Kept sends the retained pieces, starting with the requested one.
 func (g *scriptedGate) Kept(in *wire.KeptRequest, stream wire.DRPCGate_KeptStream) (err error) {
-	g.asked <- in
+	g.requests <- in
 	for _, p := range g.kept[min(int(in.GetAfter()), len(g.kept)):] {
 		if err = stream.Send(p); err != nil {
 			return err
@@ -53,13 +53,13 @@
 	return nil
 }
 
-// attemptAt makes one attempt of a keyed request at a scripted gate and returns
-// the text that the caller got.
-func attemptAt(t *testing.T, g *scriptedGate) (text string, err error) {
-	return attemptOf(t, g, &work{key: "k", repeatable: true, stream: true})
+// runKeyedAttempt runs one attempt of a keyed request at a scripted gate and returns the text that
+// the caller received.
+func runKeyedAttempt(t *testing.T, g *scriptedGate) (text string, err error) {
+	return runAttempt(t, g, &requestState{key: "k", repeatable: true, stream: true})
 }
 
-func attemptOf(t *testing.T, g *scriptedGate, req *work) (text string, err error) {
+func runAttempt(t *testing.T, g *scriptedGate, req *requestState) (text string, err error) {
 	is := is.New(t)
 	p := httptest.NewServer(standin.NewPlatform().Handler())
 	t.Cleanup(p.Close)
@@ -70,7 +70,7 @@
 	n.Start(t.Context())
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
-	g.asked = make(chan *wire.KeptRequest, 1)
+	g.requests = make(chan *wire.KeptRequest, 1)
 	go func() { _ = peer.Serve(t.Context(), lis, n, g) }()
 	req.id, req.view, req.organisation = "r1", n.View(), "desk"
 	req.send = func(stream wire.DRPCGate_RunClient, head *wire.RunHead) error {
@@ -97,30 +97,29 @@
 	}
 }
 
-// The connection to an endpoint breaks in the middle of a keyed answer, after a
-// stranger's piece and a repeated one got into it. The run goes on at the
-// endpoint, and the entry asks it for the rest: the caller gets its own answer
-// whole.
+// The connection to an endpoint breaks in the middle of a keyed answer that also contains pieces of
+// another request, of another attempt, and a repeated one. The run continues at the endpoint and the
+// entry fetches the rest, so that the caller gets exactly its own answer in full.
 func TestReattachAfterDisconnect(t *testing.T) {
 	is := is.New(t)
-	stranger := piece(1, "stranger ")
-	stranger.Request = "r2"
-	late := piece(1, "late ")
-	late.Attempt = 9
-	whole := []*wire.Piece{piece(0, "one "), piece(1, "two "), piece(2, "three "), lastPiece(3)}
-	g := &scriptedGate{run: []*wire.Piece{whole[0], stranger, late, whole[0], whole[1]}, kept: whole}
-	text, err := attemptAt(t, g)
+	otherRequest := piece(1, "stranger ")
+	otherRequest.Request = "r2"
+	otherAttempt := piece(1, "late ")
+	otherAttempt.Attempt = 9
+	all := []*wire.Piece{piece(0, "one "), piece(1, "two "), piece(2, "three "), lastPiece(3)}
+	g := &scriptedGate{run: []*wire.Piece{all[0], otherRequest, otherAttempt, all[0], all[1]}, kept: all}
+	text, err := runKeyedAttempt(t, g)
 	is.NoErr(err)
 	is.Equal(text, "one two three ")
-	asked := <-g.asked
-	is.Equal(asked.GetAfter(), uint32(2))
-	is.Equal(asked.GetOrganisation(), "desk")
+	request := <-g.requests
+	is.Equal(request.GetAfter(), uint32(2))
+	is.Equal(request.GetOrganisation(), "desk")
 }
 
-// A piece is lost on the way. The caller must not get an answer with a hole.
+// A piece is lost in transit. The caller must not get an answer with a gap.
 func TestMissingPieceEndsAttempt(t *testing.T) {
 	is := is.New(t)
-	text, err := attemptAt(t, &scriptedGate{run: []*wire.Piece{piece(0, "one "), piece(2, "three "), lastPiece(3)}})
+	text, err := runKeyedAttempt(t, &scriptedGate{run: []*wire.Piece{piece(0, "one "), piece(2, "three "), lastPiece(3)}})
 	is.Equal(text, "one ")
 	r, ok := refusal.As(err)
 	is.True(ok)
@@ -128,26 +127,26 @@
 	is.Equal(r.Run(), refusal.Unknown)
 }
 
-// The endpoint no longer keeps the answer when the entry asks for the rest. What
-// broke is told, not that nothing is kept.
+// The endpoint no longer retains the answer when the entry asks for the rest. The caller must get
+// the error of the broken connection, not the refusal that nothing is retained.
 func TestReattachToLostAnswerReportsDisconnect(t *testing.T) {
 	is := is.New(t)
-	gone := &wire.Piece{Request: "r1", Attempt: 1, Last: true, Refusal: refusal.New(refusal.NotKept, "").WithRun(refusal.Unknown).Wire()}
-	text, err := attemptAt(t, &scriptedGate{run: []*wire.Piece{piece(0, "one ")}, kept: []*wire.Piece{nil, gone}})
+	notKept := &wire.Piece{Request: "r1", Attempt: 1, Last: true, Refusal: refusal.New(refusal.NotKept, "").WithRun(refusal.Unknown).Wire()}
+	text, err := runKeyedAttempt(t, &scriptedGate{run: []*wire.Piece{piece(0, "one ")}, kept: []*wire.Piece{nil, notKept}})
 	is.Equal(text, "one ")
 	r, ok := refusal.As(err)
 	is.True(ok)
 	is.Equal(r.Code(), refusal.EndpointLost)
 }
 
-// A service charges a fee and breaks off its answer. The caller is told that the
-// call ran, and the fee stands on the request's only bill.
+// A service charges a fee and its answer breaks off. The caller must learn that the call ran, and
+// the fee must be in the request's only bill.
 func TestInterruptedCallIsBilled(t *testing.T) {
 	is := is.New(t)
-	broken := refusal.New(refusal.EngineFailed, "answer broke off").WithRun(refusal.Ran).Wire()
-	g := &scriptedGate{run: []*wire.Piece{piece(0, ""), {Request: "r1", Attempt: 1, Number: 1, Last: true, Refusal: broken, Step: &wire.Step{Attempt: 1, Cost: 5}}}}
-	req := &work{}
-	_, err := attemptOf(t, g, req)
+	interrupted := refusal.New(refusal.EngineFailed, "answer broke off").WithRun(refusal.Ran).Wire()
+	g := &scriptedGate{run: []*wire.Piece{piece(0, ""), {Request: "r1", Attempt: 1, Number: 1, Last: true, Refusal: interrupted, Step: &wire.Step{Attempt: 1, Cost: 5}}}}
+	req := &requestState{}
+	_, err := runAttempt(t, g, req)
 	r, ok := refusal.As(err)
 	is.True(ok)
 	is.Equal(r.Run(), refusal.Ran)
--- a/entry/burn.go
+++ b/entry/burn.go
@@ -8,15 +8,14 @@
 	"github.com/parsleydeal/parsleydeal/refusal"
 )
 
-// BurnReport returns what this process has counted against the service-level
-// objectives.
+// BurnReport returns what this process has counted against the service-level objectives.
 func (e *Entry) BurnReport(context.Context) (report any, err error) {
 	v := e.node.View()
 	return e.burn.Report(e.node.Settings().VM, e.node.Epoch(), v.Tables(), v.Revision())
 }
 
-// inheritBurn takes what a stopping entry counted.
-func (e *Entry) inheritBurn(data []byte) (err error) {
+// inheritBurnCounts takes over the counts of an entry that stops.
+func (e *Entry) inheritBurnCounts(data []byte) (err error) {
 	l, err := burn.Unpack(data)
 	if err == nil {
 		e.burn.Inherit(l)
@@ -24,8 +23,8 @@
 	return err
 }
 
-// HandOverBurnCounts gives what this process counted, and what it has taken over, to other
-// entries. It is called at a planned stop.
+// HandOverBurnCounts sends the counts of this process, and those it has inherited, to other entries.
+// It is called at a planned stop.
 func (e *Entry) HandOverBurnCounts(ctx context.Context) (err error) {
 	var packed [][]byte
 	for _, l := range e.burn.Lives(e.node.Settings().VM, e.node.Epoch()) {
@@ -38,10 +37,10 @@
 	return e.node.Hand(ctx, packed)
 }
 
-// burnRequest counts the end of an admitted request. What the caller did wrong
-// or gave up says nothing of the service.
-func (e *Entry) burnRequest(req *work, route string, err error) {
-	if route == "" || err != nil && callersOwn(err) {
+// countRequest counts the end of an admitted request. Caller errors and cancellations are left out,
+// as they do not reflect on the service.
+func (e *Entry) countRequest(req *requestState, route string, err error) {
+	if route == "" || err != nil && isCallerError(err) {
 		return
 	}
 	t := burn.Tally{Requests: 1}
@@ -57,13 +56,13 @@
 	e.burn.Add(k, t)
 }
 
-// exposed reports whether the version that answered is out of use by now.
-func (e *Entry) exposed(req *work) bool {
+// exposed reports whether the version that answered has been withdrawn or held in the meantime.
+func (e *Entry) exposed(req *requestState) bool {
 	v := e.node.View()
 	return v.Tables().Versions[req.version].Withdrawn || v.Holds() != nil && v.Holds().Held(req.version, req.organisation)
 }
 
-func callersOwn(err error) bool {
+func isCallerError(err error) bool {
 	switch refusal.Of(err).Code() {
 	case refusal.Unauthorised, refusal.NoRoute, refusal.NotAllowed, refusal.Malformed, refusal.TooLarge, refusal.SessionRejected,
 		refusal.KeyReused, refusal.AlreadyRunning, refusal.AlreadyRan, refusal.Cancelled:
@@ -72,8 +71,8 @@
 	return false
 }
 
-// burnAttempt counts an attempt's latencies against its route's objective.
-func (e *Entry) burnAttempt(req *work, vm string, first, gap clock.Millis) {
+// countAttempt counts an attempt's latencies against its route's objective.
+func (e *Entry) countAttempt(req *requestState, vm string, first, gap clock.Millis) {
 	e.burn.Latency(req.routeName, first, gap)
 	o := req.route.Objective
 	var t burn.Tally
--- a/entry/cascade.go
+++ b/entry/cascade.go
@@ -14,78 +14,78 @@
 )
 
 const (
-	// judgeTimeout bounds the wait for the rater's word on a first answer.
+	// judgeTimeout bounds the wait for the rater's score of a first answer.
 	judgeTimeout = 3 * clock.Second
-	// judgeRest is how long cascades go straight to the second version after
-	// the rater gave no word.
-	judgeRest = 5 * clock.Second
+	// raterBackoffDuration is how long cascades skip the first version after the rater failed to score
+	// an answer.
+	raterBackoffDuration = 5 * clock.Second
 )
 
-// judge remembers when the rater last failed.
-type judge struct {
-	restUntil atomic.Int64
+// raterBackoff holds the time until which cascades skip the first version because the rater failed.
+type raterBackoff struct {
+	until atomic.Int64
 }
 
-// cascade answers with the first version, holds that answer back until the
-// rater judged it, and answers again with the second version when it is poor.
-// The bill lists both steps. A poor first answer is never delivered, not even
-// when the second version can't be had: that would be below the target.
-func (e *Entry) cascade(ctx context.Context, req *work, p quality.Plan, emit func(*wire.Piece) error) (err error) {
-	if int64(e.node.Clock().Now()) < e.judge.restUntil.Load() {
-		return e.second(ctx, req, p, emit)
+// cascade answers with the first version and buffers that answer until the rater has scored it. If
+// the score is missing or below the target, it answers again with the second version, and the bill
+// lists both steps. Such a first answer is never delivered, even if the second version is not
+// available, as it would miss the quality target.
+func (e *Entry) cascade(ctx context.Context, req *requestState, p quality.Plan, emit func(*wire.Piece) error) (err error) {
+	if int64(e.node.Clock().Now()) < e.raterBackoff.until.Load() {
+		return e.runSecond(ctx, req, p, emit)
 	}
-	var held []*wire.Piece
+	var buffered []*wire.Piece
 	req.judging = true
-	drop := req.drop
-	req.drop = func() { held = nil }
-	err = e.tries(ctx, req, func(p *wire.Piece) error {
-		held = append(held, p)
+	discardAnswer := req.discardAnswer
+	req.discardAnswer = func() { buffered = nil }
+	err = e.runAttempts(ctx, req, func(p *wire.Piece) error {
+		buffered = append(buffered, p)
 		return nil
 	})
-	req.judging, req.drop = false, drop
+	req.judging, req.discardAnswer = false, discardAnswer
 	if err != nil {
 		return err
 	}
 	req.progress.Ran()
-	last := held[len(held)-1]
-	if e.passes(ctx, req, held) {
-		return e.release(ctx, req, held, emit)
+	last := buffered[len(buffered)-1]
+	if e.meetsTarget(ctx, req, buffered) {
+		return e.deliver(ctx, req, buffered, emit)
 	}
 	req.steps = append(req.steps, last.GetStep())
-	return e.second(ctx, req, p, emit)
+	return e.runSecond(ctx, req, p, emit)
 }
 
-func (e *Entry) second(ctx context.Context, req *work, p quality.Plan, emit func(*wire.Piece) error) (err error) {
+func (e *Entry) runSecond(ctx context.Context, req *requestState, p quality.Plan, emit func(*wire.Piece) error) (err error) {
 	if req.pinned {
-		req.moved = "escalated"
+		req.sessionMoved = "escalated"
 	}
-	if err = e.adopt(req, p.Second); err != nil {
+	if err = e.setVersion(req, p.Second); err != nil {
 		return err
 	}
-	return e.tries(ctx, req, emit)
+	return e.runAttempts(ctx, req, emit)
 }
 
-// release hands a held answer on, the last piece after the bill is safe.
-func (e *Entry) release(ctx context.Context, req *work, held []*wire.Piece, emit func(*wire.Piece) error) (err error) {
-	for _, p := range held[:len(held)-1] {
+// deliver emits a buffered answer; the last piece follows once the bill is safe.
+func (e *Entry) deliver(ctx context.Context, req *requestState, buffered []*wire.Piece, emit func(*wire.Piece) error) (err error) {
+	for _, p := range buffered[:len(buffered)-1] {
 		if err = emit(p); err != nil {
 			return err
 		}
 	}
-	return e.finish(ctx, req, held[len(held)-1], emit)
+	return e.finish(ctx, req, buffered[len(buffered)-1], emit)
 }
 
-// passes asks the rater whether a first answer reaches the route's target. No
-// word counts as no: the second version is dearer but known to be good enough.
-func (e *Entry) passes(ctx context.Context, req *work, held []*wire.Piece) (pass bool) {
+// meetsTarget reports whether the rater's score of a first answer reaches the route's target. A
+// missing score counts as a failure: the second version costs more but is known to be good enough.
+func (e *Entry) meetsTarget(ctx context.Context, req *requestState, buffered []*wire.Piece) (pass bool) {
 	ctx, cancel := context.WithTimeout(ctx, judgeTimeout.Duration())
 	defer cancel()
 	score, err := e.node.Rater().Judge(ctx, provider.Sample{
-		Request: req.id, Route: req.routeName, Version: req.version, Prompt: string(req.body), Answer: textOf(held),
+		Request: req.id, Route: req.routeName, Version: req.version, Prompt: string(req.body), Answer: textOf(buffered),
 	})
 	now := e.node.Clock().Now()
 	if err != nil {
-		e.judge.restUntil.Store(int64(now + judgeRest))
+		e.raterBackoff.until.Store(int64(now + raterBackoffDuration))
 		e.node.Log().Warn("Rater gave no word on a first answer", "request", req.id, "error", logbook.Text(err))
 		return false
 	}
--- a/entry/completion.go
+++ b/entry/completion.go
@@ -13,7 +13,7 @@
 	"github.com/parsleydeal/parsleydeal/refusal"
 )
 
-// defaultDeadline bounds a request whose route sets no deadline.
+// defaultDeadline bounds a request whose route or service sets no deadline.
 const defaultDeadline = 5 * clock.Minute
 
 // completion is one chat request; goa calls WriteTo with the response writer.
@@ -30,7 +30,7 @@
 // Close releases the caller's body.
 func (c *completion) Close() error { return c.body.Close() }
 
-// WriteTo runs the request and writes the whole response.
+// WriteTo runs the request and writes the full response.
 func (c *completion) WriteTo(w io.Writer) (n int64, err error) {
 	rw := w.(http.ResponseWriter)
 	request := uuid.NewString()
@@ -41,11 +41,11 @@
 		writeRefusal(rw, request, err)
 		return 0, nil
 	}
-	answer := newAnswer(rw, req, c.entry.node.Settings().Entry.WriteTimeout)
-	req.drop = answer.drop
-	err = c.entry.billed(c.ctx, req, answer.take)
+	answer := newAnswerWriter(rw, req, c.entry.node.Settings().Entry.WriteTimeout)
+	req.discardAnswer = answer.reset
+	err = c.entry.runBilled(c.ctx, req, answer.writePiece)
 	end(req.routeName, req.attempts, err)
-	c.entry.burnRequest(req, req.routeName, err)
+	c.entry.countRequest(req, req.routeName, err)
 	if err != nil {
 		answer.fail(err)
 		return 0, nil
@@ -54,17 +54,17 @@
 	return 0, nil
 }
 
-func (c *completion) parse(w http.ResponseWriter, id string) (req *work, err error) {
+func (c *completion) parse(w http.ResponseWriter, id string) (req *requestState, err error) {
 	e := c.entry
-	v, err := e.current()
+	v, err := e.currentView()
 	if err != nil {
 		return nil, err
 	}
-	org, err := e.caller(v, value(c.payload.Authorization))
+	org, err := e.authenticate(v, stringOrEmpty(c.payload.Authorization))
 	if err != nil {
 		return nil, err
 	}
-	body, err := c.read(w)
+	body, err := c.readBody(w)
 	if err != nil {
 		return nil, err
 	}
@@ -72,32 +72,32 @@
 	if err != nil {
 		return nil, refusal.New(refusal.Malformed, err.Error())
 	}
-	req = &work{
-		id: id, ticket: id, view: v, organisation: org, routeName: parsed.Model, chat: parsed, body: body, key: value(c.payload.IdempotencyKey),
+	req = &requestState{
+		id: id, queueID: id, view: v, organisation: org, routeName: parsed.Model, chat: parsed, body: body, key: stringOrEmpty(c.payload.IdempotencyKey),
 		repeatable: true, prefix: parsed.PrefixHash(), stream: parsed.Stream,
 	}
 	if req.key != "" {
-		req.id = keyedID(org, req.routeName, req.key, body)
+		req.id = keyedRequestID(org, req.routeName, req.key, body)
 	}
 	req.send = func(stream wire.DRPCGate_RunClient, head *wire.RunHead) error {
 		return stream.Send(&wire.RunFrame{Head: head, Body: req.body, Last: true})
 	}
-	if req.priority, err = priorityOf(value(c.payload.Priority)); err != nil {
+	if req.priority, err = priorityOf(stringOrEmpty(c.payload.Priority)); err != nil {
 		return nil, err
 	}
 	if err = e.admit(req); err != nil {
 		return nil, err
 	}
-	if err = e.plan(req, value(c.payload.Session)); err != nil {
+	if err = e.plan(req, stringOrEmpty(c.payload.Session)); err != nil {
 		return nil, err
 	}
 	req.token, err = e.sessions.Sign(req.session)
 	return req, err
 }
 
-func (c *completion) read(w http.ResponseWriter) (body []byte, err error) {
+func (c *completion) readBody(w http.ResponseWriter) (body []byte, err error) {
 	s := c.entry.node.Settings().Entry
-	return readWhole(w, c.body, s.MaxBody, s.BodyTimeout)
+	return readLimited(w, c.body, s.MaxBody, s.BodyTimeout)
 }
 
 var priorities = map[string]int32{"": 0, "low": -1, "normal": 0, "high": 1}
--- a/entry/connection_test.go
+++ b/entry/connection_test.go
@@ -7,8 +7,8 @@
 	"github.com/matryer/is"
 )
 
-// Callers open more connections than the entry may hold. Each costs memory
-// before it sends a byte, so the one too many must wait until another closes.
+// Callers open more connections than the entry accepts. Each uses memory before it sends a byte, so
+// a connection over the limit must wait until another one closes.
 func TestConnectionOverLimitWaits(t *testing.T) {
 	is := is.New(t)
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
@@ -31,15 +31,15 @@
 		defer c.Close()
 	}
 	first := <-accepted
-	is.Equal(len(lis.(*limitedListener).places), 1)
+	is.Equal(len(lis.(*limitedListener).slots), 1)
 	select {
 	case <-accepted:
 		t.Fatal("a second connection was accepted while the first was open")
 	default:
 	}
 	is.NoErr(first.Close())
-	_ = first.Close() // a second close gives no second place
+	_ = first.Close() // a second close must not free a second slot
 	<-accepted
 	is.NoErr(lis.Close())
-	<-accepted // closing ends the wait for a place
+	<-accepted // closing ends the wait for a slot
 }
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -1,5 +1,5 @@
-// Package entry is the process that takes callers' requests, chooses version
-// and endpoint, and streams the answers back.
+// Package entry implements the process that accepts callers' requests, chooses a version and an
+// endpoint, and streams the answer back.
 package entry
 
 import (
@@ -23,52 +23,50 @@
 
 // Entry is one entry process.
 type Entry struct {
-	node     *node.Node
-	inflight *choice.Inflight
-	affinity *choice.Affinity
-	sessions *session.Keys
-	raters   *raters
-	judge    judge
-	retries  *limit.Retries
-	// losses is the budget of attempts after an endpoint was lost.
-	losses  *limit.Share
-	queues  *limit.Queues
-	meter   *meter.Meter
-	leaving atomic.Bool
-	burn    *burn.Recorder
+	node         *node.Node
+	inflight     *choice.Inflight
+	affinity     *choice.Affinity
+	sessions     *session.Keys
+	raterClient  *raterClient
+	raterBackoff raterBackoff
+	retries      *limit.Retries
+	// lossRetries is the retry budget for attempts whose endpoint became unreachable.
+	lossRetries *limit.Share
+	queues      *limit.Queues
+	meter       *meter.Meter
+	leaving     atomic.Bool
+	burn        *burn.Recorder
 }
 
-// New makes an entry over a node; ServePeers and Handler run it.
+// New returns an entry on top of a node. Callers are served by Serve or Handler, peers by ServePeers.
 func New(n *node.Node) *Entry {
 	s := n.Settings().Session
 	e := &Entry{
-		node:     n,
-		inflight: choice.NewInflight(),
-		affinity: choice.NewAffinity(),
-		sessions: session.NewKeys(s.Keys, s.Current).WithLifetime(s.Lifetime),
-		raters:   newRaters(),
-		retries:  limit.NewRetries(),
-		losses:   limit.NewShare(lossSpan, lossRatio, lossSlack),
-		queues:   limit.NewQueues(n.Clock()),
-		meter:    meter.New(n.Metrics()),
-		burn:     burn.NewRecorder(n.Clock()),
+		node:        n,
+		inflight:    choice.NewInflight(),
+		affinity:    choice.NewAffinity(),
+		sessions:    session.NewKeys(s.Keys, s.Current).WithLifetime(s.Lifetime),
+		raterClient: newRaterClient(),
+		retries:     limit.NewRetries(),
+		lossRetries: limit.NewShare(lossRetryWindow, lossRetryRatio, lossRetrySlack),
+		queues:      limit.NewQueues(n.Clock()),
+		meter:       meter.New(n.Metrics()),
+		burn:        burn.NewRecorder(n.Clock()),
 	}
-	n.SetInherit(e.inheritBurn)
+	n.SetInherit(e.inheritBurnCounts)
 	return e
 }
 
-// ServePeers answers peers on a listener until the context ends.
+// ServePeers serves calls of peers on a listener until the context ends.
 func (e *Entry) ServePeers(ctx context.Context, lis net.Listener) error {
 	return peer.Serve(ctx, lis, e.node, nil)
 }
 
-// Leave has every answer from now on ask its caller to close the connection.
-// An idle connection that the entry itself closes may be one on which a caller
-// has just begun to send.
+// Leave makes every later response ask its caller to close the connection. If the entry closed idle
+// connections itself, it could close one on which a caller has just started to send.
 func (e *Entry) Leave() { e.leaving.Store(true) }
 
-// Serve answers callers on a listener until the context ends, then lets the
-// requests in flight finish.
+// Serve serves callers on a listener until the context ends, then waits for the requests in flight.
 func (e *Entry) Serve(ctx context.Context, lis net.Listener) (err error) {
 	s := e.node.Settings().Entry
 	const slack = 2
@@ -78,7 +76,7 @@
 		IdleTimeout:       s.IdleTimeout.Duration(),
 		MaxHeaderBytes:    slack * s.MaxHeaders,
 	}
-	go e.rate(ctx)
+	go e.exchangeRatings(ctx)
 	stopped := make(chan struct{})
 	go func() {
 		defer close(stopped)
@@ -93,8 +91,8 @@
 	return err
 }
 
-// caller finds the organisation that a bearer key belongs to.
-func (e *Entry) caller(v *view.View, authorization string) (name string, err error) {
+// authenticate returns the organisation that a bearer key belongs to.
+func (e *Entry) authenticate(v *view.View, authorization string) (name string, err error) {
 	key, ok := strings.CutPrefix(authorization, "Bearer ")
 	if !ok || key == "" {
 		return "", refusal.New(refusal.Unauthorised, "a bearer key is needed")
@@ -106,8 +104,8 @@
 	return name, nil
 }
 
-// current returns the view on which a request is decided.
-func (e *Entry) current() (v *view.View, err error) {
+// currentView returns the view on which a new request is decided.
+func (e *Entry) currentView() (v *view.View, err error) {
 	v = e.node.View()
 	if !v.Started() {
 		return nil, refusal.New(refusal.Starting, "entry has no tables yet").WithRetryAfter(startingRetry)
@@ -118,9 +116,9 @@
 	return v, nil
 }
 
-// fresh refuses work of a route that must not run on tables too long
-// unconfirmed.
-func (e *Entry) fresh(v *view.View, rule table.StaleRule, after int64) error {
+// checkStaleness refuses a request if its route must not run on tables that have been unconfirmed
+// for too long.
+func (e *Entry) checkStaleness(v *view.View, rule table.StaleRule, after int64) error {
 	staleness := int64(e.node.Clock().Since(v.ConfirmedAt()))
 	if rule == table.RefuseWhenStale && after > 0 && staleness > after {
 		return refusal.New(refusal.Stale, "tables are not confirmed").WithRetryAfter(staleRetry)
--- a/entry/finish.go
+++ b/entry/finish.go
@@ -7,42 +7,40 @@
 	"github.com/parsleydeal/parsleydeal/refusal"
 )
 
-// servicePrefix begins the route in a bill of a plain service's call.
+// servicePrefix precedes the service's name in a bill's route.
 const servicePrefix = "services/"
 
-// billed runs a request that has a place for its bill. The place is taken
-// before anything is dispatched, so that a refusal for full books is true when
-// it says that nothing ran.
-func (e *Entry) billed(ctx context.Context, req *work, emit func(*wire.Piece) error) (err error) {
+// runBilled reserves room for the request's bill and runs it. The reservation comes before anything
+// is dispatched, so that a refusal because of a full ledger can truthfully report "not run".
+func (e *Entry) runBilled(ctx context.Context, req *requestState, emit func(*wire.Piece) error) (err error) {
 	if err = e.node.Billing().Reserve(); err != nil {
 		return err
 	}
-	defer e.settle(req)
+	defer e.settleBill(req)
 	return e.run(ctx, req, emit)
 }
 
-// finish makes the bill safe before the last piece is released. Without it an
-// entry lost right after the answer would take the only bill along.
-func (e *Entry) finish(ctx context.Context, req *work, p *wire.Piece, emit func(*wire.Piece) error) (err error) {
+// finish makes the bill safe before the last piece is emitted. Otherwise an entry that fails right
+// after the answer would lose the only bill.
+func (e *Entry) finish(ctx context.Context, req *requestState, p *wire.Piece, emit func(*wire.Piece) error) (err error) {
 	if req.judging {
 		return emit(p)
 	}
 	if p.GetStep() != nil {
 		req.steps = append(req.steps, p.GetStep())
 	}
-	reserved := !req.placed
-	req.placed = true
+	reserved := !req.billSubmitted
+	req.billSubmitted = true
 	if err = e.node.Billing().Finish(ctx, billOf(req), reserved); err != nil {
 		return refusal.New(refusal.DeadlinePassed, "bill could not be made safe in time").WithRun(refusal.Ran)
 	}
 	return emit(p)
 }
 
-// settle bills the steps of a request that failed after they ran, or gives its
-// place back.
-func (e *Entry) settle(req *work) {
+// settleBill bills the steps of a request that failed after they ran, or cancels the reservation.
+func (e *Entry) settleBill(req *requestState) {
 	switch {
-	case req.placed:
+	case req.billSubmitted:
 	case len(req.steps) > 0:
 		e.node.Billing().Settle(billOf(req))
 	default:
@@ -50,7 +48,7 @@
 	}
 }
 
-func billOf(req *work) *wire.Bill {
+func billOf(req *requestState) *wire.Bill {
 	b := &wire.Bill{Request: req.id, Organisation: req.organisation, Route: req.routeName, Steps: req.steps, IdempotencyKey: req.key}
 	if req.service != "" {
 		b.Route = servicePrefix + req.service
--- a/entry/key.go
+++ b/entry/key.go
@@ -12,23 +12,21 @@
 	"github.com/parsleydeal/parsleydeal/refusal"
 )
 
-// keySpace is the name space of the IDs of keyed requests.
-var keySpace = uuid.NewSHA1(uuid.NameSpaceURL, []byte("parsleydeal:keyed-request"))
+// keyNamespace is the namespace of the UUIDs of keyed requests.
+var keyNamespace = uuid.NewSHA1(uuid.NameSpaceURL, []byte("parsleydeal:keyed-request"))
 
-// keyedID names a chat completion with an idempotency key. A caller whose entry
-// vanished asks again at another one. That one makes the same name, so the
-// endpoint that ran the request finds the kept answer under it, and whatever is
-// billed on either way merges into one bill. The same key with another body is
-// another request.
-func keyedID(organisation, route, key string, body []byte) string {
+// keyedRequestID derives the ID of a chat completion with an idempotency key. A caller whose entry
+// failed retries at another one, which derives the same ID. The endpoint that ran the request finds
+// the retained answer by this ID, and bills from both entries merge into one. The same key with
+// another body is a different request.
+func keyedRequestID(organisation, route, key string, body []byte) string {
 	name := strings.Join([]string{organisation, route, key, string(body)}, "\x00")
-	return uuid.NewSHA1(keySpace, []byte(name)).String()
+	return uuid.NewSHA1(keyNamespace, []byte(name)).String()
 }
 
-// home is the endpoint to which a request goes if it can: its session's, or the
-// one that every entry works out for a keyed request, so that the retry comes
-// where the first attempt went.
-func (r *work) home() string {
+// home returns the preferred endpoint of a request: its session's or, for a keyed request, one that
+// every entry derives in the same way, so that a retry reaches the endpoint of the first attempt.
+func (r *requestState) home() string {
 	if r.session.Home != "" || r.key == "" || r.service != "" {
 		return r.session.Home
 	}
@@ -43,21 +41,21 @@
 	return vm
 }
 
-// again takes the answer of an attempt that its endpoint has seen before: the
-// caller asks again for a keyed request. An answer that is no longer kept does
-// not end the request, for it may be repeated elsewhere.
-func (e *Entry) again(ctx context.Context, req *work, vm provider.VM, seq *answers.Sequence, emit func(*wire.Piece) error, cause error) (err error) {
-	gone := refusal.New(refusal.EndpointLost, "an earlier answer is no longer kept").WithRun(refusal.Ran)
-	err = e.reattach(ctx, req, vm, seq, emit, gone)
-	if err == gone && ctx.Err() != nil {
+// fetchEarlierAnswer fetches the answer of an attempt that its endpoint has already received, when a
+// caller retries a keyed request. If that answer is no longer retained the request does not fail, as
+// it may be repeated on another endpoint.
+func (e *Entry) fetchEarlierAnswer(ctx context.Context, req *requestState, vm provider.VM, seq *answers.Sequence, emit func(*wire.Piece) error, cause error) (err error) {
+	notRetained := refusal.New(refusal.EndpointLost, "an earlier answer is no longer kept").WithRun(refusal.Ran)
+	err = e.reattach(ctx, req, vm, seq, emit, notRetained)
+	if err == notRetained && ctx.Err() != nil {
 		return cause
 	}
 	return err
 }
 
-// seenBefore reports whether a gate refused an attempt of a keyed chat
-// completion because it has seen it.
-func seenBefore(req *work, err error) bool {
+// alreadyRan reports whether a gate refused an attempt of a keyed chat completion because it has
+// already received it.
+func alreadyRan(req *requestState, err error) bool {
 	r, ok := refusal.As(err)
 	return ok && req.service == "" && req.key != "" && r.Code() == refusal.AlreadyRan
 }
--- a/entry/key_test.go
+++ b/entry/key_test.go
@@ -13,10 +13,9 @@
 	"github.com/parsleydeal/parsleydeal/view"
 )
 
-// A caller's entry vanishes, and its retry comes to an entry that works with
-// other endpoints of a large pool. Were the retry sent to one of those, the
-// request would run a second time beside the first. Both entries must work out
-// the same endpoint, and different keys must spread over the pool.
+// A caller's entry fails, and its retry reaches an entry whose subset of a large pool holds other
+// endpoints. If the retry went to one of those, the request would run a second time in parallel.
+// Both entries must derive the same endpoint, and different keys must spread over the pool.
 func TestKeyedRequestHasOneHome(t *testing.T) {
 	is := is.New(t)
 	var vms []provider.VM
@@ -27,11 +26,11 @@
 		Versions: map[string]table.Version{"m@1": {}},
 		Pools:    map[string]table.Pool{"p": {Versions: []string{"m@1"}, ColdWindow: 4, FullWindow: 8}},
 	}
-	goes := func(subset []provider.VM, key string) string {
+	endpointFor := func(subset []provider.VM, key string) string {
 		s := membership.New("entry")
 		s.Reduce(event.VMsListed{VMs: vms})
 		v := view.New(tables, 0, 0, s.Members(), false).WithSubsets(map[string][]provider.VM{"p": subset})
-		req := &work{id: keyedID("desk", "quick", key, []byte("body")), key: key, version: "m@1", view: v}
+		req := &requestState{id: keyedRequestID("desk", "quick", key, []byte("body")), key: key, version: "m@1", view: v}
 		vm, ok := choice.Endpoint(v, choice.NewInflight(), choice.NewAffinity(), choice.Query{Pools: req.pools(), Home: req.home()})
 		is.True(ok)
 		return vm.ID
@@ -39,11 +38,11 @@
 	homes := map[string]bool{}
 	for i := range 40 {
 		key := fmt.Sprint("key-", i)
-		one := goes(vms[:24], key)
-		is.Equal(goes(vms[50:74], key), one)
-		homes[one] = true
+		vmID := endpointFor(vms[:24], key)
+		is.Equal(endpointFor(vms[50:74], key), vmID)
+		homes[vmID] = true
 	}
 	is.True(len(homes) > 20)
-	is.True(keyedID("desk", "quick", "k", []byte("a")) != keyedID("court", "quick", "k", []byte("a"))) // keys are an organisation's own
-	is.True(keyedID("desk", "quick", "k", []byte("a")) != keyedID("desk", "quick", "k", []byte("b")))
+	is.True(keyedRequestID("desk", "quick", "k", []byte("a")) != keyedRequestID("court", "quick", "k", []byte("a"))) // keys are scoped to an organisation
+	is.True(keyedRequestID("desk", "quick", "k", []byte("a")) != keyedRequestID("desk", "quick", "k", []byte("b")))
 }
--- a/entry/observe.go
+++ b/entry/observe.go
@@ -8,33 +8,33 @@
 	"github.com/parsleydeal/parsleydeal/table"
 )
 
-// observer times one attempt on a version and tells control what came of it.
+// observer times one attempt on a version and reports its outcome to the event loop.
 type observer struct {
 	entry  *Entry
-	req    *work
+	req    *requestState
 	vm     string
 	sentAt clock.Millis
-	// firstAt and lastAt are 0 until the first token came.
+	// firstAt and lastAt are 0 until the first token arrives.
 	firstAt clock.Millis
 	lastAt  clock.Millis
 	tokens  int64
-	// sample is nil when the answer shall not be rated, such as one that another
-	// attempt began.
-	sample *sampled
+	// sample is nil if the answer is not to be rated, for example because it resumes another
+	// attempt's answer.
+	sample *sampleText
 }
 
-// observe begins to time an attempt of a chat completion; calls of plain
-// services have no version to judge.
-func (e *Entry) observe(req *work, vm string) *observer {
+// observe starts to time an attempt. Only chat completions may be sampled for rating, as calls of
+// plain services have no version to rate.
+func (e *Entry) observe(req *requestState, vm string) *observer {
 	o := &observer{entry: e, req: req, vm: vm, sentAt: e.node.Clock().Now()}
-	if req.service == "" && !req.judging && !req.progress.Taken() && e.raters.sampler.Take(o.sentAt, req.ratingsOf(), req.trial) {
-		o.sample = &sampled{}
+	if req.service == "" && !req.judging && !req.progress.Taken() && e.raterClient.sampler.Take(o.sentAt, req.ratingCount(), req.trial) {
+		o.sample = &sampleText{}
 	}
 	return o
 }
 
-// piece takes note of one piece that came.
-func (o *observer) piece(p *wire.Piece) {
+// recordPiece records the arrival of one piece.
+func (o *observer) recordPiece(p *wire.Piece) {
 	if o.req.service != "" || p.GetText() == "" {
 		return
 	}
@@ -50,25 +50,25 @@
 	o.entry.node.Loop().Offer(event.Begun{Now: o.lastAt, Route: o.req.routeName, Version: o.req.version, Organisation: o.req.organisation})
 }
 
-// end tells control how the attempt ended, if that says anything of the version.
+// end reports how the attempt ended, if that reflects on the version.
 func (o *observer) end(err error) {
 	failed := versionFailed(err)
 	if o.req.service != "" || err != nil && !failed {
 		return
 	}
 	if o.sample != nil && err == nil {
-		o.entry.raters.submit(o.req, o.sample)
+		o.entry.raterClient.submit(o.req, o.sample)
 	}
 	now := o.entry.node.Clock().Now()
-	first, gap := o.spans()
-	o.entry.burnAttempt(o.req, o.vm, first, gap)
+	first, gap := o.latencies()
+	o.entry.countAttempt(o.req, o.vm, first, gap)
 	o.entry.node.Loop().Offer(event.Observed{
 		Now: now, Route: o.req.routeName, Version: o.req.version, Organisation: o.req.organisation, VM: o.vm,
-		Failed: failed, FirstToken: first, TokenGap: gap, Slow: missed(o.req.route.Objective, first, gap),
+		Failed: failed, FirstToken: first, TokenGap: gap, Slow: missesObjective(o.req.route.Objective, first, gap),
 	})
 }
 
-func (o *observer) spans() (first, gap clock.Millis) {
+func (o *observer) latencies() (first, gap clock.Millis) {
 	if o.firstAt == 0 {
 		return 0, 0
 	}
@@ -79,14 +79,14 @@
 	return first, gap
 }
 
-// versionFailed reports whether an attempt ended through the version's fault:
-// the engine gave up on it. A full, lost or leaving endpoint, a deadline or a
-// caller that went away says nothing of the version.
+// versionFailed reports whether an attempt failed because of its version, that is in the engine. A
+// full, unreachable or leaving endpoint, a deadline or a caller that disconnected does not reflect
+// on the version.
 func versionFailed(err error) bool {
 	r, ok := refusal.As(err)
 	return ok && r.Code() == refusal.EngineFailed
 }
 
-func missed(o table.Objective, first, gap clock.Millis) bool {
+func missesObjective(o table.Objective, first, gap clock.Millis) bool {
 	return o.FirstToken > 0 && first > o.FirstToken || o.TokenGap > 0 && gap > o.TokenGap
 }
--- a/entry/patience.go
+++ b/entry/patience.go
@@ -12,72 +12,71 @@
 	"github.com/parsleydeal/parsleydeal/refusal"
 )
 
-// patientWriter bounds the pause in which a caller takes nothing of its answer.
-// Without it a caller that stops reading would hold its request, and with it a
-// place in an endpoint's window, for as long as it likes.
-type patientWriter struct {
+// timeoutWriter bounds the time in which a caller reads nothing of its answer. Without it a caller
+// that stops reading could hold its request, and a slot in an endpoint's window, indefinitely.
+type timeoutWriter struct {
 	http.ResponseWriter
-	control  *http.ResponseController
-	patience time.Duration
-	// setAt is when the deadline was last moved.
+	control *http.ResponseController
+	timeout time.Duration
+	// setAt is when the deadline was last extended.
 	setAt time.Time
 }
 
-func newPatientWriter(w http.ResponseWriter, patience clock.Millis) *patientWriter {
-	return &patientWriter{ResponseWriter: w, control: http.NewResponseController(w), patience: patience.Duration()}
+func newTimeoutWriter(w http.ResponseWriter, timeout clock.Millis) *timeoutWriter {
+	return &timeoutWriter{ResponseWriter: w, control: http.NewResponseController(w), timeout: timeout.Duration()}
 }
 
-// Write moves the deadline on and writes.
-func (w *patientWriter) Write(p []byte) (n int, err error) {
-	w.extend()
+// Write extends the deadline and writes.
+func (w *timeoutWriter) Write(p []byte) (n int, err error) {
+	w.extendDeadline()
 	return w.ResponseWriter.Write(p)
 }
 
-// Flush sends what was written to the caller.
-func (w *patientWriter) Flush() (err error) {
-	w.extend()
+// Flush sends the buffered data to the caller.
+func (w *timeoutWriter) Flush() (err error) {
+	w.extendDeadline()
 	if err = w.control.Flush(); err != nil {
 		return refusal.New(refusal.Cancelled, "caller takes nothing of the answer").WithRun(refusal.Ran)
 	}
 	return nil
 }
 
-// Unwrap lets a ResponseController find the writer below.
-func (w *patientWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
+// Unwrap gives http.ResponseController access to the underlying writer.
+func (w *timeoutWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
-// extend moves the deadline only when a good part of it has passed, as moving
-// it at every piece costs more than the piece.
-func (w *patientWriter) extend() {
+// extendDeadline extends the deadline only after an eighth of the timeout has passed, as doing so
+// for every piece costs more than writing the piece.
+func (w *timeoutWriter) extendDeadline() {
 	const parts = 8
 	now := time.Now()
-	if now.Sub(w.setAt) < w.patience/parts {
+	if now.Sub(w.setAt) < w.timeout/parts {
 		return
 	}
 	w.setAt = now
-	_ = w.control.SetWriteDeadline(now.Add(w.patience))
+	_ = w.control.SetWriteDeadline(now.Add(w.timeout))
 }
 
-// pacedBody bounds the pause in which a body does not grow.
-type pacedBody struct {
+// timeoutBody bounds the time in which no data of a body arrives.
+type timeoutBody struct {
 	io.ReadCloser
-	control  *http.ResponseController
-	patience time.Duration
-	mu       sync.Mutex
-	// stopped bodies give nothing more; a Read under way ends at once.
+	control *http.ResponseController
+	timeout time.Duration
+	mu      sync.Mutex
+	// stopped makes the pending and all later reads fail at once.
 	stopped bool
-	// ended is true once nothing of the body is left.
+	// ended is true once the body has been read to its end.
 	ended bool
 }
 
-func newPacedBody(w http.ResponseWriter, r *http.Request, patience clock.Millis) *pacedBody {
-	return &pacedBody{ReadCloser: r.Body, control: http.NewResponseController(w), patience: patience.Duration(), ended: r.Body == http.NoBody}
+func newTimeoutBody(w http.ResponseWriter, r *http.Request, timeout clock.Millis) *timeoutBody {
+	return &timeoutBody{ReadCloser: r.Body, control: http.NewResponseController(w), timeout: timeout.Duration(), ended: r.Body == http.NoBody}
 }
 
-// closeUnlessEnded has the connection closed after a response that begins
-// before the body has ended. In full duplex net/http reads what is left of a
-// body only after it has stopped watching the connection; it then watches again
-// while it waits for the next request, and panics under that request.
-func (b *pacedBody) closeUnlessEnded(h http.Header) {
+// closeUnlessEnded makes the server close the connection after a response that starts before the
+// body has ended. In full duplex net/http reads the remaining body only after it has stopped its
+// background read of the connection; it then starts that read again while it waits for the next
+// request, and panics when that request arrives.
+func (b *timeoutBody) closeUnlessEnded(h http.Header) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if !b.ended {
@@ -85,32 +84,32 @@
 	}
 }
 
-// Read reads the next part, or fails when it does not come in time.
-func (b *pacedBody) Read(p []byte) (n int, err error) {
-	if !b.extend() {
+// Read reads the next part, or fails if none arrives in time.
+func (b *timeoutBody) Read(p []byte) (n int, err error) {
+	if !b.extendDeadline() {
 		return 0, os.ErrDeadlineExceeded
 	}
 	n, err = b.ReadCloser.Read(p)
 	if err != nil {
-		b.rest(err == io.EOF)
+		b.clearDeadline(err == io.EOF)
 	}
 	return n, err
 }
 
-// extend moves the deadline on, unless the body was stopped.
-func (b *pacedBody) extend() (ok bool) {
+// extendDeadline extends the deadline, unless the body was stopped.
+func (b *timeoutBody) extendDeadline() (ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.stopped {
 		return false
 	}
-	_ = b.control.SetReadDeadline(time.Now().Add(b.patience))
+	_ = b.control.SetReadDeadline(time.Now().Add(b.timeout))
 	return true
 }
 
-// rest takes the deadline away at the body's end. The server reads on to notice
-// that the caller goes away; an old deadline would end the request instead.
-func (b *pacedBody) rest(ended bool) {
+// clearDeadline removes the deadline at the body's end. The server keeps reading to detect that the
+// caller disconnects, and an old deadline would cancel the request.
+func (b *timeoutBody) clearDeadline(ended bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.ended = b.ended || ended
@@ -119,10 +118,10 @@
 	}
 }
 
-// stop ends a Read under way and all later ones. A body that has ended is left
-// alone: the server then reads on to notice that the caller goes away, and a
-// deadline under that read would cancel the request, and with it a next try.
-func (b *pacedBody) stop() {
+// stop ends the pending read and all later ones. It does nothing once the body has ended: the server
+// then keeps reading to detect that the caller disconnects, and a deadline on that read would cancel
+// the request and with it the next attempt.
+func (b *timeoutBody) stop() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.ended {
@@ -132,13 +131,13 @@
 	_ = b.control.SetReadDeadline(time.Now())
 }
 
-// readWhole reads a body of at most limit bytes within a time.
-func readWhole(w http.ResponseWriter, body io.Reader, limit int64, patience clock.Millis) (data []byte, err error) {
+// readLimited reads a body of at most limit bytes within the timeout.
+func readLimited(w http.ResponseWriter, body io.Reader, limit int64, timeout clock.Millis) (data []byte, err error) {
 	control := http.NewResponseController(w)
-	_ = control.SetReadDeadline(time.Now().Add(patience.Duration()))
+	_ = control.SetReadDeadline(time.Now().Add(timeout.Duration()))
 	data, err = io.ReadAll(io.LimitReader(body, limit+1))
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		return nil, refusal.New(refusal.SlowBody, "body did not arrive in "+patience.String())
+		return nil, refusal.New(refusal.SlowBody, "body did not arrive in "+timeout.String())
 	}
 	if err != nil {
 		return nil, refusal.New(refusal.Malformed, "body could not be read")
--- a/entry/patience_test.go
+++ b/entry/patience_test.go
@@ -12,16 +12,16 @@
 	"github.com/parsleydeal/parsleydeal/clock"
 )
 
-// An endpoint refuses a call while its body is on the way, and the entry stops
-// sending and tries another. The caller's body has already ended; stopping it
-// then must not look as if the caller had gone, or the next try is cancelled
-// and the caller hears "unknown" of a call that never ran.
+// An endpoint refuses a call while the body is being sent, and the entry stops sending and tries
+// another endpoint. If the body has already ended, stopping it must not look like a disconnect of the
+// caller: the next attempt would be cancelled, and the caller would get "unknown" for a call that
+// never ran.
 func TestStopAfterEndOfBodyKeepsRequest(t *testing.T) {
 	is := is.New(t)
 	cancelled := make(chan bool, 1)
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_ = http.NewResponseController(w).EnableFullDuplex()
-		body := newPacedBody(w, r, 30*clock.Second)
+		body := newTimeoutBody(w, r, 30*clock.Second)
 		_, _ = io.Copy(io.Discard, body)
 		body.stop()
 		select {
@@ -38,14 +38,14 @@
 	is.True(!<-cancelled)
 }
 
-// A caller sends part of its body and no more. Stopping must end the read at
-// once, not after the pause that the settings allow.
+// A caller sends part of its body and then nothing more. Stopping must end the read at once, not
+// after the configured timeout.
 func TestStopEndsPendingRead(t *testing.T) {
 	is := is.New(t)
 	ended := make(chan error, 1)
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_ = http.NewResponseController(w).EnableFullDuplex()
-		body := newPacedBody(w, r, clock.Hour)
+		body := newTimeoutBody(w, r, clock.Hour)
 		time.AfterFunc(50*time.Millisecond, body.stop)
 		_, err := io.Copy(io.Discard, body)
 		ended <- err
--- a/entry/plan.go
+++ b/entry/plan.go
@@ -10,7 +10,7 @@
 )
 
 // admit checks that the organisation may use the route now.
-func (e *Entry) admit(req *work) (err error) {
+func (e *Entry) admit(req *requestState) (err error) {
 	route, ok := req.view.Tables().Routes[req.routeName]
 	if !ok {
 		return refusal.New(refusal.NoRoute, "no model "+req.routeName)
@@ -23,11 +23,11 @@
 	if req.deadline == 0 {
 		req.deadline = defaultDeadline
 	}
-	return e.fresh(req.view, route.WhenStale, int64(route.StaleAfter))
+	return e.checkStaleness(req.view, route.WhenStale, int64(route.StaleAfter))
 }
 
-// plan chooses the version: the session's own, or the one its hash falls on.
-func (e *Entry) plan(req *work, token string) (err error) {
+// plan verifies the session token, if there is one, and chooses the version.
+func (e *Entry) plan(req *requestState, token string) (err error) {
 	if token != "" {
 		if req.session, err = e.sessions.Verify(token); err != nil {
 			return refusal.New(refusal.SessionRejected, err.Error())
@@ -40,13 +40,13 @@
 	return e.choose(req)
 }
 
-// choose keeps the session's version, or makes plans for a new one when it has
-// none or its own gets no new work any more.
-func (e *Entry) choose(req *work) (err error) {
-	kept := req.session.Version
-	lost := movedBecause(req, kept)
+// choose keeps the session's version, or makes plans for a new one if the session has none or its
+// version no longer accepts new requests.
+func (e *Entry) choose(req *requestState) (err error) {
+	version := req.session.Version
+	reason := moveReason(req, version)
 	if req.pinned {
-		req.moved = lost
+		req.sessionMoved = reason
 	}
 	if req.session.ID == "" {
 		req.session = session.Token{ID: req.id, Organisation: req.organisation, Route: req.routeName}
@@ -55,31 +55,31 @@
 		Route: req.routeName, Organisation: req.organisation,
 		Hash: xxhash.Sum64String(req.session.ID), InputTokens: int64(len(req.body) / bytesPerToken),
 	}
-	if kept != "" && lost == "" {
-		req.plans = choice.Kept(req.view, req.route, q, kept)
+	if version != "" && reason == "" {
+		req.plans = choice.Kept(req.view, req.route, q, version)
 	} else {
 		req.plans = choice.Plans(req.view, req.route, q)
 	}
 	if len(req.plans) == 0 {
 		return refusal.New(refusal.NoEndpoint, "no version meets the quality target").WithRetryAfter(startingRetry)
 	}
-	return e.adopt(req, req.plans[0].First)
+	return e.setVersion(req, req.plans[0].First)
 }
 
-// bytesPerToken is about how long a token is, to price a prompt.
+// bytesPerToken is the approximate length of a token, used to price a prompt.
 const bytesPerToken = 4
 
-// movedBecause says why a session cannot keep its version, or "" when it can.
-// Withdrawn and held beat the session.
-func movedBecause(req *work, kept string) string {
+// moveReason returns why a session cannot keep its version, or "" if it can. A withdrawal or hold
+// overrides the session.
+func moveReason(req *requestState, version string) string {
 	switch {
-	case kept == "":
+	case version == "":
 		return ""
-	case req.view.Tables().Versions[kept].Withdrawn:
+	case req.view.Tables().Versions[version].Withdrawn:
 		return "withdrawn"
-	case req.view.Holds().Held(kept, req.organisation):
+	case req.view.Holds().Held(version, req.organisation):
 		return "held"
-	case !req.route.Allows(kept):
+	case !req.route.Allows(version):
 		return "not-allowed"
 	default:
 		return ""
--- a/entry/rate.go
+++ b/entry/rate.go
@@ -14,63 +14,63 @@
 )
 
 const (
-	// maxSample bounds the prompt and the answer of a sample, in bytes; larger
-	// ones are not rated.
+	// maxSample bounds the prompt and the answer of a sample, in bytes each; larger samples are not
+	// rated.
 	maxSample = 64 << 10
-	// maxAwaited bounds the samples whose ratings are awaited; the oldest falls
-	// out first and its rating is ignored.
+	// maxAwaited bounds the samples that wait for a rating. Beyond it the oldest is dropped and its
+	// rating ignored.
 	maxAwaited = 4096
-	// maxUnsent bounds the samples that wait to be sent; one more is dropped.
-	maxUnsent   = 64
-	ratingsPoll = clock.Second
+	// maxUnsent bounds the samples that wait to be sent; further ones are dropped.
+	maxUnsent          = 64
+	ratingPollInterval = clock.Second
 )
 
-// raters hands samples to the platform's rater and brings its late ratings to
-// control. Requests never wait for it.
-type raters struct {
+// raterClient sends samples to the platform's rater and passes its ratings, which arrive later, to
+// the event loop. Requests never wait for it.
+type raterClient struct {
 	sampler *quality.Sampler
 	unsent  chan provider.Sample
 	mu      sync.Mutex
-	// awaited holds at most maxAwaited samples, named by order from the oldest.
+	// awaited holds at most maxAwaited samples by request ID; order lists the IDs, oldest first.
 	awaited map[string]event.Rated
 	order   []string
 	// next is the position in the rater's list, or -1 before the first poll.
 	next int64
 }
 
-func newRaters() *raters {
-	return &raters{sampler: quality.NewSampler(), unsent: make(chan provider.Sample, maxUnsent), awaited: make(map[string]event.Rated), next: -1}
+func newRaterClient() *raterClient {
+	return &raterClient{sampler: quality.NewSampler(), unsent: make(chan provider.Sample, maxUnsent), awaited: make(map[string]event.Rated), next: -1}
 }
 
-// sampled is the text of an answer that shall be rated.
-type sampled struct {
+// sampleText is the text of an answer that is to be rated.
+type sampleText struct {
 	text strings.Builder
-	// over is true when the answer outgrew maxSample.
-	over bool
+	// tooLarge is true once the answer exceeds maxSample.
+	tooLarge bool
 }
 
-func (s *sampled) add(text string) {
+func (s *sampleText) add(text string) {
 	if s.text.Len()+len(text) > maxSample {
-		s.over = true
+		s.tooLarge = true
 		return
 	}
 	s.text.WriteString(text)
 }
 
-// submit hands a whole answer over, without waiting.
-func (r *raters) submit(req *work, s *sampled) {
-	if s.over || len(req.body) > maxSample {
+// submit queues a complete answer for rating without blocking.
+func (r *raterClient) submit(req *requestState, s *sampleText) {
+	if s.tooLarge || len(req.body) > maxSample {
 		return
 	}
 	sample := provider.Sample{Request: req.id, Route: req.routeName, Version: req.version, Prompt: string(req.body), Answer: s.text.String()}
-	r.await(req)
+	r.addAwaited(req)
 	select {
 	case r.unsent <- sample:
 	default:
 	}
 }
 
-func (r *raters) await(req *work) {
+func (r *raterClient) addAwaited(req *requestState) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.awaited[req.id] = event.Rated{Route: req.routeName, Version: req.version, Organisation: req.organisation}
@@ -81,9 +81,9 @@
 	}
 }
 
-// take finds the sample that a rating is for. A rating that comes twice, or is
-// for another entry's sample, finds none.
-func (r *raters) take(request string) (e event.Rated, ok bool) {
+// resolve returns and removes the sample that a rating belongs to. There is none for a repeated
+// rating or for one of another entry's sample.
+func (r *raterClient) resolve(request string) (e event.Rated, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	e, ok = r.awaited[request]
@@ -91,15 +91,15 @@
 	return e, ok
 }
 
-// rate sends samples and fetches ratings until the context ends.
-func (e *Entry) rate(ctx context.Context) {
-	t := time.NewTicker(ratingsPoll.Duration())
+// exchangeRatings sends samples and fetches ratings until the context ends.
+func (e *Entry) exchangeRatings(ctx context.Context) {
+	t := time.NewTicker(ratingPollInterval.Duration())
 	defer t.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case s := <-e.raters.unsent:
+		case s := <-e.raterClient.unsent:
 			if err := e.node.Rater().Submit(ctx, s); err != nil {
 				e.node.Log().Debug("Sample could not be submitted", "request", s.Request, "error", err)
 			}
@@ -110,7 +110,7 @@
 }
 
 func (e *Entry) fetchRatings(ctx context.Context) {
-	r := e.raters
+	r := e.raterClient
 	ratings, next, err := e.node.Rater().Ratings(ctx, max(r.next, 0))
 	if err != nil {
 		e.node.Log().Debug("Ratings could not be read", "error", err)
@@ -118,7 +118,7 @@
 	}
 	r.next = next
 	for _, x := range ratings {
-		ev, ok := r.take(x.Request)
+		ev, ok := r.resolve(x.Request)
 		if !ok {
 			continue
 		}
--- a/entry/resume.go
+++ b/entry/resume.go
@@ -8,45 +8,45 @@
 	"github.com/parsleydeal/parsleydeal/refusal"
 )
 
-// begin starts an answer anew, on whatever version. What earlier versions ran
-// still counts when the caller is told whether the request ran.
-func (r *work) begin() {
+// restart resets the answer before the first attempt on a version. Whether the request ran, as
+// reported to the caller, still includes earlier versions.
+func (r *requestState) restart() {
 	r.progress.Reset()
-	r.way = answers.Restart
+	r.retryMode = answers.Restart
 }
 
-// goOn decides after a failed attempt whether and how the request is tried
-// again, and prepares it: from the start, or after the last token taken.
-func (r *work) goOn(err error) bool {
+// prepareRetry decides after a failed attempt whether and how the request is retried, and prepares
+// it: from the start, or after the last token received.
+func (r *requestState) prepareRetry(err error) bool {
 	cause, ok := refusal.As(err)
 	if !ok {
 		cause = refusal.New(refusal.EndpointLost, err.Error()).WithRun(refusal.Unknown)
 	}
-	r.way = r.progress.Next(cause, answers.Rules{
+	r.retryMode = r.progress.Next(cause, answers.Rules{
 		Repeatable: r.repeatable,
-		Resumes:    r.resumes(),
-		// A stream's pieces and a service's status are sent as they come; the
-		// parts of an answer in JSON, or of one held back for the rater, wait.
+		Resumes:    r.canResume(),
+		// The pieces of a stream and the status of a service are sent as they arrive. An answer in
+		// JSON, or one buffered for the rater, has not been shown to the caller yet.
 		Shown: r.progress.Taken() && !r.judging && (r.stream || r.service != ""),
 		Spent: r.bodySpent,
 	})
-	if r.way == answers.Restart && r.progress.Taken() {
+	if r.retryMode == answers.Restart && r.progress.Taken() {
 		r.progress.Reset()
-		r.drop()
+		r.discardAnswer()
 	}
-	return r.way != answers.GiveUp
+	return r.retryMode != answers.GiveUp
 }
 
-// broken notes the step of a call that ran and whose answer is not whole. It may
-// not be repeated, so this is the only bill it can get.
-func (r *work) broken(s *wire.Step) {
+// addBrokenStep records the step of a call that ran but whose answer is incomplete. The call must
+// not be repeated, so no other bill will list this step.
+func (r *requestState) addBrokenStep(s *wire.Step) {
 	if s != nil && !r.repeatable {
 		r.steps = append(r.steps, s)
 	}
 }
 
-// truth returns the refusal for the caller, true of all attempts together.
-func (r *work) truth(err error) error {
+// overallRefusal returns the refusal for the caller, which covers all attempts together.
+func (r *requestState) overallRefusal(err error) error {
 	cause, ok := refusal.As(err)
 	if !ok {
 		return err
@@ -54,12 +54,12 @@
 	return r.progress.Truth(cause)
 }
 
-// kept reports whether an endpoint goes on with the run and keeps the answer
-// when its entry's connection breaks.
-func (r *work) kept() bool { return !r.repeatable || r.key != "" }
+// survivesDisconnect reports whether an endpoint continues the run and retains the answer when the
+// connection to its entry breaks.
+func (r *requestState) survivesDisconnect() bool { return !r.repeatable || r.key != "" }
 
-// resumes reports whether some engines of the request's version resume answers.
-func (r *work) resumes() bool {
+// canResume reports whether any engine of the request's version can resume an answer.
+func (r *requestState) canResume() bool {
 	t := r.view.Tables()
 	return r.service == "" && slices.ContainsFunc(t.PoolsOf(r.version), func(name string) bool { return t.Pools[name].Resumes })
 }
--- a/entry/run.go
+++ b/entry/run.go
@@ -17,26 +17,25 @@
 const (
 	// maxAttempts bounds the attempts of one request on one version.
 	maxAttempts = 4
-	// maxMoves bounds how often a request gets another version because a gate
-	// knew of a hold or withdrawal first.
+	// maxMoves bounds how often a request is moved to another version because a gate received a hold
+	// or withdrawal before this entry.
 	maxMoves = 2
 )
 
-// run serves a request under its deadline. This is the only layer that retries.
-// Emit gets the pieces of the answer in order; the last one only when the bill
-// is safe.
-func (e *Entry) run(ctx context.Context, req *work, emit func(*wire.Piece) error) (err error) {
+// run serves a request within its deadline. Retries happen only at this layer. Emit gets the pieces
+// of the answer in order, the last one only once the bill is safe.
+func (e *Entry) run(ctx context.Context, req *requestState, emit func(*wire.Piece) error) (err error) {
 	ctx, cancel := context.WithTimeout(ctx, req.deadline.Duration())
 	defer cancel()
-	defer func() { err = comeBack(req.truth(err)) }()
+	defer func() { err = withDefaultRetryAfter(req.overallRefusal(err)) }()
 	e.retries.Earn()
-	e.losses.Earn(e.node.Clock().Now())
+	e.lossRetries.Earn(e.node.Clock().Now())
 	if req.service != "" {
-		return e.tries(ctx, req, emit)
+		return e.runAttempts(ctx, req, emit)
 	}
 	for range maxMoves + 1 {
 		err = e.runPlans(ctx, req, emit)
-		if !e.lostVersion(req, err) || !e.retries.Take() {
+		if !e.needsOtherVersion(req, err) || !e.retries.Take() {
 			return err
 		}
 		if err = e.choose(req); err != nil {
@@ -46,35 +45,35 @@
 	return err
 }
 
-// runPlans goes through the request's plans, all of which meet the quality
-// target, until one finds an endpoint.
-func (e *Entry) runPlans(ctx context.Context, req *work, emit func(*wire.Piece) error) (err error) {
+// runPlans tries the request's plans, all of which meet the quality target, until one finds an
+// endpoint.
+func (e *Entry) runPlans(ctx context.Context, req *requestState, emit func(*wire.Piece) error) (err error) {
 	for i, p := range req.plans {
 		req.trial = p.Trial
-		if err = e.adopt(req, p.First); err != nil {
+		if err = e.setVersion(req, p.First); err != nil {
 			return err
 		}
 		if p.Cascade() {
 			err = e.cascade(ctx, req, p, emit)
 		} else {
-			err = e.tries(ctx, req, emit)
+			err = e.runAttempts(ctx, req, emit)
 		}
-		if err == nil || i == len(req.plans)-1 || !full(err) || !e.retries.Take() {
+		if err == nil || i == len(req.plans)-1 || !noCapacity(err) || !e.retries.Take() {
 			return err
 		}
 	}
 	return err
 }
 
-// full reports whether a request did not run because no endpoint of its version
-// can take it now, so that the next plan may.
-func full(err error) bool {
+// noCapacity reports whether a request did not run because no endpoint of its version has room for
+// it now, so that the next plan may be tried.
+func noCapacity(err error) bool {
 	r, ok := refusal.As(err)
 	return ok && r.Run() == refusal.NotRun && (r.Code() == refusal.NoEndpoint || r.Code() == refusal.Saturated)
 }
 
-// adopt makes a version the request's and the session's.
-func (e *Entry) adopt(req *work, version string) (err error) {
+// setVersion sets the version of the request and its session.
+func (e *Entry) setVersion(req *requestState, version string) (err error) {
 	req.version = version
 	if req.session.Version == version && req.token != "" {
 		return nil
@@ -84,110 +83,108 @@
 	return err
 }
 
-// tries waits for a place and makes attempts on the request's version until one
-// gives a whole answer.
-func (e *Entry) tries(ctx context.Context, req *work, emit func(*wire.Piece) error) (err error) {
+// runAttempts waits in the queue and then runs attempts on the request's version until one returns a
+// complete answer.
+func (e *Entry) runAttempts(ctx context.Context, req *requestState, emit func(*wire.Piece) error) (err error) {
 	queue := e.queues.For(req.target())
-	if err = queue.Enter(ctx, e.item(ctx, req)); err != nil {
+	if err = queue.Enter(ctx, e.queueItem(ctx, req)); err != nil {
 		return err
 	}
 	defer func() { queue.Leave(outcomeOf(err)) }()
-	req.begin()
+	req.restart()
 	avoid := make(map[string]bool)
-	// full holds the endpoints that refused only because they had no room then.
-	full := make(map[string]bool)
+	// saturated holds the endpoints that refused only for lack of capacity.
+	saturated := make(map[string]bool)
 	err = refusal.New(refusal.NoEndpoint, "no endpoint can take the request").WithRetryAfter(startingRetry)
 	for i := range maxAttempts {
-		vm, ok := choice.Endpoint(req.view, e.inflight, e.affinity, e.query(req, avoid))
-		if !ok && len(full) > 0 {
-			// Of two endpoints one was full and the other then fell silent: the first
-			// has had seconds to make room.
-			maps.DeleteFunc(avoid, func(id string, _ bool) bool { return full[id] })
-			clear(full)
-			vm, ok = choice.Endpoint(req.view, e.inflight, e.affinity, e.query(req, avoid))
+		vm, ok := choice.Endpoint(req.view, e.inflight, e.affinity, e.endpointQuery(req, avoid))
+		if !ok && len(saturated) > 0 {
+			// A saturated endpoint is tried again when no other is left: if one of two was full
+			// and the other then fell silent, the first has had seconds to free capacity.
+			maps.DeleteFunc(avoid, func(id string, _ bool) bool { return saturated[id] })
+			clear(saturated)
+			vm, ok = choice.Endpoint(req.view, e.inflight, e.affinity, e.endpointQuery(req, avoid))
 		}
-		if !ok || i > 0 && !e.mayTryAgain(err) {
+		if !ok || i > 0 && !e.mayRetry(err) {
 			e.node.Log().Info("No further attempt", "request", req.id, "attempts", req.attempts, "endpoint-left", ok, "error", logbook.Text(err))
-			return req.truth(err)
+			return req.overallRefusal(err)
 		}
 		avoid[vm.ID] = true
-		delete(full, vm.ID)
-		if err := e.settleHome(req, vm.ID); err != nil {
+		delete(saturated, vm.ID)
+		if err := e.setHome(req, vm.ID); err != nil {
 			return err
 		}
-		seen := e.observe(req, vm.ID)
-		taken := false
+		obs := e.observe(req, vm.ID)
+		received := false
 		err = e.attempt(ctx, req, vm, func(p *wire.Piece) error {
-			if !taken {
-				taken = true
+			if !received {
+				received = true
 				queue.Taken()
 			}
-			seen.piece(p)
+			obs.recordPiece(p)
 			return emit(p)
 		})
-		seen.end(err)
+		obs.end(err)
 		if outcomeOf(err) == limit.Refused {
-			full[vm.ID] = true
+			saturated[vm.ID] = true
 		}
 		if err != nil {
 			e.node.Log().Info("Attempt did not answer", "request", req.id, "endpoint", vm.ID, "attempt", req.attempts, "version", req.version, "revision", req.view.Revision(), "error", logbook.Text(err))
 		}
-		if unreached(err) || unready(err) {
+		if notReached(err) || notStarted(err) {
 			e.inflight.Lost(vm.ID, e.node.Clock().Now())
 		}
 		if err == nil {
 			return nil
 		}
-		if versionRefused(err) || !req.goOn(err) {
-			e.node.Log().Info("Request cannot go on elsewhere", "request", req.id, "attempts", req.attempts, "taken", req.progress.Taken(), "error", logbook.Text(err))
-			return req.truth(err)
+		if versionRefused(err) || !req.prepareRetry(err) {
+			e.node.Log().Info("Request cannot be retried on another endpoint", "request", req.id, "attempts", req.attempts, "taken", req.progress.Taken(), "error", logbook.Text(err))
+			return req.overallRefusal(err)
 		}
 	}
-	return req.truth(err)
+	return req.overallRefusal(err)
 }
 
-// mayTryAgain asks the retry budget, but for an attempt that never reached its
-// endpoint or found it not started: that put no load on any, and a lost VM must not
-// use up the budget before the list drops it.
+// mayRetry takes one attempt from the retry budget. Attempts that did not reach their endpoint, or
+// found it not started, are free: they caused no load, and an unreachable VM must not use up the
+// budget before it is removed from the list.
 //
-// An endpoint that falls silent loses all that it holds at once, more than the
-// usual budget ever saves up: 18 requests of 36 callers got 502 where one of two
-// endpoints froze. That happens once an endpoint, which gets nothing new after
-// it, so that such attempts have a budget of their own.
-func (e *Entry) mayTryAgain(cause error) bool {
-	return unreached(cause) || unready(cause) || e.retries.Take() || endpointLost(cause) && e.losses.Take(e.node.Clock().Now())
+// An endpoint that falls silent loses all its requests at once, more than the regular budget ever
+// holds: when one of two endpoints froze, 18 requests of 36 callers got 502. This happens only once
+// per endpoint, as it gets no new requests afterwards, so these attempts have a separate budget.
+func (e *Entry) mayRetry(cause error) bool {
+	return notReached(cause) || notStarted(cause) || e.retries.Take() || endpointLost(cause) && e.lossRetries.Take(e.node.Clock().Now())
 }
 
-// endpointLost reports whether an attempt ended with its endpoint's connection or
-// silence.
+// endpointLost reports whether an attempt ended because its endpoint disconnected or fell silent.
 func endpointLost(err error) bool {
 	r, ok := refusal.As(err)
 	return ok && r.Code() == refusal.EndpointLost
 }
 
 const (
-	// lossSpan, lossRatio and lossSlack bound the attempts after lost endpoints:
-	// in each span half of its requests, as when one endpoint of two is
-	// lost, and a few more where there is little traffic.
-	lossSpan  = 10 * clock.Second
-	lossRatio = 0.5
-	lossSlack = 10.0
+	// lossRetryWindow, lossRetryRatio and lossRetrySlack bound the attempts after lost endpoints. In
+	// each window they may be half of its requests, as when one endpoint of two is lost, plus a few
+	// for times of little traffic.
+	lossRetryWindow = 10 * clock.Second
+	lossRetryRatio  = 0.5
+	lossRetrySlack  = 10.0
 )
 
-// query asks for an endpoint for the request.
-func (e *Entry) query(req *work, avoid map[string]bool) choice.Query {
+// endpointQuery returns the query that selects an endpoint for the request.
+func (e *Entry) endpointQuery(req *requestState, avoid map[string]bool) choice.Query {
 	return choice.Query{
 		Pools: req.pools(), Avoid: avoid, Seed: xxhash.Sum64String(req.id), Now: e.node.Clock().Now(),
 		Home: req.home(), Prefix: req.prefix,
 	}
 }
 
-// settleHome makes the endpoint that gets the request the session's home.
-func (e *Entry) settleHome(req *work, vm string) (err error) {
+// setHome makes the endpoint that gets the request the home of its session.
+func (e *Entry) setHome(req *requestState, vm string) (err error) {
 	if req.service != "" || req.session.Home == vm {
 		return nil
 	}
-	if req.cacheFrom == "" && req.pinned && req.moved == "" {
+	if req.cacheFrom == "" && req.pinned && req.sessionMoved == "" {
 		req.cacheFrom = req.session.Home
 	}
 	req.session.Home = vm
@@ -195,30 +192,30 @@
 	return err
 }
 
-// unready reports whether an endpoint refused an attempt because it has not started.
-// It refuses faster than the others answer, so that it looks the emptiest: one of four
-// got 15 attempts in 0.4 s, which used up the retry budget, and callers were refused
-// though three endpoints were idle. It is left alone like a lost one.
-func unready(err error) bool {
+// notStarted reports whether an endpoint refused an attempt because it has not started. Such an
+// endpoint is avoided like an unreachable one: it refuses faster than others answer and so looks the
+// least loaded. One of four got 15 attempts in 0.4 s, which used up the retry budget, and callers
+// were refused although three endpoints were idle.
+func notStarted(err error) bool {
 	r, ok := refusal.As(err)
 	return ok && r.Code() == refusal.Starting && r.Run() == refusal.NotRun
 }
 
-// unreached reports whether an attempt failed before it reached its endpoint.
-func unreached(err error) bool {
+// notReached reports whether an attempt failed before it reached its endpoint.
+func notReached(err error) bool {
 	r, ok := refusal.As(err)
 	return ok && r.Code() == refusal.EndpointLost && r.Run() == refusal.NotRun
 }
 
-// item describes the request to its queue.
-func (e *Entry) item(ctx context.Context, req *work) limit.Item {
+// queueItem describes the request to its queue.
+func (e *Entry) queueItem(ctx context.Context, req *requestState) limit.Item {
 	return limit.Item{
-		ID: req.ticket, Organisation: req.organisation, Weight: req.view.Tables().Organisations[req.organisation].Weight,
+		ID: req.queueID, Organisation: req.organisation, Weight: req.view.Tables().Organisations[req.organisation].Weight,
 		Priority: req.priority, Deadline: e.node.Clock().Now() + remaining(ctx),
 	}
 }
 
-// outcomeOf says what the end of a request tells of its pool's room.
+// outcomeOf returns what a request's result implies for the capacity of its pool.
 func outcomeOf(err error) limit.Outcome {
 	if err == nil {
 		return limit.Served
@@ -229,8 +226,8 @@
 	return limit.Neutral
 }
 
-// comeBack tells the caller of a request that did not run when to come again.
-func comeBack(err error) error {
+// withDefaultRetryAfter sets the default retry delay on the refusal of a request that did not run.
+func withDefaultRetryAfter(err error) error {
 	r, ok := refusal.As(err)
 	if !ok || r.Run() != refusal.NotRun || r.RetryAfter() > 0 {
 		return err
@@ -238,25 +235,23 @@
 	return r.WithRetryAfter(startingRetry)
 }
 
-// lostVersion reports whether a gate refused the request's version, knowing of
-// a hold or withdrawal that this entry had not heard of when it chose, and this
-// entry knows of it now.
-func (e *Entry) lostVersion(req *work, err error) bool {
+// needsOtherVersion reports whether a gate refused the request's version because of a hold or
+// withdrawal that this entry had not received when it chose the version and has received by now.
+func (e *Entry) needsOtherVersion(req *requestState, err error) bool {
 	if r, ok := refusal.As(err); !ok || r.Run() != refusal.NotRun || !versionRefused(err) {
 		return false
 	}
 	req.view = e.node.View()
-	return movedBecause(req, req.version) != ""
+	return moveReason(req, req.version) != ""
 }
 
-// versionRefused reports whether a gate refused the version itself; all others
-// would do the same.
+// versionRefused reports whether a gate refused the version itself, as every other gate would.
 func versionRefused(err error) bool {
 	r, ok := refusal.As(err)
 	return ok && (r.Code() == refusal.Held || r.Code() == refusal.Withdrawn)
 }
 
-// ratingsOf returns how many ratings the request's version has.
-func (r *work) ratingsOf() int64 {
+// ratingCount returns the number of ratings of the request's version.
+func (r *requestState) ratingCount() int64 {
 	return r.view.Quality().Sum(quality.Key{Route: r.routeName, Version: r.version}).Ratings
 }
--- a/entry/run_test.go
+++ b/entry/run_test.go
@@ -8,22 +8,21 @@
 	"github.com/parsleydeal/parsleydeal/refusal"
 )
 
-// A request that did not run is refused without a time to come back: clients
-// would ask again at once, all together. One that ran must not be told to come
-// again, or it would be paid for twice.
+// The refusal of a request that did not run must have a retry delay, or all clients would retry at
+// once. A request that ran must not get one, or a retry would be billed a second time.
 func TestRetryAfterOnlyIfNotRun(t *testing.T) {
 	is := is.New(t)
 	lost := refusal.New(refusal.EndpointLost, "gone")
-	r, _ := refusal.As(comeBack(lost))
+	r, _ := refusal.As(withDefaultRetryAfter(lost))
 	is.Equal(r.RetryAfter(), startingRetry)
-	r, _ = refusal.As(comeBack(lost.WithRun(refusal.Ran)))
+	r, _ = refusal.As(withDefaultRetryAfter(lost.WithRun(refusal.Ran)))
 	is.Equal(r.RetryAfter(), 0*startingRetry)
-	r, _ = refusal.As(comeBack(lost.WithRetryAfter(7)))
+	r, _ = refusal.As(withDefaultRetryAfter(lost.WithRetryAfter(7)))
 	is.Equal(int(r.RetryAfter()), 7)
 }
 
-// An engine fails an answer that had begun. That says nothing of the pool's
-// room, and must not narrow the window as a refusal for want of room does.
+// An engine fails after it has started an answer. This does not reflect on the pool's capacity and
+// must not narrow the window as a refusal for lack of capacity does.
 func TestOnlySaturationNarrowsWindow(t *testing.T) {
 	is := is.New(t)
 	is.Equal(outcomeOf(nil), limit.Served)
@@ -31,18 +30,18 @@
 	is.Equal(outcomeOf(refusal.New(refusal.EngineFailed, "broke").WithRun(refusal.Unknown)), limit.Neutral)
 }
 
-// One of four endpoints has not started yet and refuses at once, which makes it look
-// the emptiest. Each refusal was paid for from the retry budget: after ten of them
-// callers got 503 though three endpoints were idle.
+// One of four endpoints has not started and refuses at once, so that it looks the least loaded. If
+// each refusal took from the retry budget, callers would get 503 after ten of them although three
+// endpoints are idle.
 func TestNotStartedEndpointsUseNoRetryBudget(t *testing.T) {
 	is := is.New(t)
 	e := &Entry{retries: limit.NewRetries()}
 	starting := refusal.New(refusal.Starting, "endpoint has no tables yet")
 	for range 50 {
-		is.True(e.mayTryAgain(starting))
+		is.True(e.mayRetry(starting))
 	}
-	is.True(e.retries.Take()) // nothing of the budget was spent
-	is.True(unready(starting))
-	is.True(!unready(refusal.New(refusal.Saturated, "full")))
-	is.True(!unready(starting.WithRun(refusal.Unknown)))
+	is.True(e.retries.Take()) // the budget is unused
+	is.True(notStarted(starting))
+	is.True(!notStarted(refusal.New(refusal.Saturated, "full")))
+	is.True(!notStarted(starting.WithRun(refusal.Unknown)))
 }
--- a/entry/server.go
+++ b/entry/server.go
@@ -25,32 +25,32 @@
 	staleRetry    = 5 * clock.Second
 )
 
-// servicesPath is where plain services stand.
+// servicesPath is the path prefix of plain services.
 const servicesPath = "/v1/services/"
 
-// maxKey bounds an idempotency key, in bytes.
-const maxKey = 255
+// maxKeyBytes bounds the length of an idempotency key.
+const maxKeyBytes = 255
 
-// Handler returns the callers' interface.
+// Handler returns the HTTP handler for callers.
 func (e *Entry) Handler() http.Handler {
 	mux := goahttp.NewMuxer()
 	completionsserver.New(completions.NewEndpoints(e), mux, goahttp.RequestDecoder, jsonEncoder, nil, formatError).Mount(mux)
 	modelsserver.New(models.NewEndpoints(e), mux, goahttp.RequestDecoder, jsonEncoder, nil, formatError).Mount(mux)
-	known := map[string]string{"/v1/chat/completions": http.MethodPost, "/v1/models": http.MethodGet}
+	methods := map[string]string{"/v1/chat/completions": http.MethodPost, "/v1/models": http.MethodGet}
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if e.leaving.Load() {
 			w.Header().Set("Connection", "close")
 		}
-		if err := e.limits(r); err != nil {
+		if err := e.checkLimits(r); err != nil {
 			writeRefusal(w, uuid.NewString(), err)
 			return
 		}
 		if rest, ok := strings.CutPrefix(r.URL.EscapedPath(), servicesPath); ok {
 			name, path, _ := strings.Cut(rest, "/")
-			e.service(w, r, name, path)
+			e.serveService(w, r, name, path)
 			return
 		}
-		if known[r.URL.Path] != r.Method {
+		if methods[r.URL.Path] != r.Method {
 			writeRefusal(w, uuid.NewString(), refusal.New(refusal.NoInterface, "no "+r.Method+" at this path"))
 			return
 		}
@@ -59,8 +59,8 @@
 	})
 }
 
-// writerKey is the key of the response writer in a request's context. Goa's
-// seams for errors and streamed bodies do not hand it out.
+// writerKey is the context key of a request's response writer, which goa passes neither to error
+// formatters nor to handlers of streamed bodies.
 type writerKey struct{}
 
 func writerOf(ctx context.Context) http.ResponseWriter {
@@ -68,10 +68,9 @@
 	return w
 }
 
-// limits refuses what is too large or cannot be meant, before anything of the
-// request is used. The server itself ends connections with headers twice as
-// large, without a typed error.
-func (e *Entry) limits(r *http.Request) error {
+// checkLimits refuses oversized headers and keys before any of the request is used. The server ends
+// connections with headers twice as large by itself, without a typed error.
+func (e *Entry) checkLimits(r *http.Request) error {
 	size := len(r.RequestURI)
 	for name, values := range r.Header {
 		for _, v := range values {
@@ -81,15 +80,15 @@
 	if limit := e.node.Settings().Entry.MaxHeaders; size > limit {
 		return refusal.New(refusal.TooLarge, fmt.Sprintf("headers have %d bytes, %d are allowed", size, limit))
 	}
-	if len(r.Header.Get("Idempotency-Key")) > maxKey {
-		return refusal.New(refusal.Malformed, fmt.Sprintf("Idempotency-Key: at most %d bytes are allowed", maxKey))
+	if len(r.Header.Get("Idempotency-Key")) > maxKeyBytes {
+		return refusal.New(refusal.Malformed, fmt.Sprintf("Idempotency-Key: at most %d bytes are allowed", maxKeyBytes))
 	}
 	return nil
 }
 
-// dotted reports whether a path has a segment "." or "..", with which a caller
-// could leave the service's own paths.
-func dotted(path string) bool {
+// hasDotSegment reports whether a path has a segment "." or "..", with which a caller could leave
+// the service's own paths. A path that cannot be decoded counts as one.
+func hasDotSegment(path string) bool {
 	for segment := range strings.SplitSeq(path, "/") {
 		plain, err := url.PathUnescape(segment)
 		if err != nil || plain == "." || plain == ".." {
@@ -99,13 +98,13 @@
 	return false
 }
 
-// jsonEncoder answers in JSON whatever the caller accepts.
+// jsonEncoder encodes responses as JSON, whatever the caller accepts.
 func jsonEncoder(_ context.Context, w http.ResponseWriter) goahttp.Encoder {
 	w.Header().Set("Content-Type", "application/json")
 	return json.NewEncoder(w)
 }
 
-// typedError is a refusal as goa writes errors.
+// typedError adapts a refusal to goa's error interface.
 type typedError struct {
 	refusal *refusal.Refusal
 }
@@ -116,8 +115,8 @@
 // MarshalJSON writes the typed error body.
 func (t typedError) MarshalJSON() ([]byte, error) { return json.Marshal(errorBody(t.refusal)) }
 
-// formatError makes goa's errors typed refusals. All that reach it come before
-// anything was dispatched.
+// formatError converts goa's errors to typed refusals. All errors that reach it occur before
+// anything is dispatched.
 func formatError(ctx context.Context, err error) goahttp.Statuser {
 	r, ok := refusal.As(err)
 	if !ok {
@@ -129,19 +128,19 @@
 	return typedError{r}
 }
 
-// Create answers one chat completion. Goa hands the response writer to the
-// returned body, which chooses between JSON and server-sent events.
+// Create answers one chat completion. Goa passes the response writer to the returned body, which
+// chooses between JSON and server-sent events.
 func (e *Entry) Create(ctx context.Context, p *completions.CreatePayload, body io.ReadCloser) (out io.ReadCloser, err error) {
 	return &completion{entry: e, ctx: ctx, payload: p, body: body}, nil
 }
 
-// List shows the routes that the caller's organisation may name as models.
+// List returns the routes that the caller's organisation may use as models.
 func (e *Entry) List(_ context.Context, p *models.ListPayload) (out *models.ModelList, err error) {
-	v, err := e.current()
+	v, err := e.currentView()
 	if err != nil {
 		return nil, err
 	}
-	org, err := e.caller(v, value(p.Authorization))
+	org, err := e.authenticate(v, stringOrEmpty(p.Authorization))
 	if err != nil {
 		return nil, err
 	}
@@ -152,7 +151,7 @@
 	return out, nil
 }
 
-func value(s *string) string {
+func stringOrEmpty(s *string) string {
 	if s == nil {
 		return ""
 	}
--- a/entry/service.go
+++ b/entry/service.go
@@ -11,72 +11,72 @@
 	"github.com/parsleydeal/parsleydeal/refusal"
 )
 
-// servicePiece is how much of a caller's body one frame carries at most.
-const servicePiece = 32 << 10
+// maxFrameBody is the maximum number of body bytes in one frame.
+const maxFrameBody = 32 << 10
 
-// call is one call of a plain service and its response.
-type call struct {
-	work
+// serviceCall is one call of a plain service and its response.
+type serviceCall struct {
+	requestState
 	r *http.Request
 	w http.ResponseWriter
-	// paced is the caller's body under its limits.
-	paced *pacedBody
-	// started is true when the status has been sent and cannot change.
-	started bool
-	// printed is the call's fingerprint once it was made.
-	printed []byte
+	// callerBody is the caller's body with its read timeout.
+	callerBody *timeoutBody
+	// headSent is true once the status has been sent and can no longer change.
+	headSent bool
+	// savedFingerprint is the call's fingerprint, or nil before it is first computed.
+	savedFingerprint []byte
 }
 
-// service answers one call of a plain service. Bodies stream both ways.
-func (e *Entry) service(w http.ResponseWriter, r *http.Request, name, path string) {
+// serveService answers one call of a plain service. Bodies stream in both directions.
+func (e *Entry) serveService(w http.ResponseWriter, r *http.Request, name, path string) {
 	s := e.node.Settings().Entry
-	body := newPacedBody(w, r, s.BodyTimeout)
+	body := newTimeoutBody(w, r, s.BodyTimeout)
 	r.Body = body
-	w = newPatientWriter(w, s.WriteTimeout)
+	w = newTimeoutWriter(w, s.WriteTimeout)
 	id := uuid.NewString()
-	c := &call{work: work{id: id, ticket: id, service: name, path: path, method: r.Method}, r: r, w: w}
+	c := &serviceCall{requestState: requestState{id: id, queueID: id, service: name, path: path, method: r.Method}, r: r, w: w}
 	c.stopBody = body.stop
-	c.paced = body
+	c.callerBody = body
 	end := e.meter.Begin()
-	err := e.openCall(c)
+	err := e.prepareCall(c)
 	if err == nil {
-		err = e.billed(r.Context(), &c.work, c.take)
+		err = e.runBilled(r.Context(), &c.requestState, c.writePiece)
 	}
 	end(c.label(), c.attempts, err)
-	e.burnRequest(&c.work, c.label(), err)
+	e.countRequest(&c.requestState, c.label(), err)
 	if err == nil {
 		return
 	}
-	if !c.started {
+	if !c.headSent {
 		body.closeUnlessEnded(w.Header())
 		writeRefusal(w, c.id, err)
 		return
 	}
-	// The status is sent. Breaking the connection is the only way left to tell
-	// the caller that the answer is not whole.
+	// The status is already sent. Aborting the connection is the only way left to signal an
+	// incomplete answer.
 	panic(http.ErrAbortHandler)
 }
 
-// label names the service in metrics, once the call was admitted.
-func (c *call) label() string {
+// label returns the service's name in metrics, or "" if the call was not admitted.
+func (c *serviceCall) label() string {
 	if c.pool == "" {
 		return ""
 	}
 	return "services/" + c.service
 }
 
-func (e *Entry) openCall(c *call) (err error) {
-	if c.view, err = e.current(); err != nil {
+func (e *Entry) prepareCall(c *serviceCall) (err error) {
+	if c.view, err = e.currentView(); err != nil {
 		return err
 	}
-	if c.organisation, err = e.caller(c.view, c.r.Header.Get("Authorization")); err != nil {
+	if c.organisation, err = e.authenticate(c.view, c.r.Header.Get("Authorization")); err != nil {
 		return err
 	}
 	s, ok := c.view.Tables().Services[c.service]
 	if !ok || !slices.Contains(s.Organisations, c.organisation) {
 		return refusal.New(refusal.NoRoute, "no service "+c.service)
 	}
-	if dotted(c.path) {
+	if hasDotSegment(c.path) {
 		return refusal.New(refusal.Malformed, "path has a segment . or ..")
 	}
 	c.pool = s.Pool
@@ -91,15 +91,14 @@
 	}
 	c.headers = headersOf(c.r.Header)
 	c.send = c.sendBody
-	// Without full duplex net/http reads the whole body before it writes the
-	// first byte of the answer.
+	// Without full duplex net/http reads the whole body before it writes the first byte of the
+	// answer.
 	_ = http.NewResponseController(c.w).EnableFullDuplex()
-	c.fingerprint = c.print
-	return e.fresh(c.view, s.WhenStale, int64(s.StaleAfter))
+	c.fingerprint = c.computeFingerprint
+	return e.checkStaleness(c.view, s.WhenStale, int64(s.StaleAfter))
 }
 
-// hopHeaders are meant for one connection only and are not passed on, nor is
-// the caller's key.
+// hopHeaders apply to a single connection and are not forwarded, nor is the caller's bearer key.
 var hopHeaders = []string{"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Authorization"}
 
 func headersOf(h http.Header) (out []*wire.Header) {
@@ -113,18 +112,18 @@
 	return out
 }
 
-// sendBody sends the head with the first part of the body, then the rest. A
-// body that fits the first frame is kept and can be sent again.
-func (c *call) sendBody(stream wire.DRPCGate_RunClient, head *wire.RunHead) (err error) {
+// sendBody sends the head with the first part of the body, then the rest. A body that fits into the
+// first frame is retained and can be sent again.
+func (c *serviceCall) sendBody(stream wire.DRPCGate_RunClient, head *wire.RunHead) (err error) {
 	if c.body != nil {
 		return stream.Send(&wire.RunFrame{Head: head, Body: c.body, Last: true})
 	}
-	buf := make([]byte, servicePiece)
+	buf := make([]byte, maxFrameBody)
 	for {
 		n, readErr := io.ReadFull(c.r.Body, buf)
 		last := readErr == io.EOF || readErr == io.ErrUnexpectedEOF
 		if readErr != nil && !last {
-			return fmt.Errorf("%w: %w", errBody, readErr)
+			return fmt.Errorf("%w: %w", errBodyIncomplete, readErr)
 		}
 		if last && head != nil {
 			c.body = buf[:n]
@@ -138,10 +137,10 @@
 	}
 }
 
-// take handles the next piece in order.
-func (c *call) take(p *wire.Piece) (err error) {
+// writePiece handles the next piece in order.
+func (c *serviceCall) writePiece(p *wire.Piece) (err error) {
 	if p.GetStatus() != 0 {
-		c.start(p)
+		c.writeHead(p)
 	}
 	if len(p.GetData()) == 0 {
 		return nil
@@ -152,18 +151,18 @@
 	return http.NewResponseController(c.w).Flush()
 }
 
-func (c *call) start(p *wire.Piece) {
+func (c *serviceCall) writeHead(p *wire.Piece) {
 	h := c.w.Header()
 	for _, x := range p.GetHeaders() {
 		if !slices.Contains(hopHeaders, x.GetName()) {
 			h.Add(x.GetName(), x.GetValue())
 		}
 	}
-	// A kept answer is billed under the request that ran, which is what a caller
-	// compares its bill with.
+	// A replayed answer is billed under the request that ran, so callers need that ID to match their
+	// bills.
 	h.Set(requestHeader, p.GetRequest())
 	h.Set(runHeader, string(refusal.Ran))
-	c.paced.closeUnlessEnded(h)
+	c.callerBody.closeUnlessEnded(h)
 	c.w.WriteHeader(int(p.GetStatus()))
-	c.started = true
+	c.headSent = true
 }
--- a/entry/silence.go
+++ b/entry/silence.go
@@ -9,32 +9,32 @@
 	"github.com/parsleydeal/parsleydeal/peer/wire"
 )
 
-// maxSilence is how long an endpoint may send nothing. It sends a heartbeat each
-// second while it lives, so one that is silent for four is frozen or cut off. Its
-// connection stays open and would hold the request until the deadline.
+// maxSilence is how long an endpoint may send nothing. A live endpoint sends a heartbeat every second,
+// so one that is silent for four is frozen or cut off. Its connection stays open and would hold the
+// request until the deadline.
 const maxSilence = 4 * clock.Second
 
-// errSilent marks a stream that was given up for its silence.
+// errSilent marks a stream that was cancelled because its endpoint sent nothing.
 var errSilent = errors.New("entry: endpoint fell silent")
 
-// silence ends the context of a call when its endpoint falls silent. It does not
-// count while the caller takes the pieces that came.
-type silence struct {
+// silenceWatchdog cancels the context of a call when its endpoint falls silent. It is paused while the
+// caller processes a piece.
+type silenceWatchdog struct {
 	timer *time.Timer
 }
 
-// listen returns the context of one call to an endpoint.
-func listen(ctx context.Context) (inner context.Context, s *silence, cancel func()) {
-	inner, give := context.WithCancelCause(ctx)
-	s = &silence{timer: time.AfterFunc(maxSilence.Duration(), func() { give(errSilent) })}
+// withSilenceWatchdog returns the context of one call to an endpoint.
+func withSilenceWatchdog(ctx context.Context) (inner context.Context, s *silenceWatchdog, cancel func()) {
+	inner, cancelCause := context.WithCancelCause(ctx)
+	s = &silenceWatchdog{timer: time.AfterFunc(maxSilence.Duration(), func() { cancelCause(errSilent) })}
 	return inner, s, func() {
 		s.timer.Stop()
-		give(nil)
+		cancelCause(nil)
 	}
 }
 
-// next wraps a stream's receiver: it waits for the next piece that is no heartbeat.
-func (s *silence) next(recv func() (*wire.Piece, error)) func() (*wire.Piece, error) {
+// skipHeartbeats wraps a stream's receive function and returns only pieces that are not heartbeats.
+func (s *silenceWatchdog) skipHeartbeats(recv func() (*wire.Piece, error)) func() (*wire.Piece, error) {
 	return func() (p *wire.Piece, err error) {
 		defer s.timer.Stop()
 		for {
@@ -47,5 +47,5 @@
 	}
 }
 
-// silent reports whether a call's context ended for the endpoint's silence.
-func silent(ctx context.Context) bool { return errors.Is(context.Cause(ctx), errSilent) }
+// endedBySilence reports whether a call's context was cancelled because its endpoint fell silent.
+func endedBySilence(ctx context.Context) bool { return errors.Is(context.Cause(ctx), errSilent) }
--- a/entry/work.go
+++ b/entry/work.go
@@ -13,85 +13,85 @@
 	"github.com/parsleydeal/parsleydeal/view"
 )
 
-// work is one request on its way through the entry: a chat completion or a call
-// of a plain service. One goroutine owns it.
-type work struct {
-	// id names the request everywhere. It is new for each request, but for a
-	// keyed chat completion, whose retries have the same.
+// requestState is the state of one request in the entry: a chat completion or a call of a plain
+// service. It is owned by one goroutine.
+type requestState struct {
+	// id identifies the request in all processes. It is unique per request, except that retries of a
+	// keyed chat completion share it.
 	id string
-	// ticket names this call in the entry's own queues; no other call has it.
-	ticket       string
+	// queueID identifies this call in the entry's own queues and is never shared.
+	queueID      string
 	view         *view.View
 	organisation string
 	deadline     clock.Millis
 	priority     int32
 	// key is the caller's idempotency key, or empty.
 	key string
-	// repeatable requests may run again elsewhere after a failure.
+	// repeatable requests may run again on another endpoint after a failure.
 	repeatable bool
-	// attempts counts the attempts so far; attempt numbers begin at 1.
+	// attempts counts the attempts so far; attempt numbers start at 1.
 	attempts uint32
-	// steps holds what the bill shall list, one a finished attempt.
+	// steps are the bill's steps, one per finished attempt.
 	steps []*wire.Step
-	// placed is true once the ledger has the bill and the place taken for it.
-	placed bool
-	// round and claim are the round and log offset of the claim that this
-	// request last held; round is 0 while it held none.
-	round uint32
-	claim int64
-	// gateEpoch is the start of the gate process that the attempt is meant for; 0
-	// when this entry has not heard it.
+	// billSubmitted is true once the bill was passed to the ledger, which uses up its reservation.
+	billSubmitted bool
+	// claimRound and claimOffset are the round and log offset of the claim that this request last
+	// held; claimRound is 0 if it held none.
+	claimRound  uint32
+	claimOffset int64
+	// gateEpoch is the epoch of the gate process that the attempt is meant for, a number that is
+	// new at each start of the process, or 0 if this entry has not received it.
 	gateEpoch uint64
-	// fingerprint digests the call for its claim; only plain services set it.
+	// fingerprint hashes the call for its claim; only plain services set it.
 	fingerprint func() (sum []byte, err error)
 	// send sends the head and the body to a gate.
 	send func(stream wire.DRPCGate_RunClient, head *wire.RunHead) error
-	// progress is what was taken of the answer over all attempts, and way how the
-	// next attempt goes on from it.
-	progress answers.Progress
-	way      answers.Way
-	// drop forgets the parts of an answer that starts again.
-	drop func()
+	// progress is what has been received of the answer in all attempts, and retryMode how the next
+	// attempt continues from it.
+	progress  answers.Progress
+	retryMode answers.Way
+	// discardAnswer discards the pieces received of an answer that restarts.
+	discardAnswer func()
 	// bodySpent is true once a body that cannot be read again has been read.
 	bodySpent bool
 
-	// routeName and the fields to prefix belong to chat completions.
+	// The fields from routeName to prefix are only used for chat completions.
 	routeName string
 	route     table.Route
 	chat      *chat.Request
 	body      []byte
 	session   session.Token
-	// token is the signed session handed back to the caller.
+	// token is the signed session returned to the caller.
 	token   string
 	version string
-	// plans are the ways to answer that meet the target, the best first.
+	// plans are the quality plans that meet the target, best first.
 	plans []quality.Plan
-	// trial says that the plan under way was chosen to learn of it.
+	// trial is true if the current plan was chosen to gather ratings for it.
 	trial bool
-	// judging is true while the answer under way is held back for the rater; its
-	// step is billed with the steps that follow.
+	// judging is true while the current answer is buffered until the rater has scored it; its step
+	// is billed together with the steps that follow.
 	judging bool
-	// cacheFrom is the VM that ran the session before, when another one does now.
+	// cacheFrom is the VM that ran the session before, if another one runs it now.
 	cacheFrom string
-	// pinned is true when the caller brought a session.
+	// pinned is true if the caller sent a session.
 	pinned bool
-	// moved says why the session lost its version; empty when it kept it.
-	moved  string
-	stream bool
-	prefix uint64
+	// sessionMoved is why the session lost its version, or empty if it kept it.
+	sessionMoved string
+	stream       bool
+	prefix       uint64
 
-	// service and the fields below it belong to calls of plain services.
+	// The fields from service on are only used for calls of plain services.
 	service string
 	pool    string
 	method  string
 	path    string
 	headers []*wire.Header
-	// stopBody makes a waiting read of the caller's body fail.
+	// stopBody makes a pending read of the caller's body fail.
 	stopBody func()
 }
 
-// target names what the request asks for, a version or a plain service.
-func (r *work) target() string {
+// target returns what the request is for: a version or a plain service.
+func (r *requestState) target() string {
 	if r.service != "" {
 		return servicePrefix + r.service
 	}
@@ -99,13 +99,13 @@
 }
 
 // pools returns the names of the pools that may serve the request.
-func (r *work) pools() []string {
+func (r *requestState) pools() []string {
 	if r.service != "" {
 		return []string{r.pool}
 	}
 	t := r.view.Tables()
 	names := t.PoolsOf(r.version)
-	if r.way == answers.Resume {
+	if r.retryMode == answers.Resume {
 		names = slices.DeleteFunc(names, func(name string) bool { return !t.Pools[name].Resumes })
 	}
 	return names
