--- a/relay/admit_test.go
+++ b/relay/admit_test.go
@@ -51,10 +51,10 @@
 				}
 			}
 			server.cfg.Dialect.Read = func(r *http.Request) (*Request, error) {
-				return &Request{ID: "r-1", Method: r.Method, Path: "/x", Host: "h", Patience: x.patience}, nil
+				return &Request{ID: "r-1", Method: r.Method, Path: "/x", Host: "h", CallerTimeout: x.patience}, nil
 			}
-			server.cfg.Dialect.Refuse = func(http.Header, string) {}
-			server.cfg.Ways, err = decision.Choose(map[string]string{"early-requests": x.way})
+			server.cfg.Dialect.SetRefusalHeaders = func(http.Header, string) {}
+			server.cfg.Strategies, err = decision.Choose(map[string]string{"early-requests": x.way})
 			is.NoErr(err)
 			go func() {
 				clock.Pause(t.Context(), x.knownIn)
--- a/relay/plan_test.go
+++ b/relay/plan_test.go
@@ -48,10 +48,10 @@
 	route := &catalog.Route{Name: "r", Kind: catalog.Idempotent, Timeout: 8000, Aim: 1500, MaxAttempts: 3, Models: []string{"small", "large"}, Targets: []catalog.Target{{Service: "app", Weight: 1}}}
 	endpoint := &fleet.Endpoint{ID: "i-1", Service: "app", Address: "10.0.0.1:1", Version: "v1", Slots: 24}
 	view := viewOf(route, []fleet.Change{{ID: "i-1", Endpoint: endpoint}})
-	server := New(Config{Clock: c, Log: log.New(io.Discard), View: func() *site.View { return view }, Pool: upstream.NewPool(c), RetryRatio: 1, RetrySlack: 100, RetrySpan: 1000})
+	server := New(Config{Clock: c, Log: log.New(io.Discard), View: func() *site.View { return view }, Pool: upstream.NewPool(c), RetryRatio: 1, RetrySlack: 100, RetryWindow: 1000})
 	return &attempt{plan: plan{models: []string{"small", "large"}}, exchange: &exchange{
 		server: server, view: view, startedAt: 900, deadline: 8900, route: route, service: "app",
-		req: &Request{ID: "r-1", AnyModel: true, Parts: []placement.Part{{ID: "own", Tokens: tokens}}},
+		req: &Request{ID: "r-1", AnyModel: true, Blocks: []placement.Part{{ID: "own", Tokens: tokens}}},
 	}}
 }
 
--- a/relay/run_test.go
+++ b/relay/run_test.go
@@ -37,9 +37,9 @@
 // serverOn makes a server that speaks plain HTTP to the endpoints of a view.
 func serverOn(c clock.Clock, view *site.View) *Server {
 	return New(Config{
-		Clock: c, Log: log.New(io.Discard), View: func() *site.View { return view }, Pool: upstream.NewPool(c), RetryRatio: 1, RetrySlack: 100, RetrySpan: 1000,
+		Clock: c, Log: log.New(io.Discard), View: func() *site.View { return view }, Pool: upstream.NewPool(c), RetryRatio: 1, RetrySlack: 100, RetryWindow: 1000,
 		Dialect: Dialect{
-			Call: func(req *Request, o Order, _ []byte) upstream.Call {
+			Call: func(req *Request, o AttemptParams, _ []byte) upstream.Call {
 				return upstream.Call{Address: o.Address, Method: "GET", Target: "/x", Host: "h", Header: http.Header{"Request-Id": {req.ID}}}
 			},
 			Head: func(status int, h http.Header) Head {
@@ -93,7 +93,7 @@
 	r, ok := refusal.As(err)
 	is.True(ok)
 	is.Equal(r.Code(), refusal.DeadlinePassed)
-	is.Equal(r.HonestStatus(), http.StatusGatewayTimeout)
+	is.Equal(r.RetrySafeStatus(), http.StatusGatewayTimeout)
 	is.Equal(x.sends, 1)
 }
 
@@ -173,7 +173,7 @@
 	server.board.Waiting("i-busy", 20, c.Now()+1000) // its word stays fresh for a while
 	x := &exchange{
 		server: server, view: view, w: httptest.NewRecorder(), r: httptest.NewRequest(http.MethodGet, "/x", nil), startedAt: c.Now(), deadline: c.Now() + 5000,
-		req: &Request{ID: "r-1", Method: http.MethodGet, Model: "m", Parts: []placement.Part{{ID: "own", Tokens: 900}}}, route: route, service: "app",
+		req: &Request{ID: "r-1", Method: http.MethodGet, Model: "m", Blocks: []placement.Part{{ID: "own", Tokens: 900}}}, route: route, service: "app",
 	}
 	is.NoErr(x.run(context.Background()))
 	is.Equal(x.endpoint, "i-busy")
--- a/relay/share_test.go
+++ b/relay/share_test.go
@@ -58,16 +58,16 @@
 	old.board.Begin(at, q).Read(c.Now() + 20)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go old.AnswerSnapshots(ctx, "old", func(r *wire.EntryReport, to []string) error {
+	go old.ServeSnapshots(ctx, "old", func(r *wire.EntryReport, to []string) error {
 		is.Equal(to, []string{"e:1"})
-		started.HearWork(r)
+		started.ReceiveReport(r)
 		return nil
 	})
-	old.HearWork(&wire.EntryReport{Process: "x", Address: "stranger:1", AskParts: true})
-	started.HearWork(&wire.EntryReport{Process: "x", Partial: true, Speeds: []*wire.ModelSpeed{{Model: "m", TokenMillis: 9, Measured: 9}}})
-	started.AskSnapshot(ctx, "e", "e:1", func(r *wire.EntryReport, to []string) error {
+	old.ReceiveReport(&wire.EntryReport{Process: "x", Address: "stranger:1", AskParts: true})
+	started.ReceiveReport(&wire.EntryReport{Process: "x", Partial: true, Speeds: []*wire.ModelSpeed{{Model: "m", TokenMillis: 9, Measured: 9}}})
+	started.RequestSnapshot(ctx, "e", "e:1", func(r *wire.EntryReport, to []string) error {
 		is.Equal(to, []string{"old:1"})
-		old.HearWork(r)
+		old.ReceiveReport(r)
 		return nil
 	})
 	_, speeds := started.board.Snapshot(c.Now())
