--- a/relay/admit.go
+++ b/relay/admit.go
@@ -14,25 +14,26 @@
 )
 
 const (
-	// startRetry is when a caller may come back to a process that does not know
-	// its site yet: about how long the first reads of the store take.
-	startRetry = 500 * clock.Millis(1)
-	// staleRetry is when a caller whose key cannot be confirmed may come back. It
-	// reaches another entry then, or this one after the store has answered.
-	staleRetry = clock.Second
-	// defaultTimeout bounds requests of routes that set no bound.
+	// startRetryAfter is the retry delay for callers that arrive before the site is known: about
+	// the time that the first reads of the store take.
+	startRetryAfter = 500 * clock.Millis(1)
+	// staleRetryAfter is the retry delay for a caller whose key cannot be confirmed. By then
+	// another entry gets the request, or the store has answered this one.
+	staleRetryAfter = clock.Second
+	// defaultTimeout applies to routes without a timeout.
 	defaultTimeout = 30 * clock.Second
-	// defaultBody bounds a body where the configuration does not.
-	defaultBody = 8 << 20
+	// defaultMaxBodyBytes applies where the configuration sets no limit.
+	defaultMaxBodyBytes = 8 << 20
 )
 
-// admit finds the route and the organisation, and refuses what cannot be served.
+// admit sets the route, organisation, service and deadline of the request, and refuses a request
+// that cannot be served.
 func (x *exchange) admit() (err error) {
 	s, c := x.server, x.view.Config()
 	if !x.view.Started() {
-		return refusal.New(refusal.Starting, "entry does not know its site yet").WithRetryAfter(startRetry)
+		return refusal.New(refusal.Starting, "entry does not know its site yet").WithRetryAfter(startRetryAfter)
 	}
-	if err = x.limits(c.Limits); err != nil {
+	if err = x.checkSizes(c.Limits); err != nil {
 		return err
 	}
 	x.route = c.Route(x.req.Host, x.req.Path)
@@ -50,41 +51,41 @@
 }
 
 const (
-	// startPart is the part of a caller's time for which its request is held until the entry
-	// knows its site. The rest is for the answer, here or elsewhere.
-	startPart = 0.5
-	// startFor is how long after an entry's start requests are held. A start takes less
-	// unless the store is away, and nobody knows for how long that will be.
-	startFor = 1500 * clock.Millis(1)
+	// startWaitRatio is the fraction of the caller timeout for which a request waits until the
+	// entry knows its site. The rest is left for the answer, from this entry or another one.
+	startWaitRatio = 0.5
+	// maxStartWait is how long after an entry's start requests are held. A start takes less time
+	// unless the store is unavailable, and how long that lasts is unknown.
+	maxStartWait = 1500 * clock.Millis(1)
 )
 
-// awaitStart holds a request that comes before the entry knows its site. After all entries
-// were stopped there is no other to go to.
+// awaitStart holds a request that arrives before the entry knows its site. After a stop of all
+// entries no other entry could serve it.
 func (x *exchange) awaitStart() {
 	s := x.server
 	if x.view.Started() || s.cfg.Strategies.Of(decision.Early) != decision.Hold {
 		return
 	}
-	hold := s.startedAt + startFor - x.startedAt
+	hold := s.startedAt + maxStartWait - x.startedAt
 	if x.req.CallerTimeout > 0 {
-		hold = min(hold, clock.Millis(startPart*float64(x.req.CallerTimeout)))
+		hold = min(hold, clock.Millis(startWaitRatio*float64(x.req.CallerTimeout)))
 	}
 	if hold <= 0 {
 		return
 	}
-	rest := time.NewTimer(hold.Duration())
-	defer rest.Stop()
+	timer := time.NewTimer(hold.Duration())
+	defer timer.Stop()
 	select {
 	case <-s.cfg.Started:
-	case <-rest.C:
+	case <-timer.C:
 	case <-x.r.Context().Done():
 	}
-	x.waited = s.cfg.Clock.Since(x.startedAt)
+	x.startWait = s.cfg.Clock.Since(x.startedAt)
 	x.view = s.cfg.View()
 }
 
-// limits refuses headers that are too large.
-func (x *exchange) limits(l catalog.Limits) error {
+// checkSizes refuses a request whose headers or announced body are too large.
+func (x *exchange) checkSizes(l catalog.Limits) error {
 	size := len(x.r.RequestURI) + len(x.r.Method)
 	for name, values := range x.r.Header {
 		for _, v := range values {
@@ -100,15 +101,15 @@
 	return nil
 }
 
-// authorise finds the organisation of the caller's key. Public routes need none.
+// authorise sets the organisation of the caller's key. Public routes need no key.
 func (x *exchange) authorise(c *catalog.Config) (err error) {
 	x.priority = x.route.Priority
 	if x.route.Public || !c.NeedsKeys() {
 		return nil
 	}
-	// A key that is unknown here may be new. Without a confirmed configuration
-	// neither yes nor no is known to be true.
-	if err = x.fresh(); err != nil {
+	// A key that is not in the configuration may be new. Without a confirmed configuration the key
+	// can be neither accepted nor rejected.
+	if err = x.checkConfigAge(); err != nil {
 		return err
 	}
 	o, ok := c.OrganisationOf(x.req.Key)
@@ -122,17 +123,16 @@
 	return nil
 }
 
-// fresh refuses keyed work on a configuration that was not confirmed for too
-// long: a key in it may have been taken away since. It is asked again right
-// before each attempt, since a request may wait and a VM may be suspended in
-// between.
-func (x *exchange) fresh() error {
+// checkConfigAge refuses a request with a key if the configuration has not been confirmed for
+// longer than the key lease: the key may have been revoked since. It is called again right before
+// each attempt, because the request may have waited or the VM may have been suspended in between.
+func (x *exchange) checkConfigAge() error {
 	s := x.server
 	if !s.cfg.Strict || x.route.Public {
 		return nil
 	}
 	if age := s.cfg.Clock.Since(s.cfg.View().ConfirmedAt()); age > s.cfg.KeyLease {
-		return refusal.New(refusal.Stale, fmt.Sprintf("configuration was last confirmed %s ago", age)).WithRetryAfter(staleRetry)
+		return refusal.New(refusal.Stale, fmt.Sprintf("configuration was last confirmed %s ago", age)).WithRetryAfter(staleRetryAfter)
 	}
 	return nil
 }
@@ -159,7 +159,7 @@
 	if x.organisation == "" {
 		return nil
 	}
-	return x.fresh()
+	return x.checkConfigAge()
 }
 
 func (x *exchange) setDeadline() {
@@ -173,7 +173,7 @@
 	x.deadline = x.startedAt + limit
 }
 
-// sessionOf hashes the session, or the request itself when it belongs to none.
+// sessionOf returns the hash of the session, or of the request ID for a request without a session.
 func sessionOf(req *Request) uint64 {
 	name := req.Session
 	if name == "" {
@@ -182,33 +182,33 @@
 	return catalog.HashOf(name)
 }
 
-// readBody reads the whole body, so that an attempt can be repeated and a caller
-// that closes its connection is noticed.
+// readBody reads the whole body, so that an attempt can be repeated and a caller that closes its
+// connection is detected.
 func (x *exchange) readBody() (err error) {
-	most := x.view.Config().Limits.MaxBodyBytes
-	if most <= 0 {
-		most = defaultBody
+	maxBytes := x.view.Config().Limits.MaxBodyBytes
+	if maxBytes <= 0 {
+		maxBytes = defaultMaxBodyBytes
 	}
 	x.req.hasBody = x.r.ContentLength != 0
 	if !x.req.hasBody {
 		return nil
 	}
 	control := http.NewResponseController(x.w)
-	if err = control.SetReadDeadline(time.Now().Add(x.left().Duration())); err != nil {
+	if err = control.SetReadDeadline(time.Now().Add(x.remaining().Duration())); err != nil {
 		return err
 	}
-	x.req.body, err = io.ReadAll(http.MaxBytesReader(x.w, x.r.Body, most))
-	var large *http.MaxBytesError
+	x.req.body, err = io.ReadAll(http.MaxBytesReader(x.w, x.r.Body, maxBytes))
+	var tooLarge *http.MaxBytesError
 	switch {
-	case errors.As(err, &large):
-		return refusal.New(refusal.TooLarge, fmt.Sprintf("body has more than %d bytes", most))
-	case err != nil && x.left() <= 0:
+	case errors.As(err, &tooLarge):
+		return refusal.New(refusal.TooLarge, fmt.Sprintf("body has more than %d bytes", maxBytes))
+	case err != nil && x.remaining() <= 0:
 		x.w.Header().Set("Connection", "close")
 		return refusal.New(refusal.SlowBody, "body did not come in time")
 	case err != nil:
 		x.w.Header().Set("Connection", "close")
 		return refusal.New(refusal.Malformed, "body cannot be read: "+err.Error())
 	}
-	// With a deadline left on the connection its next idle spell would end it.
+	// A remaining deadline would end the connection the next time it is idle.
 	return control.SetReadDeadline(time.Time{})
 }
--- a/relay/attempt.go
+++ b/relay/attempt.go
@@ -23,25 +23,25 @@
 	plan      plan
 	endpoint  *fleet.Endpoint
 	startedAt clock.Millis
-	// firstAfter is how long the head of the answer took; 0 before it came.
-	firstAfter clock.Millis
-	status     int
-	confidence int
-	// held is how many requests the endpoint held by its own word when it answered.
-	held int
-	// expected is how long the head was expected to take.
-	expected clock.Millis
-	// events counts those of a stream, openedAt and lastAt are when the first and
-	// the last one came.
-	events   int
-	openedAt clock.Millis
-	lastAt   clock.Millis
-	// silent is true when the endpoint said nothing for too long.
+	// timeToFirstByte is the time until the head of the answer arrived; 0 before that.
+	timeToFirstByte clock.Millis
+	status          int
+	confidence      int
+	// outstanding is the number of requests at the endpoint, as it reported with the answer.
+	outstanding int
+	// expectedFirstByte is the predicted time until the head arrives.
+	expectedFirstByte clock.Millis
+	// events counts the events of a stream; firstEventAt and lastEventAt are the arrival times of
+	// the first and the last one.
+	events       int
+	firstEventAt clock.Millis
+	lastEventAt  clock.Millis
+	// silent is true when the endpoint sent nothing for longer than the timeout.
 	silent bool
-	// elsewhere is true when another endpoint has the address by now.
-	elsewhere bool
-	kept      *held
-	cause     error
+	// wrongEndpoint is true when the address now belongs to another endpoint.
+	wrongEndpoint bool
+	failureAnswer *bufferedAnswer
+	cause         error
 }
 
 // run sends the request and handles the answer.
@@ -50,14 +50,14 @@
 	s := x.server
 	now := s.cfg.Clock.Now()
 	a.startedAt, a.confidence = now, -1
-	if x.placedAt == 0 {
-		x.placedAt = now
+	if x.firstAttemptAt == 0 {
+		x.firstAttemptAt = now
 	}
 	work := s.board.Begin(a.endpoint, x.query(a.plan))
-	a.expected = work.Expected()
+	a.expectedFirstByte = work.Expected()
 	defer work.End()
-	defer s.tally.begin(x.service, a.endpoint.Version)()
-	defer s.sessions.use(x.session, x.service, a.endpoint.Version, s.cfg.Clock.Now)()
+	defer s.counts.beginRequest(x.service, a.endpoint.Version)()
+	defer s.sessions.begin(x.session, x.service, a.endpoint.Version, s.cfg.Clock.Now)()
 	a.countLimited()
 	x.sends++
 	answer, err := s.cfg.Pool.Do(ctx, a.call())
@@ -70,18 +70,18 @@
 		return failed, refusal.New(refusal.EndpointLost, err.Error()).WithRun(refusal.Unknown)
 	}
 	defer answer.Close()
-	a.firstAfter = max(s.cfg.Clock.Now()-a.startedAt, 1)
-	x.connected += answer.Connected()
+	a.timeToFirstByte = max(s.cfg.Clock.Now()-a.startedAt, 1)
+	x.connectTook += answer.Connected()
 	work.Read(s.cfg.Clock.Now())
-	s.pace.miss(x.route, a.plan.model(), a.firstAfter-a.expected)
+	s.latency.addError(x.route, a.plan.model(), a.timeToFirstByte-a.expectedFirstByte)
 	s.board.Heard(a.endpoint.ID, s.cfg.Clock.Now())
 	h := s.cfg.Dialect.Head(answer.Status, answer.Header)
 	a.status, a.confidence = h.Status, h.Confidence
-	a.learn(h)
-	return a.judge(h, answer)
+	a.recordHead(h)
+	return a.classify(h, answer)
 }
 
-// countLimited counts an attempt at an endpoint that names a rate.
+// countLimited counts an attempt at an endpoint that advertises a rate limit.
 func (a *attempt) countLimited() {
 	s := a.exchange.server
 	switch {
@@ -93,189 +93,188 @@
 	}
 }
 
-// call makes the request for the endpoint.
+// call builds the request for the endpoint.
 func (a *attempt) call() upstream.Call {
 	x := a.exchange
 	o := AttemptParams{
 		Endpoint: a.endpoint.ID, Address: a.endpoint.Address, Organisation: x.organisation, Model: a.plan.model(),
-		Remaining: max(x.left(), 1), Priority: x.priority, LastEventID: x.req.LastEventID, Resumes: x.req.Resumes,
-		// A kept connection may be dead, which shows only after the request was sent
-		// on it; a request that may not be repeated would be lost.
+		Remaining: max(x.remaining(), 1), Priority: x.priority, LastEventID: x.req.LastEventID, Resumes: x.req.Resumes,
+		// A reused connection may be dead, which shows only after the request was sent on it. A
+		// request that must not be repeated would be lost.
 		NewConnection: !x.route.Repeatable(),
 	}
 	c := x.server.cfg.Dialect.Call(x.req, o, x.req.body)
 	c.HasBody = x.req.hasBody
-	c.Wait = a.wait
+	c.Wait = a.firstByteWait
 	if c.Fresh && x.server.cfg.Strategies.Of(decision.Connection) == decision.Watched {
-		c.Settle = settleFor
+		c.Settle = settleDuration
 	}
-	c.MostIdle = x.server.mostIdle(x.view, x.service)
+	c.MostIdle = x.server.maxIdle(x.view, x.service)
 	return c
 }
 
 const (
-	// settleFor is how long a new connection is watched for a request that may run only
-	// once: the way to an endpoint and back, and its handshake.
-	settleFor = 3 * clock.Millis(1)
-	// idlePart is the part of the connections that an endpoint takes which all entries
-	// together may keep idle. The rest is for requests under way.
-	idlePart = 0.5
-	// defaultIdle is how many idle connections to an endpoint are kept where operators
-	// set no bound.
-	defaultIdle = 32
+	// settleDuration is how long a new connection is watched before a request that may run only
+	// once is sent on it: a round trip to the endpoint and its handshake.
+	settleDuration = 3 * clock.Millis(1)
+	// idleConnectionRatio is the fraction of an endpoint's connection limit that all entries
+	// together may keep idle. The rest is for requests in flight.
+	idleConnectionRatio = 0.5
+	// defaultMaxIdle is the number of idle connections kept to an endpoint whose service sets no
+	// connection limit.
+	defaultMaxIdle = 32
 )
 
-// mostIdle is how many idle connections this entry may keep to an endpoint.
-func (s *Server) mostIdle(v *site.View, service string) int {
+// maxIdle returns how many idle connections this entry may keep to an endpoint.
+func (s *Server) maxIdle(v *site.View, service string) int {
 	c, ok := v.Config().Services[service]
 	if !ok || c.MaxConnections <= 0 {
-		return defaultIdle
+		return defaultMaxIdle
 	}
-	return int(math.Round(idlePart * float64(c.MaxConnections) / float64(v.Entries())))
+	return int(math.Round(idleConnectionRatio * float64(c.MaxConnections) / float64(v.Entries())))
 }
 
-// aliveFactor is how much longer than usual a request waits at an endpoint that
-// answers others meanwhile. It stands in a queue there, and would stand at the
-// end of one elsewhere.
-const aliveFactor = 2.5
+// busyTimeoutFactor extends the first-byte timeout at an endpoint that meanwhile answers other
+// requests. The request is queued there, and would be at the end of a queue elsewhere.
+const busyTimeoutFactor = 2.5
 
-// wait says how much longer the answer's first byte is waited for. A request that
-// may go elsewhere leaves an endpoint that sends nothing to anybody.
-func (a *attempt) wait(waited clock.Millis) clock.Millis {
+// firstByteWait returns how much longer to wait for the first byte. A request that may be repeated
+// leaves an endpoint that sends nothing on any connection.
+func (a *attempt) firstByteWait(waited clock.Millis) clock.Millis {
 	x := a.exchange
-	left := x.left()
-	way := x.server.cfg.Strategies.Of(decision.Patience)
-	if !x.mayRepeatAfter(1) || way == decision.Endless {
-		return left
+	remaining := x.remaining()
+	strategy := x.server.cfg.Strategies.Of(decision.Patience)
+	if !x.mayRepeatAfter(1) || strategy == decision.Endless {
+		return remaining
 	}
-	patience := x.server.pace.patience(x.route, a.plan.model())
-	if way == decision.ByError {
-		patience = x.server.pace.patienceFor(x.route, a.plan.model(), a.expected)
+	timeout := x.server.latency.typicalTimeout(x.route, a.plan.model())
+	if strategy == decision.ByError {
+		timeout = x.server.latency.timeoutFor(x.route, a.plan.model(), a.expectedFirstByte)
 	}
 	if x.server.board.HeardSince(a.endpoint.ID, a.startedAt) {
-		patience = clock.Millis(aliveFactor * float64(patience))
+		timeout = clock.Millis(busyTimeoutFactor * float64(timeout))
 	}
-	if waited >= patience && !x.server.cfg.Strategies.Off(decision.StayIfBusy) && !a.roomElsewhere() {
-		return min(recheckAfter, left)
+	if waited >= timeout && !x.server.cfg.Strategies.Off(decision.StayIfBusy) && !a.otherEndpointHasRoom() {
+		return min(recheckInterval, remaining)
 	}
-	return min(patience-waited, left)
+	return min(timeout-waited, remaining)
 }
 
-// recheckAfter is how long a request that has nowhere else to go waits on before it looks
+// recheckInterval is how long a request that no other endpoint has room for waits before it checks
 // again.
-const recheckAfter = 100 * clock.Millis(1)
+const recheckInterval = 100 * clock.Millis(1)
 
-// roomElsewhere reports whether another endpoint would answer in time. A request that
-// leaves a slow endpoint while all others are full is failed at once, though it might
-// have had its answer a moment later.
-func (a *attempt) roomElsewhere() bool {
+// otherEndpointHasRoom reports whether another endpoint would answer in time. Without this check a
+// request that leaves a slow endpoint while all others are full fails at once, although its answer
+// might have arrived a moment later.
+func (a *attempt) otherEndpointHasRoom() bool {
 	x := a.exchange
-	return x.server.board.Room(x.view.Fleet(), x.queryAgain(a.plan))
+	return x.server.board.Room(x.view.Fleet(), x.retryQuery(a.plan))
 }
 
-// learn takes what the head of an answer says of the endpoint.
-func (a *attempt) learn(h Head) {
+// recordHead records what the head of an answer reports about the endpoint.
+func (a *attempt) recordHead(h Head) {
 	s := a.exchange.server
 	now := s.cfg.Clock.Now()
-	a.held = h.Outstanding
+	a.outstanding = h.Outstanding
 	if h.HasLoad && !h.WrongEndpoint {
 		s.board.Load(a.endpoint.ID, h.Outstanding, h.Slots, now)
 		s.board.Waiting(a.endpoint.ID, h.QueueLength, now)
 	}
 	if !h.WrongEndpoint && (h.Signed || h.NotRun) {
-		a.state(h, now)
+		a.recordAdvertisement(h, now)
 	}
 }
 
-// state takes the endpoint's statement, and logs what is new in it.
-func (a *attempt) state(h Head, now clock.Millis) {
-	s, e, said := a.exchange.server, a.endpoint, h.Advertisement
+// recordAdvertisement records the endpoint's advertisement and logs changes in it.
+func (a *attempt) recordAdvertisement(h Head, now clock.Millis) {
+	s, e, ad := a.exchange.server, a.endpoint, h.Advertisement
 	log := func(message string, fields ...any) {
 		s.cfg.Log.Info(message, append(fields, "endpoint", e.ID, "address", e.Address, "zone", e.Zone, "request", a.exchange.req.ID, "status", h.Status)...)
 	}
-	if s.board.State(e, said, a.startedAt, now) {
-		s.statements.Inc()
-		log("Endpoint's statement changed", "born", e.Born, "leaving", said.Leaving, "has-rate", said.HasRate, "rate", said.Rate, "after", now-a.startedAt)
+	if s.board.State(e, ad, a.startedAt, now) {
+		s.advertisementChanges.Inc()
+		log("Endpoint's statement changed", "born", e.Born, "leaving", ad.Leaving, "has-rate", ad.HasRate, "rate", ad.Rate, "after", now-a.startedAt)
 	}
-	if said.PauseFor > 0 {
-		log("Endpoint asked for a pause", "pause", said.PauseFor)
+	if ad.PauseFor > 0 {
+		log("Endpoint asked for a pause", "pause", ad.PauseFor)
 	}
 }
 
-// judge decides by the head what becomes of an answer.
-func (a *attempt) judge(h Head, answer *upstream.Answer) (r result, err error) {
+// classify decides by the head how the answer is handled.
+func (a *attempt) classify(h Head, answer *upstream.Answer) (r result, err error) {
 	x := a.exchange
 	switch {
 	case h.NotRun || h.WrongEndpoint:
-		a.elsewhere = h.WrongEndpoint
+		a.wrongEndpoint = h.WrongEndpoint
 		x.runs--
 		return notRun, refusal.New(refusal.Saturated, "endpoint refused the request with status "+strconv.Itoa(h.Status))
 	case !h.Signed || h.Encoded:
 		return failed, refusal.New(refusal.EngineFailed, "answer with status "+strconv.Itoa(h.Status)+" is not the endpoint's own").WithRun(refusal.Unknown)
 	case h.Status >= http.StatusInternalServerError:
-		return a.failure(h, answer)
-	case h.Status == http.StatusOK && a.mayClimb() && a.poor(h.Confidence):
+		return a.readFailure(h, answer)
+	case h.Status == http.StatusOK && a.mayEscalate() && a.isPoor(h.Confidence):
 		return poor, refusal.New(refusal.EngineFailed, "answer is probably poor").WithRun(refusal.Ran)
 	case x.route.Kind == catalog.Streaming && h.Status == http.StatusOK:
-		return a.stream(h, answer)
+		return a.streamAnswer(h, answer)
 	}
-	return a.whole(h, answer)
+	return a.readAnswer(h, answer)
 }
 
-// mayClimb reports whether the request may have another attempt in place of this answer.
-func (a *attempt) mayClimb() bool {
+// mayEscalate reports whether this answer may be dropped for an attempt at a larger model.
+func (a *attempt) mayEscalate() bool {
 	x := a.exchange
-	return !x.written && x.mayRepeat() && x.left() > climbLeast && x.budget().Has(x.server.cfg.Clock.Now())
+	return !x.written && x.mayRepeat() && x.remaining() > minEscalationTime && x.budget().Has(x.server.cfg.Clock.Now())
 }
 
-// climbLeast is the time that a larger model needs to be of use.
-const climbLeast = 400 * clock.Millis(1)
+// minEscalationTime is the least remaining time in which a larger model is of use.
+const minEscalationTime = 400 * clock.Millis(1)
 
-// maxBody bounds an answer that is read whole.
-const maxBody = 8 << 20
+// maxAnswerBytes bounds the body of an answer that is buffered.
+const maxAnswerBytes = 8 << 20
 
-// whole reads the whole answer before any of it is handed on, so that one that
-// breaks off can be asked for again.
-func (a *attempt) whole(h Head, answer *upstream.Answer) (r result, err error) {
+// readAnswer buffers the full answer before any of it is sent to the caller, so that the request
+// can be repeated if the connection breaks.
+func (a *attempt) readAnswer(h Head, answer *upstream.Answer) (r result, err error) {
 	x := a.exchange
-	if err = answer.SetPatience(x.silence()); err != nil {
-		return failed, lost(err)
+	if err = answer.SetPatience(x.eventTimeout()); err != nil {
+		return failed, interrupted(err)
 	}
-	body, err := io.ReadAll(io.LimitReader(answer, maxBody))
+	body, err := io.ReadAll(io.LimitReader(answer, maxAnswerBytes))
 	if err != nil {
 		a.silent, a.cause = upstream.TimedOut(err), err
-		return failed, lost(err)
+		return failed, interrupted(err)
 	}
 	answer.Close()
-	return done, x.deliver(&held{head: h, body: body})
+	return done, x.deliver(&bufferedAnswer{head: h, body: body})
 }
 
-// failure keeps a failure that the endpoint reports, to be handed on when no
-// other attempt is made or helps.
-func (a *attempt) failure(h Head, answer *upstream.Answer) (r result, err error) {
+// readFailure buffers a failure that the endpoint reports. It is sent to the caller if no other
+// attempt is made or succeeds.
+func (a *attempt) readFailure(h Head, answer *upstream.Answer) (r result, err error) {
 	x := a.exchange
-	if err = answer.SetPatience(x.silence()); err != nil {
-		return failed, lost(err)
+	if err = answer.SetPatience(x.eventTimeout()); err != nil {
+		return failed, interrupted(err)
 	}
-	body, err := io.ReadAll(io.LimitReader(answer, maxBody))
+	body, err := io.ReadAll(io.LimitReader(answer, maxAnswerBytes))
 	if err != nil {
 		a.cause = err
-		return failed, lost(err)
+		return failed, interrupted(err)
 	}
-	a.kept = &held{head: h, body: body}
+	a.failureAnswer = &bufferedAnswer{head: h, body: body}
 	return failed, refusal.New(refusal.EngineFailed, "endpoint failed with status "+strconv.Itoa(h.Status)).WithRun(refusal.Ran)
 }
 
-// deliver hands a whole answer on.
-func (x *exchange) deliver(k *held) (err error) {
-	copyHeader(x.w.Header(), k.head.Header)
-	x.w.Header().Set("Content-Length", strconv.Itoa(len(k.body)))
-	x.w.WriteHeader(k.head.Status)
-	x.written, x.status = true, k.head.Status
+// deliver sends a buffered answer to the caller.
+func (x *exchange) deliver(answer *bufferedAnswer) (err error) {
+	copyHeader(x.w.Header(), answer.head.Header)
+	x.w.Header().Set("Content-Length", strconv.Itoa(len(answer.body)))
+	x.w.WriteHeader(answer.head.Status)
+	x.written, x.status = true, answer.head.Status
 	if x.r.Method == http.MethodHead {
 		return nil
 	}
-	if _, err = x.w.Write(k.body); err != nil {
+	if _, err = x.w.Write(answer.body); err != nil {
 		return refusal.New(refusal.Cancelled, "caller went away").WithRun(refusal.Ran)
 	}
 	return nil
@@ -287,6 +286,6 @@
 	}
 }
 
-func lost(err error) error {
+func interrupted(err error) error {
 	return refusal.New(refusal.EndpointLost, "answer broke off: "+err.Error()).WithRun(refusal.Unknown)
 }
--- a/relay/backoff.go
+++ b/relay/backoff.go
@@ -7,19 +7,18 @@
 )
 
 const (
-	// leastBack and mostBack bound when a refused caller may come back. What the
-	// refusal waits for, a place at an endpoint or an endpoint's end of cold
-	// start, changes within about a second.
-	leastBack = 250 * clock.Millis(1)
-	mostBack  = clock.Second
-	// leftPart is the most of its time that a caller can be asked to wait, so that
-	// enough is left for the answer.
-	leftPart = 0.3
+	// minRetryAfter and maxRetryAfter bound the retry delay of a refused caller. What it waits
+	// for, room at an endpoint or the end of a cold start, changes within about a second.
+	minRetryAfter = 250 * clock.Millis(1)
+	maxRetryAfter = clock.Second
+	// maxWaitRatio is the largest fraction of the remaining time that a caller may be asked to
+	// wait, so that enough is left for the answer.
+	maxWaitRatio = 0.3
 )
 
-// retryAfter is when the caller may come back; 0 when that makes no difference.
-// Callers that were refused together are spread over the span by their numbers,
-// or they would come back together.
+// retryAfter returns the delay after which the caller may retry; 0 for a refusal that gets no
+// Retry-After header. Delays are spread by the hash of the request ID, so that callers refused at
+// the same time do not retry at the same time.
 func retryAfter(r *refusal.Refusal, x *exchange) clock.Millis {
 	if r.Run() != refusal.NotRun {
 		return 0
@@ -32,13 +31,13 @@
 	if r.RetryAfter() > 0 {
 		return r.RetryAfter()
 	}
-	draw := 0.5
+	fraction := 0.5
 	if x.req != nil {
-		draw = catalog.Fraction(catalog.HashOf(x.req.ID + "/back"))
+		fraction = catalog.Fraction(catalog.HashOf(x.req.ID + "/back"))
 	}
-	back := leastBack + clock.Millis(draw*float64(mostBack-leastBack))
+	delay := minRetryAfter + clock.Millis(fraction*float64(maxRetryAfter-minRetryAfter))
 	if x.deadline > 0 {
-		back = min(back, clock.Millis(leftPart*float64(max(x.left(), 0))))
+		delay = min(delay, clock.Millis(maxWaitRatio*float64(max(x.remaining(), 0))))
 	}
-	return max(back, 1)
+	return max(delay, 1)
 }
--- a/relay/evidence.go
+++ b/relay/evidence.go
@@ -7,29 +7,30 @@
 	"github.com/parsleydeal/parsleydeal/catalog"
 )
 
-// count takes an attempt into the evidence on versions.
-func (s *Server) count(x *exchange, a *attempt, r result) {
+// recordOutcome counts an attempt's outcome for the comparison of versions.
+func (s *Server) recordOutcome(x *exchange, a *attempt, r result) {
 	o, running := x.view.Upgrade(x.service)
 	bad := r == failed || r == broken
-	// Only the time that was left can be cut short by the deadline.
+	// An attempt that the deadline cut short had only the remaining time, and is no evidence on
+	// its version.
 	if errors.Is(a.cause, context.DeadlineExceeded) {
 		return
 	}
 	c := outcome{service: x.service, route: x.route.Name, target: running && a.endpoint.Version == o.Target, bad: bad}
-	if a.firstAfter > 0 && !c.target {
-		s.pace.add(x.route.Name, a.plan.model(), a.firstAfter)
+	if a.timeToFirstByte > 0 && !c.target {
+		s.latency.addFirstByte(x.route.Name, a.plan.model(), a.timeToFirstByte)
 	}
-	s.time(x, a, &c)
-	s.tally.count(c)
+	s.gradeLatency(x, a, &c)
+	s.counts.record(c)
 }
 
-// time judges how fast an answer was. An endpoint in cold start is slow whatever
-// its version: its answers say nothing of that, and new versions start cold.
-func (s *Server) time(x *exchange, a *attempt, c *outcome) {
+// gradeLatency grades the latency of an answer. Endpoints in a cold start are left out: they are
+// slow whatever their version, and new versions start cold.
+func (s *Server) gradeLatency(x *exchange, a *attempt, c *outcome) {
 	if x.view.Fleet().Cold(a.endpoint, a.startedAt) {
 		return
 	}
-	k, span, ok := a.span()
+	k, sample, ok := a.latencySample()
 	if !ok {
 		return
 	}
@@ -37,25 +38,26 @@
 	if !k.delay && x.view.Rule(x.service, s.cfg.Clock.Now()).Share > earlyShare {
 		factor = loadedFactor
 	}
-	c.slow, c.timed = s.pace.grade(k, a.held, span, factor)
+	c.slow, c.timed = s.latency.grade(k, a.outstanding, sample, factor)
 	c.delay = k.delay
 	if !c.target {
-		s.pace.addSpan(k, a.held, span)
+		s.latency.addSample(k, a.outstanding, sample)
 	}
 }
 
-// span is what tells an answer's pace: for a stream the span between its events, or how much
-// later than expected its first byte came where it was dropped before them; for another one
-// the time to its first byte, which depends less on what was asked there.
-func (a *attempt) span() (k paceKey, span float64, ok bool) {
+// latencySample returns the latency in milliseconds that is compared between versions. For a
+// stream it is the mean gap between events or, if the answer was dropped before them, how much
+// later than expected its first byte arrived. For other kinds it is the time to the first byte,
+// which depends less on the request there.
+func (a *attempt) latencySample() (k latencyKey, sample float64, ok bool) {
 	x := a.exchange
 	switch {
-	case a.firstAfter == 0:
+	case a.timeToFirstByte == 0:
 		return k, 0, false
 	case x.route.Kind != catalog.Streaming:
-		return paceKey{route: x.route.Name, model: a.plan.model()}, float64(a.firstAfter), true
-	case a.events >= gapEvents:
-		return paceKey{model: a.plan.model()}, float64(a.lastAt-a.openedAt) / float64(a.events-1), true
+		return latencyKey{route: x.route.Name, model: a.plan.model()}, float64(a.timeToFirstByte), true
+	case a.events >= minGapEvents:
+		return latencyKey{model: a.plan.model()}, float64(a.lastEventAt-a.firstEventAt) / float64(a.events-1), true
 	}
-	return paceKey{model: a.plan.model(), delay: true}, float64(a.firstAfter - a.expected), true
+	return latencyKey{model: a.plan.model(), delay: true}, float64(a.timeToFirstByte - a.expectedFirstByte), true
 }
--- a/relay/metrics.go
+++ b/relay/metrics.go
@@ -5,7 +5,7 @@
 	"io"
 )
 
-// WriteMetrics writes the server's metrics as text.
+// WriteMetrics writes the server's metrics in the Prometheus text format.
 func (s *Server) WriteMetrics(w io.Writer) {
 	s.metrics.WritePrometheus(w)
 	fmt.Fprintf(w, "parsleydeal_endpoint_connections_open %d\n", s.cfg.Pool.Open())
--- a/relay/pace.go
+++ b/relay/pace.go
@@ -11,225 +11,226 @@
 	"github.com/parsleydeal/parsleydeal/upgrade"
 )
 
-// pace knows how fast answers usually are.
-type pace struct {
+// latencyTracker tracks the typical latency of answers.
+type latencyTracker struct {
 	mu sync.Mutex
-	// means holds the time to the first byte, by route and model.
-	means map[paceKey]float64
-	// spans holds those of the old version by which versions are compared, by what the
-	// endpoint held. For streams that is the span between two events, by model alone: a
-	// model's pace does not depend on what it is asked. For all others it is the time to
-	// the first byte, by route.
-	spans map[paceKey]*[loadClasses]spans
-	// errors holds by how much first bytes missed what was expected, in milliseconds, by
-	// route for plain requests and by model for prompts.
-	errors map[paceKey]*spans
-}
-
-type paceKey struct {
+	// means holds the mean time to the first byte in milliseconds, by route and model.
+	means map[latencyKey]float64
+	// baseline holds the latency samples of the old version, with which a new version is compared,
+	// by load of the endpoint. For streams a sample is the mean gap between events, by model
+	// alone: a model's speed does not depend on the prompt. For all others it is the time to the
+	// first byte, by route.
+	baseline map[latencyKey]*[loadClasses]sampleWindow
+	// errors holds the prediction errors of first bytes in milliseconds, by route for plain
+	// requests and by model for prompts.
+	errors map[latencyKey]*sampleWindow
+}
+
+type latencyKey struct {
 	route, model string
-	// delay is true for how much later than expected first bytes come.
+	// delay is true for samples of how much later than expected first bytes arrive.
 	delay bool
 }
 
-// loadClasses is how many classes of load answers are compared within. A new version has
-// the least load of all while its share is small, and a slow one there is as fast as the old
-// version's endpoints are under load.
+// loadClasses is the number of load classes within which latencies are compared. A new version has
+// the least load while its share is small, so that a slow one is then as fast as the old version's
+// endpoints under load.
 const loadClasses = 6
 
-// loadClass is the class of an endpoint that holds so many requests: 0 or 1, 2 or 3, 4 to 7
+// loadClass returns the load class for a number of requests at an endpoint: 0 or 1, 2 or 3, 4 to 7
 // and so on.
-func loadClass(held int) int { return min(bits.Len(uint(max(held, 0)/2)), loadClasses-1) }
+func loadClass(outstanding int) int { return min(bits.Len(uint(max(outstanding, 0)/2)), loadClasses-1) }
 
-// spans holds the newest spans measured, in milliseconds.
-type spans struct {
-	// newest holds at most spansKept; next is where the next one goes.
-	newest []float64
-	next   int
+// sampleWindow holds the most recent samples, in milliseconds.
+type sampleWindow struct {
+	// samples holds at most maxSamples; next is the index that is overwritten next.
+	samples []float64
+	next    int
 }
 
 const (
-	// spansKept is how many spans tell what is usual: those of about ten seconds at
-	// an entry of ten streams a second.
-	spansKept = 100
-	// spansKnown is how many must have been seen to be relied on.
-	spansKnown = 10
-	// leastSlower is the part of the middle span by which a slow one is beyond it at the
-	// least, and leastDelay the same for delays, in milliseconds. Where all are alike, as at
-	// idle endpoints, a hair's breadth would else tell two versions apart.
-	leastSlower = 0.25
-	leastDelay  = 50.0
+	// maxSamples is the size of a window: about ten seconds at an entry with ten streams per
+	// second.
+	maxSamples = 100
+	// minSamples is the number of samples below which a window is not used.
+	minSamples = 10
+	// minSlowdown is the least excess of a slow sample over the median, as a fraction of the
+	// median; minExtraDelayMillis is the least excess for delays. Without them tiny differences
+	// would tell two versions apart where all samples are alike, as at idle endpoints.
+	minSlowdown         = 0.25
+	minExtraDelayMillis = 50.0
 )
 
-func (s *spans) known() bool { return s != nil && len(s.newest) >= spansKnown }
+func (s *sampleWindow) sufficient() bool { return s != nil && len(s.samples) >= minSamples }
 
-func (s *spans) add(x float64) {
-	if len(s.newest) < spansKept {
-		s.newest = append(s.newest, x)
+func (s *sampleWindow) add(sample float64) {
+	if len(s.samples) < maxSamples {
+		s.samples = append(s.samples, sample)
 		return
 	}
-	s.newest[s.next] = x
-	s.next = (s.next + 1) % spansKept
+	s.samples[s.next] = sample
+	s.next = (s.next + 1) % maxSamples
 }
 
-// grade compares a span with those kept, by each grade times a factor; not known
-// while too few are. A slow one is beyond the middle one by a margin.
-func (s *spans) grade(span, factor float64, margin func(middle float64) float64) (slow [len(upgrade.Grades)]bool, known bool) {
-	if !s.known() {
+// grade compares a sample with the window and reports for each grade whether it is slow; factor
+// scales the grades. A slow sample exceeds the median at least by the margin. known is false while
+// the window has too few samples.
+func (s *sampleWindow) grade(sample, factor float64, margin func(median float64) float64) (slow [len(upgrade.Grades)]bool, known bool) {
+	if !s.sufficient() {
 		return slow, false
 	}
-	sorted := slices.Sorted(slices.Values(s.newest))
-	middle := ranked(sorted, 0.5)
+	sorted := slices.Sorted(slices.Values(s.samples))
+	median := quantileOf(sorted, 0.5)
 	for i, g := range upgrade.Grades {
-		usual := max(ranked(sorted, g.Rank), middle+margin(middle))
-		// Delays may be below zero, of which a multiple is no longer span.
-		slow[i] = span > usual+(g.Factor*factor-1)*math.Abs(usual)
+		limit := max(quantileOf(sorted, g.Rank), median+margin(median))
+		// Delays may be negative, and a multiple of a negative delay is not a longer one.
+		slow[i] = sample > limit+(g.Factor*factor-1)*math.Abs(limit)
 	}
 	return slow, true
 }
 
-// margin is how far beyond the middle span a slow one is at the least.
-func (k paceKey) margin(middle float64) float64 {
+// margin returns the least excess of a slow sample over the median, in milliseconds.
+func (k latencyKey) margin(median float64) float64 {
 	if k.delay {
-		return leastDelay
+		return minExtraDelayMillis
 	}
-	return leastSlower * middle
+	return minSlowdown * median
 }
 
-// quantile returns the span below which a part of the newest ones lie; 0 without any.
-func (s *spans) quantile(rank float64) float64 {
-	if len(s.newest) == 0 {
+// quantile returns a quantile of the window; 0 if it is empty.
+func (s *sampleWindow) quantile(rank float64) float64 {
+	if len(s.samples) == 0 {
 		return 0
 	}
-	return ranked(slices.Sorted(slices.Values(s.newest)), rank)
+	return quantileOf(slices.Sorted(slices.Values(s.samples)), rank)
 }
 
-// ranked returns the span below which a part of some sorted ones lie.
-func ranked(sorted []float64, rank float64) float64 {
+// quantileOf returns a quantile of sorted samples.
+func quantileOf(sorted []float64, rank float64) float64 {
 	return sorted[int(rank*float64(len(sorted)-1))]
 }
 
-func newPace() *pace {
-	return &pace{means: make(map[paceKey]float64), spans: make(map[paceKey]*[loadClasses]spans), errors: make(map[paceKey]*spans)}
+func newLatencyTracker() *latencyTracker {
+	return &latencyTracker{means: make(map[latencyKey]float64), baseline: make(map[latencyKey]*[loadClasses]sampleWindow), errors: make(map[latencyKey]*sampleWindow)}
 }
 
 const (
-	// paceWeight is the weight of one answer in the usual time.
-	paceWeight = 0.1
-	// gapEvents is how many events a stream must have for its pace to be told.
-	gapEvents = 2
-	// patienceFactor and aimPart say how long the first byte is waited for before
-	// the request goes elsewhere: several times what is usual, but so that a
-	// second attempt can still be in time.
-	patienceFactor = 4.0
-	aimPart        = 0.6
-	// leastPatience keeps a short hiccup from costing a second attempt.
-	leastPatience = 200 * clock.Millis(1)
+	// meanWeight is the weight of one answer in the exponentially weighted mean.
+	meanWeight = 0.1
+	// minGapEvents is the least number of events from which a stream's mean gap is computed.
+	minGapEvents = 2
+	// timeoutFactor and targetRatio set the first-byte timeout after which a request goes to
+	// another endpoint: a multiple of the mean time to the first byte, or a fraction of the
+	// route's latency target if that is more, so that a second attempt can still be in time.
+	timeoutFactor = 4.0
+	targetRatio   = 0.6
+	// minFirstByteTimeout prevents a second attempt after a brief delay.
+	minFirstByteTimeout = 200 * clock.Millis(1)
 )
 
 const (
-	// earlyShare is the part of the requests up to which a new version has no reason
-	// to be slower than the old one. With more it has more of the load, and reads
-	// prompts anew that the old one has in its memory.
+	// earlyShare is the share of requests up to which a new version has no reason to be slower
+	// than the old one. Above it the new version has more of the load, and processes prompts again
+	// that the old one has in its prefix cache.
 	earlyShare = 0.5
-	// loadedFactor is how much slower it may be then, or beside answers of endpoints that
-	// held less than its own.
+	// loadedFactor is how much slower a new version may be above earlyShare, or in comparison with
+	// answers of endpoints that had less load.
 	loadedFactor = 2.0
 )
 
-func (p *pace) add(route, model string, took clock.Millis) {
+func (p *latencyTracker) addFirstByte(route, model string, took clock.Millis) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	k := paceKey{route: route, model: model}
+	k := latencyKey{route: route, model: model}
 	mean, ok := p.means[k]
 	if !ok {
 		mean = float64(took)
 	}
-	p.means[k] = mean + paceWeight*(float64(took)-mean)
+	p.means[k] = mean + meanWeight*(float64(took)-mean)
 }
 
-// addSpan takes the span of an answer of the old version, from an endpoint that held so
-// many requests.
-func (p *pace) addSpan(k paceKey, held int, span float64) {
+// addSample adds a latency of the old version, from an endpoint with the given number of
+// outstanding requests.
+func (p *latencyTracker) addSample(k latencyKey, outstanding int, sample float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.spans[k] == nil {
-		p.spans[k] = &[loadClasses]spans{}
+	if p.baseline[k] == nil {
+		p.baseline[k] = &[loadClasses]sampleWindow{}
 	}
-	p.spans[k][loadClass(held)].add(span)
+	p.baseline[k][loadClass(outstanding)].add(sample)
 }
 
-// grade reports by which grades a span is longer than usual at the load of its endpoint; not
-// known while too few were seen. Where there are too few at that load, those at the next
-// higher one are usual, and else those at the next lower one with a margin.
-func (p *pace) grade(k paceKey, held int, span, factor float64) (slow [len(upgrade.Grades)]bool, known bool) {
+// grade reports for each grade whether a sample is slow for the load of its endpoint. Where there
+// are too few samples at that load, it is compared with the next higher load class, or else with
+// the next lower one and a larger factor. known is false while there are too few samples.
+func (p *latencyTracker) grade(k latencyKey, outstanding int, sample, factor float64) (slow [len(upgrade.Grades)]bool, known bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	all := p.spans[k]
+	all := p.baseline[k]
 	if all == nil {
 		return slow, false
 	}
-	class := loadClass(held)
+	class := loadClass(outstanding)
 	for i := class; i < loadClasses; i++ {
-		if all[i].known() {
-			return all[i].grade(span, factor, k.margin)
+		if all[i].sufficient() {
+			return all[i].grade(sample, factor, k.margin)
 		}
 	}
 	for i := class - 1; i >= 0; i-- {
-		if all[i].known() {
-			return all[i].grade(span, factor*loadedFactor, k.margin)
+		if all[i].sufficient() {
+			return all[i].grade(sample, factor*loadedFactor, k.margin)
 		}
 	}
 	return slow, false
 }
 
 const (
-	// errorRank is the part of the first bytes that come within the error that a request
-	// is waited for beyond what was expected of it, and errorFactor how many times that
-	// error is.
-	errorRank   = 0.95
-	errorFactor = 2.0
+	// errorQuantile is the quantile of the prediction errors that, multiplied by errorFactor, is
+	// added to a prediction to get the first-byte timeout.
+	errorQuantile = 0.95
+	errorFactor   = 2.0
 )
 
-// miss takes by how much a first byte missed what was expected.
-func (p *pace) miss(r *catalog.Route, model string, by clock.Millis) {
+// addError adds a prediction error of a first byte; it is negative for one that arrived early.
+func (p *latencyTracker) addError(r *catalog.Route, model string, excess clock.Millis) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	k := errorKey(r, model)
 	if p.errors[k] == nil {
-		p.errors[k] = &spans{}
+		p.errors[k] = &sampleWindow{}
 	}
-	p.errors[k].add(float64(by))
+	p.errors[k].add(float64(excess))
 }
 
-func errorKey(r *catalog.Route, model string) paceKey {
+func errorKey(r *catalog.Route, model string) latencyKey {
 	if model != "" {
-		return paceKey{model: model}
+		return latencyKey{model: model}
 	}
-	return paceKey{route: r.Name}
+	return latencyKey{route: r.Name}
 }
 
-// patienceFor is how long a first byte is waited for that was expected to take some
-// time: that, and how far such expectations are off. Not longer than what is usual on its
-// route allows, and no shorter than a hiccup.
-func (p *pace) patienceFor(r *catalog.Route, model string, expected clock.Millis) clock.Millis {
-	usual := p.patience(r, model)
+// timeoutFor returns the first-byte timeout for a predicted time: the prediction plus a margin for
+// prediction errors. It is at least minFirstByteTimeout and at most typicalTimeout.
+func (p *latencyTracker) timeoutFor(r *catalog.Route, model string, expected clock.Millis) clock.Millis {
+	typical := p.typicalTimeout(r, model)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	errors := p.errors[errorKey(r, model)]
-	if errors == nil || len(errors.newest) < spansKnown {
-		return usual
+	if errors == nil || len(errors.samples) < minSamples {
+		return typical
 	}
-	wait := expected + clock.Millis(errorFactor*max(errors.quantile(errorRank), 0))
-	return min(max(wait, leastPatience), usual)
+	timeout := expected + clock.Millis(errorFactor*max(errors.quantile(errorQuantile), 0))
+	return min(max(timeout, minFirstByteTimeout), typical)
 }
 
-func (p *pace) patience(r *catalog.Route, model string) clock.Millis {
+// typicalTimeout returns the first-byte timeout from the mean of the route and model, or the
+// route's latency target while there is no mean.
+func (p *latencyTracker) typicalTimeout(r *catalog.Route, model string) clock.Millis {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	mean, ok := p.means[paceKey{route: r.Name, model: model}]
+	mean, ok := p.means[latencyKey{route: r.Name, model: model}]
 	if !ok {
-		return max(r.Aim, leastPatience)
+		return max(r.Aim, minFirstByteTimeout)
 	}
-	return max(clock.Millis(aimPart*float64(r.Aim)), clock.Millis(patienceFactor*mean), leastPatience)
+	return max(clock.Millis(targetRatio*float64(r.Aim)), clock.Millis(timeoutFactor*mean), minFirstByteTimeout)
 }
--- a/relay/pace_test.go
+++ b/relay/pace_test.go
@@ -8,10 +8,10 @@
 	"github.com/parsleydeal/parsleydeal/catalog"
 )
 
-// gapAt draws a span between events at an endpoint that holds so many requests: the base, a
-// bit more for each of them, and now and then a prompt that is read in between.
-func gapAt(r *rand.Rand, base float64, held int) float64 {
-	gap := base * (1 + 0.15*float64(held))
+// gapAt draws a gap between events at an endpoint with the given number of requests: the base, a
+// bit more for each request, and in one of four cases a prompt that is processed in between.
+func gapAt(r *rand.Rand, base float64, outstanding int) float64 {
+	gap := base * (1 + 0.15*float64(outstanding))
 	if r.IntN(4) == 0 {
 		gap *= 1 + 3*r.Float64()
 	}
@@ -19,49 +19,50 @@
 }
 
 // A new version is four times as slow as the old one. It gets a twentieth of the requests, at
-// endpoints that hold one or two, while those of the old version hold up to forty: by all
-// spans of the old version hardly any of its answers was slow, and it was completed.
-func TestSlowVersionOnIdleEndpointsIsSlow(t *testing.T) {
+// endpoints with one or two requests each, while endpoints of the old version have up to forty.
+// Compared with all samples of the old version hardly any answer was slow, and the upgrade was
+// completed.
+func TestSlowVersionIsDetectedOnIdleEndpoints(t *testing.T) {
 	for name, x := range map[string]struct {
-		base        float64
-		least, most int
+		base             float64
+		minSlow, maxSlow int
 	}{
-		"four times as slow": {80, 95, 100},
-		"as fast":            {20, 0, 45},
+		"four times as slow":         {80, 95, 100},
+		"as fast as the old version": {20, 0, 45},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			r := rand.New(rand.NewPCG(7, 7))
-			p, k := newPace(), paceKey{model: "m"}
+			p, k := newLatencyTracker(), latencyKey{model: "m"}
 			for range 400 {
-				held := 1 + r.IntN(40)
-				p.addSpan(k, held, gapAt(r, 20, held))
+				outstanding := 1 + r.IntN(40)
+				p.addSample(k, outstanding, gapAt(r, 20, outstanding))
 			}
 			slow := 0
 			for range 100 {
-				held := 1 + r.IntN(2)
-				grades, known := p.grade(k, held, gapAt(r, x.base, held), 1)
+				outstanding := 1 + r.IntN(2)
+				grades, known := p.grade(k, outstanding, gapAt(r, x.base, outstanding), 1)
 				is.True(known)
 				if grades[0] {
 					slow++
 				}
 			}
-			t.Logf("%d in a hundred are slow", slow)
-			is.True(slow >= x.least)
-			is.True(slow <= x.most)
+			t.Logf("%d of 100 answers are slow", slow)
+			is.True(slow >= x.minSlow)
+			is.True(slow <= x.maxSlow)
 		})
 	}
 }
 
-// A new version's endpoints hold more than any of the old one did yet. Its answers are not
-// slow for that alone.
-func TestVersionUnderMoreLoadIsComparedWithAMargin(t *testing.T) {
+// The endpoints of a new version have more load than any of the old version had so far. Its
+// answers are not slow because of that alone.
+func TestVersionUnderMoreLoadIsComparedWithMargin(t *testing.T) {
 	is := is.New(t)
-	p, k := newPace(), paceKey{route: "r"}
+	p, k := newLatencyTracker(), latencyKey{route: "r"}
 	_, known := p.grade(k, 4, 10, 1)
 	is.True(!known)
-	for range spansKnown {
-		p.addSpan(k, 3, 20)
+	for range minSamples {
+		p.addSample(k, 3, 20)
 	}
 	grades, known := p.grade(k, 9, 49, 1)
 	is.True(known)
@@ -70,30 +71,30 @@
 	is.True(grades[0])
 }
 
-// A small model's answers are dropped for a larger one's before their events come. A slow
-// version was completed on a handful of timed answers where most of its own were dropped.
-func TestDroppedAnswersTellAVersionsPace(t *testing.T) {
+// Answers of a small model are dropped for those of a larger one before their events arrive. A
+// slow version whose answers were mostly dropped was completed on the few that had been timed.
+func TestDroppedAnswersAreGradedByFirstByteDelay(t *testing.T) {
 	is := is.New(t)
 	route := &catalog.Route{Name: "r", Kind: catalog.Streaming}
 	x := &exchange{route: route}
-	a := &attempt{exchange: x, plan: plan{models: []string{"small", "large"}}, firstAfter: 300, expected: 160}
-	k, span, ok := a.span()
+	a := &attempt{exchange: x, plan: plan{models: []string{"small", "large"}}, timeToFirstByte: 300, expectedFirstByte: 160}
+	k, sample, ok := a.latencySample()
 	is.True(ok)
-	is.Equal(k, paceKey{model: "small", delay: true})
-	is.Equal(span, 140.0)
+	is.Equal(k, latencyKey{model: "small", delay: true})
+	is.Equal(sample, 140.0)
 
-	p := newPace()
+	p := newLatencyTracker()
 	for i := range 40 {
-		p.addSpan(k, 1, float64(-80+3*i)) // first bytes come up to 80 ms before they are expected
+		p.addSample(k, 1, float64(-80+3*i)) // first bytes arrive up to 80 ms earlier than expected
 	}
 	for delay, want := range map[float64]bool{-80: false, 0: false, 20: false, 140: true} {
 		grades, known := p.grade(k, 1, delay, 1)
 		is.True(known)
-		is.Equal(grades[0], want) // by the delay
+		is.Equal(grades[0], want)
 		is.Equal(grades[1], want)
 	}
 
-	a.firstAfter = 0
-	_, _, ok = a.span()
-	is.True(!ok) // nothing came
+	a.timeToFirstByte = 0
+	_, _, ok = a.latencySample()
+	is.True(!ok) // no first byte arrived
 }
--- a/relay/plan.go
+++ b/relay/plan.go
@@ -4,11 +4,11 @@
 	"github.com/parsleydeal/parsleydeal/cascade"
 )
 
-// plan is the way in which models answer a request: one, or a small one first
-// whose answer is dropped when it has little confidence in it.
+// plan lists the models that answer a request: one model, or a small one and a larger one that is
+// used if the small one's answer has low confidence.
 type plan struct {
-	// models holds the models in the order in which they are asked; empty when
-	// the caller named one.
+	// models holds the models in the order in which they are tried; empty when the caller named
+	// the model.
 	models []string
 }
 
@@ -23,7 +23,7 @@
 	return plan{models: []string{models[0], models[len(models)-1]}}
 }
 
-// model is the model to ask now; empty when the caller named it.
+// model returns the model to use now; empty when the caller named it.
 func (p plan) model() string {
 	if len(p.models) == 0 {
 		return ""
@@ -31,27 +31,26 @@
 	return p.models[0]
 }
 
-// larger returns the model to ask when this one's answer is poor; empty when
-// there is none.
-func (p plan) larger() string {
+// nextModel returns the model to use when the answer of the current one is poor; empty when there
+// is none.
+func (p plan) nextModel() string {
 	if len(p.models) < 2 {
 		return ""
 	}
 	return p.models[1]
 }
 
-// poor reports whether an answer is to be dropped for the larger model's. That one's first
-// byte is expected as for this request now, by the length of its prompt and what waits
-// where it would go: by what is usual on its route a long prompt was taken for one of
-// middling length, and its answer dropped for one that came too late. It is kept when no
-// endpoint has room for the larger model: the caller would be left with nothing, though
-// it had an answer that may do.
-func (a *attempt) poor(confidence int) bool {
-	if a.plan.larger() == "" {
+// isPoor reports whether to drop an answer for that of the larger model. The first byte of the
+// larger model is predicted for this request, from its prompt length and the queue at the endpoint
+// that would get it. The route's mean would treat a long prompt like an average one, and its
+// answer was dropped for one that arrived too late. The answer is kept if no endpoint has room for
+// the larger model: the caller would get nothing, although there is an answer that may do.
+func (a *attempt) isPoor(confidence int) bool {
+	if a.plan.nextModel() == "" {
 		return false
 	}
 	x := a.exchange
-	q := x.query(a.plan.next())
+	q := x.query(a.plan.escalate())
 	q.Avoid = nil
 	expected, room := x.server.board.Expect(x.view.Fleet(), q)
 	if !room {
@@ -61,4 +60,4 @@
 	return x.server.judge.Drops(answer, cascade.Larger{First: expected.First, Wait: expected.Wait})
 }
 
-func (p plan) next() plan { return plan{models: p.models[1:]} }
+func (p plan) escalate() plan { return plan{models: p.models[1:]} }
--- a/relay/plan_test.go
+++ b/relay/plan_test.go
@@ -14,12 +14,12 @@
 	"github.com/parsleydeal/parsleydeal/upstream"
 )
 
-// Under load the smallest model's answer to a long prompt has little confidence. The
-// route's usual first byte at the largest model was short, by its other prompts; this
-// one takes most of the time that is left to read, and prompts wait where it would go.
-// Its answer was dropped, and the better one came too late to be of full use. For a
-// short prompt at an idle endpoint the same answer is dropped.
-func TestAnswersAreKeptWhenTheLargerModelWouldBeLate(t *testing.T) {
+// Under load the smallest model's answer to a long prompt has low confidence. The larger model's
+// mean time to the first byte was short, because of the route's other prompts, but this prompt
+// takes most of the remaining time to process, or other prompts are queued at the endpoint. The
+// answer was dropped, and the better one arrived too late to be of full use. For a short prompt at
+// an idle endpoint the same answer is dropped.
+func TestAnswersAreKeptWhenLargerModelWouldBeLate(t *testing.T) {
 	for _, x := range []struct {
 		name    string
 		tokens  int
@@ -37,12 +37,12 @@
 				e := a.exchange.view.Fleet().Find("i-1")
 				a.exchange.server.board.Begin(e, placement.Query{Model: "large", Parts: []placement.Part{{ID: "other", Tokens: x.waiting}}, AllTold: true, Now: 1000})
 			}
-			is.Equal(a.poor(45), x.drops)
+			is.Equal(a.isPoor(45), x.drops)
 		})
 	}
 }
 
-// smallAnswer is an attempt at the smallest of two models, whose answer has come.
+// smallAnswer returns an attempt at the smaller of two models whose answer has arrived.
 func smallAnswer(tokens int) *attempt {
 	c := clock.New(func() clock.Millis { return 1000 })
 	route := &catalog.Route{Name: "r", Kind: catalog.Idempotent, Timeout: 8000, Aim: 1500, MaxAttempts: 3, Models: []string{"small", "large"}, Targets: []catalog.Target{{Service: "app", Weight: 1}}}
@@ -55,31 +55,32 @@
 	}}
 }
 
-// An endpoint loses an answer that was expected at once, and its request waits for as long as
-// the route's longest prompts take.
-func TestPatienceFollowsHowFarExpectationsAreOff(t *testing.T) {
+// An endpoint loses an answer that was expected at once. With the timeout of the route alone, its
+// request waited for as long as the route's longest prompts take.
+func TestFirstByteTimeoutFollowsPredictionError(t *testing.T) {
 	is := is.New(t)
-	p := newPace()
+	p := newLatencyTracker()
 	r := &catalog.Route{Name: "r", Aim: 2000}
-	p.add(r.Name, "m", 400)
-	usual := p.patience(r, "m")
-	is.Equal(usual, clock.Millis(1600))
-	is.Equal(p.patienceFor(r, "m", 100), usual) // too little is known
-	for i := range 2 * spansKept {
-		p.miss(r, "m", clock.Millis(i%2*150))
+	p.addFirstByte(r.Name, "m", 400)
+	typical := p.typicalTimeout(r, "m")
+	is.Equal(typical, clock.Millis(1600))
+	is.Equal(p.timeoutFor(r, "m", 100), typical) // too few samples
+	for i := range 2 * maxSamples {
+		p.addError(r, "m", clock.Millis(i%2*150))
 	}
-	is.Equal(p.patienceFor(r, "m", 100), clock.Millis(400))
-	is.Equal(p.patienceFor(r, "m", 5000), usual)
-	p = newPace()
-	p.add(r.Name, "m", 400)
-	for range spansKept {
-		p.miss(r, "m", -300)
+	is.Equal(p.timeoutFor(r, "m", 100), clock.Millis(400))
+	is.Equal(p.timeoutFor(r, "m", 5000), typical)
+	p = newLatencyTracker()
+	p.addFirstByte(r.Name, "m", 400)
+	for range maxSamples {
+		p.addError(r, "m", -300)
 	}
-	is.Equal(p.patienceFor(r, "m", 0), leastPatience)
+	is.Equal(p.timeoutFor(r, "m", 0), minFirstByteTimeout)
 }
 
-// Entries that each keep what one may keep fill the endpoints' bound together.
-func TestIdleConnectionsAreAShareOfTheBound(t *testing.T) {
+// If each entry kept as many idle connections as the limit allows one entry alone, all entries
+// together would use up the endpoints' connection limit.
+func TestIdleConnectionsAreDividedAmongEntries(t *testing.T) {
 	is := is.New(t)
 	s := site.NewState(site.Self{Name: "e"}, 0)
 	services := map[string]catalog.Service{"app": {Name: "app", MaxConnections: 220}, "free": {Name: "free"}}
@@ -91,8 +92,8 @@
 	site.Reduce(s, site.EntriesRead{Now: 1, Addresses: addresses})
 	v := s.View()
 	server := New(Config{Clock: clock.Boot(), View: s.View})
-	is.Equal(server.mostIdle(v, "app"), 4)
-	is.True(server.mostIdle(v, "app")*v.Entries() <= 110)
-	is.Equal(server.mostIdle(v, "free"), defaultIdle)
-	is.Equal(server.mostIdle(v, "gone"), defaultIdle)
+	is.Equal(server.maxIdle(v, "app"), 4)
+	is.True(server.maxIdle(v, "app")*v.Entries() <= 110)
+	is.Equal(server.maxIdle(v, "free"), defaultMaxIdle)
+	is.Equal(server.maxIdle(v, "gone"), defaultMaxIdle)
 }
--- a/relay/request.go
+++ b/relay/request.go
@@ -1,6 +1,6 @@
-// Package relay is the way of a request through an entry that sends straight to
-// endpoints: it is read, decided on, tried at one endpoint after another within
-// its bounds, and its answer is handed on whole or broken off openly.
+// Package relay handles requests at an entry that sends them directly to endpoints. It reads and
+// admits a request, tries one endpoint after another within its limits, and sends the caller the
+// complete answer or a refusal. A stream that cannot be completed ends with an aborted connection.
 package relay
 
 import (
@@ -11,28 +11,28 @@
 	"github.com/parsleydeal/parsleydeal/upstream"
 )
 
-// Request is what a caller asks.
+// Request is a caller's request.
 type Request struct {
-	// ID names the caller's attempt everywhere.
+	// ID identifies the request to callers and endpoints and in logs.
 	ID     string
 	Method string
-	// Target is the path and query as they were sent, Path the path alone.
+	// Target is the path and query as sent, Path the path alone.
 	Target string
 	Path   string
 	Host   string
-	// Header holds what is passed on.
+	// Header holds the headers that are passed on to the endpoint.
 	Header http.Header
 	Key    string
-	// Session is empty for a request that belongs to none.
+	// Session is empty for a request without a session.
 	Session string
-	// CallerTimeout is how long the caller waits; 0 when it does not say.
+	// CallerTimeout is how long the caller waits; 0 if it is unknown.
 	CallerTimeout clock.Millis
-	// AnyModel says that the system names the model; otherwise it is Model.
+	// AnyModel is true if the system selects the model; otherwise Model names it.
 	AnyModel bool
 	Model    string
 	Blocks   []placement.Part
-	// LastEventID is the number of the last event that the caller has, HasAfter says
-	// that it resumes a stream.
+	// LastEventID is the ID of the last event that the caller received. Resumes is true if the
+	// request resumes a stream.
 	LastEventID string
 	Resumes     bool
 
@@ -40,56 +40,55 @@
 	body    []byte
 }
 
-// AttemptParams is one attempt as it is sent to an endpoint.
+// AttemptParams are the parameters of one attempt at an endpoint.
 type AttemptParams struct {
 	Endpoint     string
 	Address      string
 	Organisation string
-	// Model is set when the system names the model.
+	// Model is set if the system selects the model.
 	Model string
-	// Remaining is the time that is left of the request.
+	// Remaining is the time until the deadline of the request.
 	Remaining clock.Millis
-	// Priority is the rank of the request, 0 first.
+	// Priority is the rank of the request; 0 is the highest.
 	Priority int
-	// LastEventID is the number of the last event that the caller has.
+	// LastEventID is the ID of the last event that the caller received.
 	LastEventID   string
 	Resumes       bool
 	NewConnection bool
 }
 
-// Head is what the head of an endpoint's answer says.
+// Head is the decoded head of an endpoint's answer.
 type Head struct {
 	Status int
-	// Signed answers are the endpoint's own.
+	// Signed is true if the endpoint itself produced the answer.
 	Signed bool
-	// NotRun says that the endpoint did not run the request and never will.
+	// NotRun is true if the endpoint did not run the request and never will.
 	NotRun bool
-	// WrongEndpoint says that another endpoint has the address.
+	// WrongEndpoint is true if the address now belongs to another endpoint.
 	WrongEndpoint bool
-	// Encoded bodies are not the endpoint's.
+	// Encoded is true if the body has a content encoding, which endpoints do not use.
 	Encoded bool
-	// Outstanding is the number of requests that the endpoint works on or has waiting,
-	// Slots how many it works on at once; HasLoad says that they are known.
+	// Outstanding is the number of requests running or queued at the endpoint, Slots how many it
+	// runs at once. HasLoad is true if both are known.
 	Outstanding int
 	Slots       int
 	HasLoad     bool
-	// QueueLength is the number of requests that wait to be begun.
+	// QueueLength is the number of requests that have not started yet.
 	QueueLength int
-	// Confidence is the model's own opinion of its answer, 0 to 100; -1 when it
-	// has none.
+	// Confidence is the model's rating of its own answer, 0 to 100; -1 if it has none.
 	Confidence int
-	// Advertisement is what else the answer says of its endpoint.
+	// Advertisement is what the endpoint advertises about itself with the answer.
 	Advertisement placement.Statement
-	// Header holds what is handed on to the caller.
+	// Header holds the headers that are passed on to the caller.
 	Header http.Header
 }
 
-// Dialect translates between callers, endpoints and this package.
+// Dialect translates between the protocol of callers and endpoints and this package.
 type Dialect struct {
-	// Read reads a request's head. A refusal says what is wrong with it.
+	// Read reads the head of a request. The error is a refusal that states what is wrong.
 	Read func(r *http.Request) (req *Request, err error)
 	Call func(req *Request, o AttemptParams, body []byte) upstream.Call
 	Head func(status int, h http.Header) Head
-	// SetRefusalHeaders names the request in the head of a refusal.
+	// SetRefusalHeaders adds the request ID to the headers of a refusal.
 	SetRefusalHeaders func(h http.Header, id string)
 }
--- a/relay/run.go
+++ b/relay/run.go
@@ -14,129 +14,130 @@
 	"github.com/parsleydeal/parsleydeal/site"
 )
 
-// maxRefused bounds the endpoints that may refuse a request without running it
-// before it is given up, beside the attempts that ran.
-const maxRefused = 2
+// maxRefusals is how many endpoints may refuse a request without running it, in addition to the
+// attempts that ran, before the request fails.
+const maxRefusals = 2
 
-// leastLeft is the time without which no attempt is made: less than the way there
-// and back. When its time was up a request would else be sent to endpoint after
-// endpoint, each of which would begin it in vain.
-const leastLeft = 10 * clock.Millis(1)
+// minRemaining is the remaining time below which no attempt is made; it is less than a round trip
+// to an endpoint. Without it a request whose time is up would be sent to one endpoint after
+// another, and each would start it in vain.
+const minRemaining = 10 * clock.Millis(1)
 
-// result is what became of one attempt.
+// result is the outcome of one attempt.
 type result int
 
-// The results.
+// The results of an attempt.
 const (
-	// done means that the caller has its whole answer.
+	// done means that the caller has the complete answer.
 	done result = iota
-	// poor means that an answer was dropped because the model thought little of
-	// it; nothing of it reached the caller.
+	// poor means that an answer was dropped because of its low confidence; none of it was sent to
+	// the caller.
 	poor
 	// notRun means that the endpoint never ran the request.
 	notRun
-	// failed means that the attempt may have run and the caller has nothing of it.
+	// failed means that the attempt may have run and nothing was sent to the caller.
 	failed
-	// broken means that the caller has a part of a stream.
+	// broken means that part of a stream was sent to the caller.
 	broken
 	// ended means that no other attempt can help.
 	ended
 )
 
-// run makes attempts until the caller has a whole answer, or until the request's
-// time, attempts or budget are used up. No other layer repeats anything.
+// run makes attempts until the caller has the complete answer, or until the request's time,
+// attempts or retry budget are used up. No other layer retries requests.
 func (x *exchange) run(ctx context.Context) (err error) {
-	x.tried, x.silentAt = make(map[string]bool), make(map[string]bool)
+	x.tried, x.silentEndpoints = make(map[string]bool), make(map[string]bool)
 	p := x.plan()
-	var kept *held
+	var failure *bufferedAnswer
 	for {
-		if x.left() < leastLeft {
-			return x.giveUp(kept, x.markRun(x.overdue(err)))
+		if x.remaining() < minRemaining {
+			return x.giveUp(failure, x.correctRunState(x.deadlineError(err)))
 		}
 		if err = x.checkAllowed(); err != nil {
-			return x.giveUp(kept, x.markRun(err))
+			return x.giveUp(failure, x.correctRunState(err))
 		}
-		e, why := x.pick(p)
+		e, why := x.selectEndpoint(p)
 		if why != placement.Picked {
-			return x.giveUp(kept, x.markRun(x.unplaced(p, why)))
+			return x.giveUp(failure, x.correctRunState(x.placementError(p, why)))
 		}
 		x.tried[e.ID] = true
 		a := &attempt{exchange: x, plan: p, endpoint: e}
 		var r result
 		r, err = a.run(ctx)
-		if a.kept != nil {
-			kept = a.kept
+		if a.failureAnswer != nil {
+			failure = a.failureAnswer
 		}
 		if a.silent {
-			x.silentAt[e.ID] = true
+			x.silentEndpoints[e.ID] = true
 		}
-		x.note(a, r, err)
+		x.recordAttempt(a, r, err)
 		switch {
 		case r == done, r == ended:
-			return x.markRun(err)
-		case ctx.Err() != nil, x.left() < leastLeft:
-			return x.giveUp(kept, x.markRun(x.overdue(err)))
+			return x.correctRunState(err)
+		case ctx.Err() != nil, x.remaining() < minRemaining:
+			return x.giveUp(failure, x.correctRunState(x.deadlineError(err)))
 		case r == poor:
-			p = p.next()
+			p = p.escalate()
 			clear(x.tried)
 			x.tried[e.ID] = true
-		case !x.mayGoOn(r):
-			return x.giveUp(kept, x.markRun(err))
+		case !x.mayRetry(r):
+			return x.giveUp(failure, x.correctRunState(err))
 		}
 		if !x.budget().Take(x.server.cfg.Clock.Now()) && r != notRun {
-			return x.giveUp(kept, x.markRun(err))
+			return x.giveUp(failure, x.correctRunState(err))
 		}
 	}
 }
 
-// mayGoOn reports whether the request may have another attempt.
-func (x *exchange) mayGoOn(r result) bool {
+// mayRetry reports whether the request may have another attempt.
+func (x *exchange) mayRetry(r result) bool {
 	if r == notRun {
-		return x.sends < x.route.MaxAttempts+maxRefused
+		return x.sends < x.route.MaxAttempts+maxRefusals
 	}
 	return x.route.Repeatable() && x.runs < x.route.MaxAttempts
 }
 
-// mayRepeat reports whether an attempt that is under way could be made again
-// elsewhere, so that it need not be waited for until the end.
+// mayRepeat reports whether an attempt in flight may be repeated elsewhere, so that it can be
+// abandoned.
 func (x *exchange) mayRepeat() bool { return x.mayRepeatAfter(0) }
 
-// mayRepeatAfter is mayRepeat when some more attempts will have run by then.
+// mayRepeatAfter reports the same once the given number of further attempts has run.
 func (x *exchange) mayRepeatAfter(more int) bool {
 	return x.route.Repeatable() && x.runs+more < x.route.MaxAttempts
 }
 
-// pick chooses an endpoint for the request's next attempt. One that was tried may have
-// been refusing for a moment only, and gets it again where no other has room; one that
-// was silent only where there is nothing else: nothing seems to run there, since nobody
-// has had an answer.
-func (x *exchange) pick(p plan) (e *fleet.Endpoint, why placement.Reason) {
+// selectEndpoint selects an endpoint for the next attempt. An endpoint that was tried may have
+// refused for a moment only, and is selected again if no other one has room. One that was silent
+// is selected again only if there is nothing else: it seems to have no load, since no request got
+// an answer there.
+func (x *exchange) selectEndpoint(p plan) (e *fleet.Endpoint, why placement.Reason) {
 	e, why = x.server.board.Pick(x.view.Fleet(), x.query(p))
 	if len(x.tried) == 0 {
 		return e, why
 	}
-	for _, avoid := range []map[string]bool{x.tried, x.silentAt, nil} {
+	for _, avoid := range []map[string]bool{x.tried, x.silentEndpoints, nil} {
 		if e != nil {
 			return e, why
 		}
-		q := x.queryAgain(p)
+		q := x.retryQuery(p)
 		q.Avoid = avoid
 		e, why = x.server.board.Pick(x.view.Fleet(), q)
 	}
 	return e, why
 }
 
-// queryAgain asks for an endpoint for another attempt. A late answer is still of use to a
-// caller who has waited, and there is nobody to turn away to.
-func (x *exchange) queryAgain(p plan) placement.Query {
+// retryQuery returns the query for a further attempt. It accepts any endpoint that can answer
+// before the deadline: a late answer is still of use to a caller that has waited, and there
+// is nowhere else to send it.
+func (x *exchange) retryQuery(p plan) placement.Query {
 	q := x.query(p)
 	if q.Patience > 0 {
-		q.Patience = max(x.left(), 1)
+		q.Patience = max(x.remaining(), 1)
 	}
 	return q
 }
 
-// query asks for an endpoint for the model that a plan names now.
+// query returns the query for an endpoint with the plan's current model.
 func (x *exchange) query(p plan) placement.Query {
 	s := x.server
 	now := s.cfg.Clock.Now()
@@ -144,21 +145,21 @@
 	version := rule.Version(catalog.Fraction(x.session), s.sessions.version(x.session, x.service, now, x.view))
 	return placement.Query{
 		Service: x.service, Version: version, Rule: rule, Zone: s.cfg.Zone, Avoid: x.tried, Model: p.model(),
-		Parts: x.req.Blocks, Bytes: len(x.req.body), Bounds: s.bounds(x.view, x.service), AllTold: x.view.AllTold(), Patience: x.patience(now), Now: now,
+		Parts: x.req.Blocks, Bytes: len(x.req.body), Bounds: s.bounds(x.view, x.service), AllTold: x.view.AllTold(), Patience: x.firstByteTimeout(now), Now: now,
 	}
 }
 
-// patience is how long an endpoint may be expected to take for the first byte; 0
-// for any time, once the caller has a part of its answer.
-func (x *exchange) patience(now clock.Millis) clock.Millis {
+// firstByteTimeout returns the longest predicted time to the first byte that is acceptable at an
+// endpoint; 0 for no limit, as once part of the answer was sent to the caller.
+func (x *exchange) firstByteTimeout(now clock.Millis) clock.Millis {
 	if x.written || x.route.Aim <= 0 || x.server.cfg.Strategies.Off(decision.LatePrompts) {
 		return 0
 	}
 	return placement.Patience(x.route.Aim, now-x.startedAt)
 }
 
-// unplaced refuses a request for which there is no endpoint.
-func (x *exchange) unplaced(p plan, why placement.Reason) error {
+// placementError returns the refusal of a request that no endpoint can take.
+func (x *exchange) placementError(p plan, why placement.Reason) error {
 	if why == placement.Full {
 		q := x.query(p)
 		q.Avoid = nil
@@ -167,10 +168,11 @@
 	return refusal.New(refusal.NoEndpoint, "no endpoint may get the request")
 }
 
-// overdue names the end of a request whose time is up or whose caller left.
-func (x *exchange) overdue(err error) error {
+// deadlineError returns the refusal of a request whose deadline passed or whose caller closed the
+// connection.
+func (x *exchange) deadlineError(err error) error {
 	if x.r.Context().Err() != nil {
-		return refusal.New(refusal.Cancelled, errGone.Error()).WithRun(refusal.Unknown)
+		return refusal.New(refusal.Cancelled, errCallerClosed.Error()).WithRun(refusal.Unknown)
 	}
 	return refusal.New(refusal.DeadlinePassed, "time is up: "+messageOf(err))
 }
@@ -182,9 +184,9 @@
 	return err.Error()
 }
 
-// markRun corrects a refusal's word on whether the request ran: once an attempt
-// may have run, later refusals do not make it unrun.
-func (x *exchange) markRun(err error) error {
+// correctRunState corrects the run state of a refusal: once an attempt may have run, a later
+// refusal does not prove that the request did not run.
+func (x *exchange) correctRunState(err error) error {
 	r, ok := refusal.As(err)
 	if ok && r.Run() == refusal.NotRun && x.runs > 0 {
 		return r.WithRun(refusal.Unknown)
@@ -192,30 +194,29 @@
 	return err
 }
 
-// held is a whole answer of an endpoint that reports a failure. It is handed on
-// when no other attempt brings a better one.
-type held struct {
+// bufferedAnswer is the full answer of an endpoint.
+type bufferedAnswer struct {
 	head Head
 	body []byte
 }
 
-// giveUp ends a request with a failure that an endpoint reported, if there is one,
-// or with an error.
-func (x *exchange) giveUp(kept *held, err error) error {
-	if kept == nil || x.written || x.r.Context().Err() != nil {
+// giveUp ends a request with the failure that an endpoint reported, if there is one, or with an
+// error.
+func (x *exchange) giveUp(failure *bufferedAnswer, err error) error {
+	if failure == nil || x.written || x.r.Context().Err() != nil {
 		return err
 	}
-	return x.deliver(kept)
+	return x.deliver(failure)
 }
 
-// budget is the retry budget of the request's service.
+// budget returns the retry budget of the request's service.
 func (x *exchange) budget() *limit.Share { return x.server.budget(x.service, x.view.Entries()) }
 
-// Parts of the bounds on retries that this process uses. Other entries may have
-// more of the traffic in one window than in the next.
+// Fractions of the retry limits that this process uses. Other entries may have a larger part of
+// the traffic in one window than in the next.
 const (
-	ratioPart = 0.8
-	slackPart = 0.5
+	retryRatioFraction = 0.8
+	retrySlackFraction = 0.5
 )
 
 func (s *Server) budget(service string, entries int) *limit.Share {
@@ -223,16 +224,16 @@
 	defer s.mu.Unlock()
 	b, ok := s.budgets[service]
 	if !ok {
-		b = limit.NewShare(s.cfg.RetryWindow, s.cfg.RetryRatio*ratioPart, s.cfg.RetrySlack*slackPart/float64(entries))
+		b = limit.NewShare(s.cfg.RetryWindow, s.cfg.RetryRatio*retryRatioFraction, s.cfg.RetrySlack*retrySlackFraction/float64(entries))
 		s.budgets[service] = b
 	}
 	return b
 }
 
-// bounds is what one endpoint of a service takes in a second. In a cold start that is
-// the overage that operators allow without its slack, which is left for requests that
-// were held up on their way. All entries seldom use their shares in the same second, so
-// that shares which add up to the rate itself would leave half of it unused.
+// bounds returns how many requests per second one endpoint of a service takes. In a cold start
+// that is the overage that operators allow without the slack, which is left for requests delayed
+// on their way. All entries seldom use their shares in the same second, so shares that add up to
+// the rate itself would leave half of it unused.
 func (s *Server) bounds(v *site.View, service string) placement.Bounds {
 	b := placement.Bounds{Shares: v.Shares()}
 	if c, ok := v.Config().Services[service]; ok && c.ColdPerSecond > 0 {
@@ -241,9 +242,9 @@
 	return b
 }
 
-// note takes an attempt's end into what is known of endpoints and versions, and
-// logs the ones that did not bring the answer.
-func (x *exchange) note(a *attempt, r result, err error) {
+// recordAttempt updates the state of the endpoint and the counts of its version, and logs an
+// attempt that did not bring the answer.
+func (x *exchange) recordAttempt(a *attempt, r result, err error) {
 	s := x.server
 	now := s.cfg.Clock.Now()
 	x.endpoint, x.version, x.model = a.endpoint.ID, a.endpoint.Version, a.plan.model()
@@ -252,30 +253,30 @@
 	case callerLeft:
 	case r == done || r == poor:
 		s.board.Outcome(a.endpoint.ID, false, now)
-	case a.status == 0 && r == notRun, a.elsewhere:
+	case a.status == 0 && r == notRun, a.wrongEndpoint:
 		s.board.Lost(a.endpoint.ID, now)
 	case a.silent && !s.board.HeardSince(a.endpoint.ID, a.startedAt):
 		s.board.Lost(a.endpoint.ID, now)
 	case a.silent:
-		// It answers others, so that it is slow and not gone; the next requests
-		// wait longer.
-		s.pace.add(x.route.Name, a.plan.model(), now-a.startedAt)
-		s.pace.miss(x.route, a.plan.model(), now-a.startedAt-a.expected)
+		// The endpoint answers other requests, so it is slow but reachable; the next requests get
+		// a longer timeout.
+		s.latency.addFirstByte(x.route.Name, a.plan.model(), now-a.startedAt)
+		s.latency.addError(x.route, a.plan.model(), now-a.startedAt-a.expectedFirstByte)
 		s.board.Outcome(a.endpoint.ID, true, now)
 	default:
 		s.board.Outcome(a.endpoint.ID, true, now)
 	}
 	if !callerLeft && r != notRun {
-		s.count(x, a, r)
+		s.recordOutcome(x, a, r)
 	}
 	if r != done {
 		s.cfg.Log.Info("Attempt did not answer", "request", x.req.ID, "endpoint", a.endpoint.ID, "address", a.endpoint.Address, "zone", a.endpoint.Zone,
 			"version", a.endpoint.Version, "model", a.plan.model(), "result", r, "status", a.status, "confidence", a.confidence, "silent", a.silent,
-			"after", now-a.startedAt, "expected", a.expected, "first", a.firstAfter, "left", x.left(), "error", logbook.Text(err))
+			"after", now-a.startedAt, "expected", a.expectedFirstByte, "first", a.timeToFirstByte, "left", x.remaining(), "error", logbook.Text(err))
 	}
 }
 
-// String names the result for logs.
+// String returns the name of the result for logs.
 func (r result) String() string {
 	return [...]string{"done", "poor", "not-run", "failed", "broken", "ended"}[r]
 }
--- a/relay/run_test.go
+++ b/relay/run_test.go
@@ -24,7 +24,7 @@
 	"github.com/parsleydeal/parsleydeal/upstream"
 )
 
-// viewOf is the view of an entry with one route and some endpoints of the service app.
+// viewOf returns the view of an entry with one route and some endpoints of the service app.
 func viewOf(route *catalog.Route, changes []fleet.Change) *site.View {
 	s := site.NewState(site.Self{Name: "e"}, 0)
 	config := &catalog.Config{Version: 1, Routes: []*catalog.Route{route}, Services: map[string]catalog.Service{"app": {Name: "app"}}}
@@ -34,7 +34,7 @@
 	return s.View()
 }
 
-// serverOn makes a server that speaks plain HTTP to the endpoints of a view.
+// serverOn returns a server that sends plain HTTP to the endpoints of a view.
 func serverOn(c clock.Clock, view *site.View) *Server {
 	return New(Config{
 		Clock: c, Log: log.New(io.Discard), View: func() *site.View { return view }, Pool: upstream.NewPool(c), RetryRatio: 1, RetrySlack: 100, RetryWindow: 1000,
@@ -49,22 +49,21 @@
 	})
 }
 
-// slotsOf makes an endpoint of the service app with four slots.
+// slotsOf adds an endpoint of the service app with four slots.
 func slotsOf(id, address string) fleet.Change {
 	return fleet.Change{ID: id, Endpoint: &fleet.Endpoint{ID: id, Service: "app", Address: address, Version: "v1", Slots: 4}}
 }
 
-// A request's time is up by the process's clock a moment before its timer fires,
-// while its endpoint has just failed it. No further attempt is made:
-// each would open a connection, or begin the request, in vain.
-func TestNothingIsSentWithoutTimeLeft(t *testing.T) {
+// By the process's clock a request's time is up a moment before its timer fires, and its endpoint
+// has just failed it. A further attempt would open a connection or start the request in vain.
+func TestNoAttemptWithoutTimeRemaining(t *testing.T) {
 	for _, kind := range []catalog.Kind{catalog.Idempotent, catalog.NonIdempotent} {
 		t.Run(fmt.Sprint(kind), func(t *testing.T) { runOutOfTime(t, kind) })
 	}
 }
 
-// runOutOfTime has a request's time end while its first endpoint fails it. The
-// caller is told that its time is up, and not that an endpoint was lost.
+// runOutOfTime lets the deadline pass while the first endpoint fails the request. The caller gets
+// a refusal for the deadline, and not for the lost endpoint.
 func runOutOfTime(t *testing.T, kind catalog.Kind) {
 	t.Helper()
 	is := is.New(t)
@@ -97,10 +96,10 @@
 	is.Equal(x.sends, 1)
 }
 
-// One endpoint is slow and the other full. The request left the slow one after the usual
-// span, found no place, and its caller was failed at once, a moment before the answer
-// would have come. It stays where it is until another endpoint would answer in time.
-func TestRequestStaysWhereNoOtherEndpointHasRoom(t *testing.T) {
+// One endpoint is slow and the other one full. The request left the slow one after the typical
+// time, found no room, and failed at once, a moment before the answer would have arrived. It waits
+// at its endpoint until another one would answer in time.
+func TestRequestStaysWhenNoOtherEndpointHasRoom(t *testing.T) {
 	for _, full := range []bool{true, false} {
 		t.Run(fmt.Sprintf("other full %t", full), func(t *testing.T) { leaveSlowEndpoint(t, full) })
 	}
@@ -131,7 +130,7 @@
 	go func() {
 		time.Sleep(50 * time.Millisecond)
 		if !otherFull {
-			server.board.Load("i-other", 0, 4, c.Now()+10000) // long after, so that the word replaces the old one
+			server.board.Load("i-other", 0, 4, c.Now()+10000) // much later, so that it replaces the earlier report
 		}
 	}()
 	is.NoErr(x.run(context.Background()))
@@ -139,23 +138,23 @@
 	is.Equal(x.sends, map[bool]int{true: 1, false: 2}[otherFull])
 }
 
-// A plain request took half a second at its entry and a few milliseconds at its endpoint.
-// Its line says in which phase the rest went: the caller's body, the first attempt's
-// beginning, or a connection.
-func TestEndOfARequestNamesItsPhases(t *testing.T) {
+// A plain request took half a second at its entry and a few milliseconds at its endpoint. The log
+// line shows which phase took the rest: the caller's body, the start of the first attempt or a
+// connection.
+func TestRequestLogHasPhaseDurations(t *testing.T) {
 	is := is.New(t)
 	out := &bytes.Buffer{}
 	s := site.NewState(site.Self{Name: "e"}, 0)
 	server := New(Config{Clock: clock.New(func() clock.Millis { return 2000 }), Log: log.New(out), View: s.View})
-	x := &exchange{server: server, view: s.View(), r: httptest.NewRequest(http.MethodGet, "/x", nil), startedAt: 1500, bodyTook: 120, placedAt: 1630, connected: 240}
-	x.logEnd(nil, 500, false)
+	x := &exchange{server: server, view: s.View(), r: httptest.NewRequest(http.MethodGet, "/x", nil), startedAt: 1500, bodyTook: 120, firstAttemptAt: 1630, connectTook: 240}
+	x.logRequest(nil, 500, false)
 	is.True(strings.Contains(out.String(), "took=500ms body=120ms placed=130ms connect=240ms"))
 }
 
-// An endpoint lost an answer while the others were busy. The request was sent there again,
-// since nothing seemed to run there, until its caller's time was up, though a late answer
-// was to be had elsewhere.
-func TestSilentEndpointIsNotAskedAgain(t *testing.T) {
+// An endpoint lost an answer while the others were busy. Because it seemed to have no load, the
+// request was sent there again until the caller's time was up, although another endpoint would
+// have answered late.
+func TestSilentEndpointIsNotRetried(t *testing.T) {
 	is := is.New(t)
 	c := clock.Boot()
 	silent, err := standin.StartEndpoint("i-silent", func(*http.Request) standin.Act { return standin.Act{Delay: 20 * time.Second} })
@@ -170,7 +169,7 @@
 		slotsOf("i-busy", busy.Address()),
 	})
 	server := serverOn(c, view)
-	server.board.Waiting("i-busy", 20, c.Now()+1000) // its word stays fresh for a while
+	server.board.Waiting("i-busy", 20, c.Now()+1000) // the report stays valid for a while
 	x := &exchange{
 		server: server, view: view, w: httptest.NewRecorder(), r: httptest.NewRequest(http.MethodGet, "/x", nil), startedAt: c.Now(), deadline: c.Now() + 5000,
 		req: &Request{ID: "r-1", Method: http.MethodGet, Model: "m", Blocks: []placement.Part{{ID: "own", Tokens: 900}}}, route: route, service: "app",
@@ -179,5 +178,5 @@
 	is.Equal(x.endpoint, "i-busy")
 	is.Equal(x.sends, 2)
 	is.True(silent.Seen() == 1)
-	is.True(c.Since(x.startedAt) < clock.Second) // it does not wait for the others to be idle
+	is.True(c.Since(x.startedAt) < clock.Second) // it does not wait until the other endpoint is idle
 }
--- a/relay/server.go
+++ b/relay/server.go
@@ -22,85 +22,90 @@
 	"github.com/parsleydeal/parsleydeal/upstream"
 )
 
-// Config is what a server works with.
+// Config holds the settings and dependencies of a server.
 type Config struct {
 	Clock   clock.Clock
 	Log     *log.Logger
 	Dialect Dialect
-	// View returns what is believed of the site; it never blocks.
+	// View returns the current view of the site; it never blocks.
 	View func() *site.View
 	// Started is closed once the view knows its site.
 	Started <-chan struct{}
 	Pool    *upstream.Pool
 	Zone    string
-	// Strict has keys refused that were not confirmed for KeyLease.
+	// Strict refuses requests with a key if the configuration has not been confirmed for longer
+	// than KeyLease.
 	Strict   bool
 	KeyLease clock.Millis
-	// RetryRatio and RetrySlack bound the attempts beyond the first that a service
-	// gets from all entries in each RetrySpan.
+	// RetryRatio and RetrySlack bound the attempts beyond the first that a service gets from all
+	// entries in each RetryWindow: a ratio to its requests, and a fixed number.
 	RetryRatio  float64
 	RetrySlack  float64
 	RetryWindow clock.Millis
-	// ColdOverage and ColdSlack widen what an endpoint in cold start takes.
+	// ColdOverage and ColdSlack widen the rate limit of an endpoint in a cold start: a factor of
+	// the rate, and requests per second in addition.
 	ColdOverage        float64
 	ColdSlack          float64
 	SessionIdleTimeout clock.Millis
-	// Strategies holds how decisions are made.
+	// Strategies holds the strategy for each kind of decision.
 	Strategies decision.Ways
 }
 
-// Server answers callers.
+// Server answers requests of callers.
 type Server struct {
 	cfg      Config
 	board    *placement.Board
 	sessions *sessions
-	tally    *tally
+	counts   *versionCounts
 	meter    *meter.Meter
 	metrics  *metrics.Set
-	// statements counts how often what an endpoint says of itself changed.
-	statements *metrics.Counter
-	// limitedFirst and limitedFurther count the attempts at endpoints that name a rate.
+	// advertisementChanges counts changes in what endpoints advertise.
+	advertisementChanges *metrics.Counter
+	// limitedFirst and limitedFurther count the first and further attempts at endpoints that
+	// advertise a rate limit.
 	limitedFirst   *metrics.Counter
 	limitedFurther *metrics.Counter
-	pace           *pace
+	latency        *latencyTracker
 	judge          *cascade.Judge
 	leaving        atomic.Bool
-	// startedAt is when the server was made.
-	startedAt clock.Millis
-	// asking holds the addresses of entries that wait for a snapshot; wantsSnapshot is
-	// true while this one waits for its own.
-	asking        chan string
-	wantsSnapshot atomic.Bool
-	active        atomic.Int64
-	mu            sync.Mutex
+	startedAt      clock.Millis
+	// snapshotRequests holds the addresses of entries that wait for a snapshot; awaitingSnapshot
+	// is true while this entry waits for its own.
+	snapshotRequests chan string
+	awaitingSnapshot atomic.Bool
+	active           atomic.Int64
+	mu               sync.Mutex
 	// budgets holds the retry budget of each service.
 	budgets map[string]*limit.Share
 }
 
-// New makes a server.
+// New returns a server with the given configuration.
 func New(cfg Config) *Server {
 	set := metrics.NewSet()
 	return &Server{
-		cfg: cfg, startedAt: cfg.Clock.Now(), meter: meter.New(set), metrics: set, statements: set.NewCounter("parsleydeal_endpoint_statements_total"),
-		limitedFirst: set.NewCounter(`parsleydeal_limited_sends_total{attempt="first"}`), limitedFurther: set.NewCounter(`parsleydeal_limited_sends_total{attempt="further"}`), board: placement.NewBoardWith(cfg.Strategies), sessions: newSessions(cfg.SessionIdleTimeout), tally: newTally(),
-		asking: make(chan string, answersWaiting), pace: newPace(), judge: cascade.NewJudge(cfg.Strategies), budgets: make(map[string]*limit.Share),
+		cfg: cfg, startedAt: cfg.Clock.Now(), meter: meter.New(set), metrics: set, advertisementChanges: set.NewCounter("parsleydeal_endpoint_statements_total"),
+		limitedFirst: set.NewCounter(`parsleydeal_limited_sends_total{attempt="first"}`), limitedFurther: set.NewCounter(`parsleydeal_limited_sends_total{attempt="further"}`), board: placement.NewBoardWith(cfg.Strategies), sessions: newSessions(cfg.SessionIdleTimeout), counts: newVersionCounts(),
+		snapshotRequests: make(chan string, maxSnapshotQueue), latency: newLatencyTracker(), judge: cascade.NewJudge(cfg.Strategies), budgets: make(map[string]*limit.Share),
 	}
 }
 
-// Leave has every answer from now on ask its caller to close the connection.
+// Leave makes every response from now on close its connection, so that callers move to other
+// entries.
 func (s *Server) Leave() { s.leaving.Store(true) }
 
-// Active returns the number of requests under way.
+// Active returns the number of requests in flight.
 func (s *Server) Active() int64 { return s.active.Load() }
 
-// TrafficCounts returns what traffic has counted since the start.
+// TrafficCounts returns the outcomes counted since the start, the requests in flight by version,
+// and the sessions pinned to an old version.
 func (s *Server) TrafficCounts() site.Counted {
-	c := s.tally.counted()
-	c.Kept = s.sessions.kept(s.cfg.View(), s.cfg.Clock.Now())
+	c := s.counts.snapshot()
+	c.Kept = s.sessions.pinned(s.cfg.View(), s.cfg.Clock.Now())
 	return c
 }
 
-// Sweep drops what is no longer needed; it is called now and then.
+// Sweep drops expired sessions, the state of removed endpoints and unused connections. It is called
+// periodically.
 func (s *Server) Sweep() {
 	s.sessions.sweep(s.cfg.Clock.Now())
 	s.board.Keep(s.cfg.View().Fleet(), s.cfg.Clock.Now())
@@ -121,7 +126,7 @@
 	x.finish(err)
 }
 
-// exchange is one request on its way. One goroutine owns it.
+// exchange is one request in flight. It is owned by one goroutine.
 type exchange struct {
 	server    *Server
 	w         http.ResponseWriter
@@ -136,34 +141,33 @@
 	organisation string
 	priority     int
 	session      uint64
-	// tried holds the endpoints that got the request since the last answer that was
-	// dropped, silentAt those that sent nothing for too long. runs counts those that may
-	// have run it, sends all of them.
-	tried    map[string]bool
-	silentAt map[string]bool
-	runs     int
-	sends    int
-	// written is true once the head of the answer is on its way to the caller.
+	// tried holds the endpoints that got the request since the last answer that was dropped,
+	// silentEndpoints those that timed out without sending anything. runs counts the attempts that
+	// may have run, sends all attempts.
+	tried           map[string]bool
+	silentEndpoints map[string]bool
+	runs            int
+	sends           int
+	// written is true once the head of the answer was sent to the caller.
 	written bool
-	// status and endpoint are those of the answer, for the log.
-	status   int
-	endpoint string
-	version  string
-	model    string
-	events   int
-	firstAt  clock.Millis
-	// waited is how long the request was held until the entry knew its site.
-	waited clock.Millis
-	// bodyTook is how long the caller's body took to come, placedAt when the first
-	// attempt began, and connected how long attempts that were answered waited for a
-	// connection.
-	bodyTook  clock.Millis
-	placedAt  clock.Millis
-	connected clock.Millis
-	// emittedAt is when the last event was handed on, pause the longest span between
-	// two of them.
-	emittedAt clock.Millis
-	pause     clock.Millis
+	// status, endpoint, version and model are those of the answer, for the log.
+	status          int
+	endpoint        string
+	version         string
+	model           string
+	events          int
+	timeToFirstByte clock.Millis
+	// startWait is how long the request was held until the entry knew its site.
+	startWait clock.Millis
+	// bodyTook is how long it took to read the caller's body, firstAttemptAt when the first
+	// attempt started, and connectTook how long answered attempts waited for a connection.
+	bodyTook       clock.Millis
+	firstAttemptAt clock.Millis
+	connectTook    clock.Millis
+	// lastEventAt is when the last event was sent to the caller, longestPause the longest time
+	// between two events.
+	lastEventAt  clock.Millis
+	longestPause clock.Millis
 }
 
 func (x *exchange) serve() (err error) {
@@ -175,41 +179,41 @@
 	if err = x.admit(); err != nil {
 		return err
 	}
-	begun := s.cfg.Clock.Now()
+	bodyStartedAt := s.cfg.Clock.Now()
 	if err = x.readBody(); err != nil {
 		return err
 	}
-	x.bodyTook = s.cfg.Clock.Since(begun)
-	ctx, cancel := context.WithTimeout(x.r.Context(), x.left().Duration())
+	x.bodyTook = s.cfg.Clock.Since(bodyStartedAt)
+	ctx, cancel := context.WithTimeout(x.r.Context(), x.remaining().Duration())
 	defer cancel()
 	return x.run(ctx)
 }
 
-// left is how much time the request has.
-func (x *exchange) left() clock.Millis { return x.deadline - x.server.cfg.Clock.Now() }
+// remaining returns the time until the deadline.
+func (x *exchange) remaining() clock.Millis { return x.deadline - x.server.cfg.Clock.Now() }
 
-// finish answers a request that got no whole answer, and logs the end.
+// finish logs the request, and sends a refusal if it got no complete answer.
 func (x *exchange) finish(err error) {
 	s := x.server
 	took := s.cfg.Clock.Since(x.startedAt)
-	gone := x.r.Context().Err() != nil
-	x.logEnd(err, took, gone)
+	callerLeft := x.r.Context().Err() != nil
+	x.logRequest(err, took, callerLeft)
 	switch {
 	case err == nil:
-	case x.written || gone:
-		// The status is sent. Breaking the connection is the only way left to tell
-		// the caller that the answer is not whole.
+	case x.written || callerLeft:
+		// The status has been sent. Aborting the connection is the only way left to signal that
+		// the answer is incomplete.
 		panic(http.ErrAbortHandler)
 	default:
 		x.refuse(err)
 	}
 }
 
-// logEnd writes the request's line in the log.
-func (x *exchange) logEnd(err error, took clock.Millis, gone bool) {
+// logRequest writes the request's log line.
+func (x *exchange) logRequest(err error, took clock.Millis, callerLeft bool) {
 	fields := []any{
 		"request", x.id(), "route", x.routeName(), "organisation", x.organisation, "status", x.status, "endpoint", x.endpoint, "version", x.version, "model", x.model,
-		"sends", x.sends, "events", x.events, "waited", x.waited, "took", took, "body", x.bodyTook, "placed", x.placed(), "connect", x.connected, "first", x.firstAt, "late", x.late(took), "config", x.configVersion(), "config-age", x.configAge(), "left-by-caller", gone,
+		"sends", x.sends, "events", x.events, "waited", x.startWait, "took", took, "body", x.bodyTook, "placed", x.firstAttemptAfter(), "connect", x.connectTook, "first", x.timeToFirstByte, "late", x.late(took), "config", x.configVersion(), "config-age", x.configAge(), "left-by-caller", callerLeft,
 	}
 	if err != nil {
 		x.server.cfg.Log.Warn("Request failed", append(fields, "error", logbook.Text(err))...)
@@ -218,17 +222,19 @@
 	x.server.cfg.Log.Info("Request answered", fields...)
 }
 
-// placed is how long after its start the request's first attempt began; 0 when none did.
-func (x *exchange) placed() clock.Millis {
-	if x.placedAt == 0 {
+// firstAttemptAfter returns the time from the start of the request to its first attempt; 0 if
+// there was none.
+func (x *exchange) firstAttemptAfter() clock.Millis {
+	if x.firstAttemptAt == 0 {
 		return 0
 	}
-	return x.placedAt - x.startedAt
+	return x.firstAttemptAt - x.startedAt
 }
 
-// late says by what an answer was not of full use; empty for one in time.
+// late returns the latency target that the answer missed, first-byte or pause; empty if it was in
+// time.
 func (x *exchange) late(took clock.Millis) string {
-	first := x.firstAt
+	first := x.timeToFirstByte
 	if x.events == 0 {
 		first = took
 	}
@@ -237,13 +243,13 @@
 		return ""
 	case x.route.Aim > 0 && first > x.route.Aim:
 		return "first-byte"
-	case x.route.Gap > 0 && x.pause > x.route.Gap:
+	case x.route.Gap > 0 && x.longestPause > x.route.Gap:
 		return "pause"
 	}
 	return ""
 }
 
-// id is the request's, or empty when it could not be read.
+// id returns the request ID; empty if the request could not be read.
 func (x *exchange) id() string {
 	if x.req == nil {
 		return ""
@@ -258,7 +264,7 @@
 	return x.route.Name
 }
 
-// configAge is how long ago the configuration was confirmed.
+// configAge returns how long ago the configuration was confirmed.
 func (x *exchange) configAge() clock.Millis { return x.server.cfg.Clock.Since(x.view.ConfirmedAt()) }
 
 func (x *exchange) configVersion() int64 {
@@ -268,12 +274,12 @@
 	return 0
 }
 
-// refuse writes a typed refusal.
+// refuse sends a refusal to the caller.
 func (x *exchange) refuse(err error) {
 	r := refusal.Of(err)
 	x.server.cfg.Dialect.SetRefusalHeaders(x.w.Header(), x.id())
 	r.Write(x.w, x.r, retryAfter(r, x))
 }
 
-// errGone marks a caller that closed its connection.
-var errGone = errors.New("relay: caller closed its connection")
+// errCallerClosed is the error for a caller that closed its connection.
+var errCallerClosed = errors.New("relay: caller closed its connection")
--- a/relay/sessions.go
+++ b/relay/sessions.go
@@ -9,36 +9,37 @@
 	"github.com/parsleydeal/parsleydeal/site"
 )
 
-// sessions remembers on which version each session ran last, by the session's
-// hash, for as long as a session lasts that nobody uses.
+// sessions records the version that served each session last, by the hash of the session, until
+// the session has been idle for idleTimeout and a grace period.
 type sessions struct {
-	life clock.Millis
-	mu   sync.Mutex
-	all  map[uint64]*session
+	idleTimeout clock.Millis
+	mu          sync.Mutex
+	all         map[uint64]*session
 }
 
 type session struct {
 	service string
 	version string
-	// running counts its requests under way, endedAt is when the last one ended.
+	// running counts the requests in flight; endedAt is when the last one ended.
 	running int
 	endedAt clock.Millis
 }
 
-func newSessions(life clock.Millis) *sessions {
-	return &sessions{life: life, all: make(map[uint64]*session)}
+func newSessions(idleTimeout clock.Millis) *sessions {
+	return &sessions{idleTimeout: idleTimeout, all: make(map[uint64]*session)}
 }
 
-// lapse is how much longer a session is remembered than callers may pause: the
-// next request of a session may have been on its way for that long.
-const lapse = 2 * clock.Second
+// idleGrace extends the idle timeout, because the next request of a session may have been in
+// transit for that long.
+const idleGrace = 2 * clock.Second
 
-func (s *sessions) alive(x *session, now clock.Millis) bool {
-	return x.running > 0 || now-x.endedAt <= s.life+lapse
+func (s *sessions) active(x *session, now clock.Millis) bool {
+	return x.running > 0 || now-x.endedAt <= s.idleTimeout+idleGrace
 }
 
-// use notes the version that a session's request is sent to, and its end.
-func (s *sessions) use(hash uint64, service, version string, now func() clock.Millis) (end func()) {
+// begin records the version that a session's request is sent to; end records the end of the
+// request.
+func (s *sessions) begin(hash uint64, service, version string, now func() clock.Millis) (end func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	x, ok := s.all[hash]
@@ -56,12 +57,12 @@
 	}
 }
 
-// version returns the version that a session ran on lately, or "". A session
-// that another entry keeps on the old version counts as having run there.
+// version returns the version that a session ran on recently, or "". A session that another entry
+// pins to the old version counts as having run on it.
 func (s *sessions) version(hash uint64, service string, now clock.Millis, v *site.View) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if x, ok := s.all[hash]; ok && x.service == service && s.alive(x, now) {
+	if x, ok := s.all[hash]; ok && x.service == service && s.active(x, now) {
 		return x.version
 	}
 	if v.KeptElsewhere(service, hash) {
@@ -70,15 +71,15 @@
 	return ""
 }
 
-// kept lists by service the sessions that run on the old version of an upgrade
-// although their number belongs to the new one.
-func (s *sessions) kept(v *site.View, now clock.Millis) map[string][]uint64 {
+// pinned returns by service the sessions that run on the old version of an upgrade although their
+// hash falls in the share of the new one.
+func (s *sessions) pinned(v *site.View, now clock.Millis) map[string][]uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := make(map[string][]uint64)
 	for hash, x := range s.all {
 		rule := v.Rule(x.service, now)
-		if rule.Target == "" || !rule.Pinned || x.version == rule.Target || !s.alive(x, now) {
+		if rule.Target == "" || !rule.Pinned || x.version == rule.Target || !s.active(x, now) {
 			continue
 		}
 		if catalog.Fraction(hash) < rule.Share {
@@ -95,7 +96,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for hash, x := range s.all {
-		if !s.alive(x, now) {
+		if !s.active(x, now) {
 			delete(s.all, hash)
 		}
 	}
--- a/relay/share.go
+++ b/relay/share.go
@@ -13,120 +13,122 @@
 )
 
 const (
-	// shareBytes bounds what an entry sends in a second to tell others of its work at
-	// endpoints: half of what control may use.
-	shareBytes = 8192
-	// shareBurst is the part of a second's bytes that may go out at once, when several
-	// long prompts come together.
-	shareBurst = 0.3
-	// sharePause is the span between two whole reports: half of that for which an
-	// entry's word holds.
-	sharePause = 500 * clock.Millis(1)
-	// shareLeast is the least span between two reports: the smallest model reads a long
-	// prompt in it.
-	shareLeast = 30 * clock.Millis(1)
-	// headBytes is what a datagram takes beside its report: the headers of IP, UDP and
-	// the link.
-	headBytes = 46
+	// reportBytesPerSecond bounds the traffic for reports of this entry's work to other entries:
+	// half of what control messages may use.
+	reportBytesPerSecond = 8192
+	// reportBurstRatio is the fraction of a second's bytes that may be sent at once, when several
+	// long prompts arrive together.
+	reportBurstRatio = 0.3
+	// fullReportInterval is the time between two full reports: half of the time for which a report
+	// stays valid.
+	fullReportInterval = 500 * clock.Millis(1)
+	// minReportInterval is the least time between two reports. The smallest model processes a long
+	// prompt in that time.
+	minReportInterval = 30 * clock.Millis(1)
+	// packetOverheadBytes is the size of a datagram without its report: the IP, UDP and link
+	// headers.
+	packetOverheadBytes = 46
 )
 
-// allowance bounds the bytes that reports take over time.
-type allowance struct {
-	left float64
-	at   clock.Millis
+// byteBudget is a token bucket for the bytes of reports; available may be negative.
+type byteBudget struct {
+	available float64
+	updatedAt clock.Millis
 }
 
-// pass lets time go by.
-func (a *allowance) pass(now clock.Millis) {
-	a.left = min(a.left+shareBytes*float64(now-a.at)/float64(clock.Second), shareBytes*shareBurst)
-	a.at = now
+// refill adds the bytes that have become available since the last call.
+func (b *byteBudget) refill(now clock.Millis) {
+	b.available = min(b.available+reportBytesPerSecond*float64(now-b.updatedAt)/float64(clock.Second), reportBytesPerSecond*reportBurstRatio)
+	b.updatedAt = now
 }
 
-// wait is how long it takes until another report may go out.
-func (a *allowance) wait() clock.Millis {
-	return clock.Millis(math.Ceil(max(-a.left, 0) * float64(clock.Second) / shareBytes))
+// wait returns the time until the next report may be sent.
+func (b *byteBudget) wait() clock.Millis {
+	return clock.Millis(math.Ceil(max(-b.available, 0) * float64(clock.Second) / reportBytesPerSecond))
 }
 
-// SendReports tells the entries near by of this one's work at endpoints until the context
-// ends: a long prompt at once, all else now and then. Entries that know only their own
-// work send a prompt where those of others wait, and have its parts read again where
-// another endpoint holds them.
+// SendReports reports this entry's work at endpoints to its neighbours until the context ends: a
+// long prompt at once, all else periodically. An entry that knew only its own work would send a
+// prompt to an endpoint where prompts of other entries are queued, and would have its blocks
+// processed again that another endpoint has cached. send is called with the addresses of the
+// neighbours.
 func (s *Server) SendReports(ctx context.Context, name string, send func(r *wire.EntryReport, to []string) error) {
-	spent := allowance{at: s.cfg.Clock.Now()}
-	wholeAt, busy := spent.at, false
-	for s.shareDue(ctx, &spent, wholeAt+sharePause) {
-		whole := spent.at >= wholeAt+sharePause
-		if whole {
-			wholeAt = spent.at
+	budget := byteBudget{updatedAt: s.cfg.Clock.Now()}
+	lastFullAt, hadWork := budget.updatedAt, false
+	for s.awaitReport(ctx, &budget, lastFullAt+fullReportInterval) {
+		full := budget.updatedAt >= lastFullAt+fullReportInterval
+		if full {
+			lastFullAt = budget.updatedAt
 		}
 		to := s.cfg.View().Neighbours()
-		r := &wire.EntryReport{Process: name, Work: workOf(s.board.Tell(spent.at, whole)), Partial: !whole}
-		// An empty report follows the last one that had work: others would else take it
-		// for work that goes on.
-		if len(to) == 0 || len(r.GetWork()) == 0 && (!whole || !busy) {
+		r := &wire.EntryReport{Process: name, Work: workToWire(s.board.Tell(budget.updatedAt, full)), Partial: !full}
+		// An empty report follows the last one with work. Without it the receivers would assume
+		// that the work goes on.
+		if len(to) == 0 || len(r.GetWork()) == 0 && (!full || !hadWork) {
 			continue
 		}
-		busy = len(r.GetWork()) > 0
-		spent.left -= float64((headBytes + proto.Size(r)) * len(to))
+		hadWork = len(r.GetWork()) > 0
+		budget.available -= float64((packetOverheadBytes + proto.Size(r)) * len(to))
 		if err := send(r, to); err != nil {
-			s.cfg.Log.Warn("Work at endpoints was not told", "error", logbook.Text(err))
+			s.cfg.Log.Warn("Cannot report work at endpoints", "error", logbook.Text(err))
 		}
 	}
 }
 
-// shareDue waits until there are news to tell or a whole report is due, and there are
-// bytes left for it; not if the context ends before.
-func (s *Server) shareDue(ctx context.Context, spent *allowance, whole clock.Millis) bool {
-	spent.pass(s.cfg.Clock.Now())
-	if !clock.Pause(ctx, max(spent.wait(), shareLeast)) {
+// awaitReport waits until there is an urgent change or a full report is due, and the byte budget
+// allows a report. It returns false if the context ends first.
+func (s *Server) awaitReport(ctx context.Context, budget *byteBudget, nextFullAt clock.Millis) bool {
+	budget.refill(s.cfg.Clock.Now())
+	if !clock.Pause(ctx, max(budget.wait(), minReportInterval)) {
 		return false
 	}
-	spent.pass(s.cfg.Clock.Now())
-	rest := time.NewTimer(max(whole-spent.at, 0).Duration())
-	defer rest.Stop()
+	budget.refill(s.cfg.Clock.Now())
+	timer := time.NewTimer(max(nextFullAt-budget.updatedAt, 0).Duration())
+	defer timer.Stop()
 	select {
 	case <-s.board.Urgent():
-	case <-rest.C:
+	case <-timer.C:
 	case <-ctx.Done():
 		return false
 	}
-	spent.pass(s.cfg.Clock.Now())
+	budget.refill(s.cfg.Clock.Now())
 	return true
 }
 
-// ReceiveReport takes another entry's word on its work.
+// ReceiveReport records another entry's report of its work, or handles a request for a snapshot or
+// the snapshot that this entry requested.
 func (s *Server) ReceiveReport(r *wire.EntryReport) {
-	if s.hearSnapshot(r) {
+	if s.receiveSnapshot(r) {
 		return
 	}
-	s.board.Hear(r.GetProcess(), toldOf(r.GetWork()), !r.GetPartial(), s.cfg.Clock.Now())
+	s.board.Hear(r.GetProcess(), workFromWire(r.GetWork()), !r.GetPartial(), s.cfg.Clock.Now())
 }
 
-func toldOf(work []*wire.EndpointWork) (told []placement.Told) {
+func workFromWire(work []*wire.EndpointWork) (reports []placement.Told) {
 	for _, w := range work {
-		t := placement.Told{Endpoint: w.GetEndpoint(), Pending: float64(w.GetReadingMillis()), Unanswered: int(w.GetUnanswered()), Parts: w.GetParts(), Waiting: int(w.GetWaiting()), WordAge: clock.Millis(w.GetWordAgeMillis())}
-		if s := w.GetStatement(); possible(s) {
-			t.Statement = placement.Statement{Rate: s.GetRate(), HasRate: s.Rate != nil, Leaving: s.GetLeaving()}
-			t.StatementAge, t.Born = clock.Millis(s.GetAgeMillis()), s.GetBorn()
+		e := placement.Told{Endpoint: w.GetEndpoint(), Pending: float64(w.GetReadingMillis()), Unanswered: int(w.GetUnanswered()), Parts: w.GetParts(), Waiting: int(w.GetWaiting()), WordAge: clock.Millis(w.GetWordAgeMillis())}
+		if ad := w.GetStatement(); validAdvertisement(ad) {
+			e.Statement = placement.Statement{Rate: ad.GetRate(), HasRate: ad.Rate != nil, Leaving: ad.GetLeaving()}
+			e.StatementAge, e.Born = clock.Millis(ad.GetAgeMillis()), ad.GetBorn()
 		}
-		told = append(told, t)
+		reports = append(reports, e)
 	}
-	return told
+	return reports
 }
 
-// possible reports whether an endpoint can have made a statement: a rate that is no number
-// would keep everything from it for good.
-func possible(s *wire.EndpointStatement) bool {
-	return s.GetAgeMillis() > 0 && s.GetRate() >= 0 && !math.IsInf(s.GetRate(), 0)
+// validAdvertisement reports whether an endpoint can have sent the advertisement. An infinite or
+// invalid rate would keep all requests from the endpoint permanently.
+func validAdvertisement(ad *wire.EndpointStatement) bool {
+	return ad.GetAgeMillis() > 0 && ad.GetRate() >= 0 && !math.IsInf(ad.GetRate(), 0)
 }
 
-func workOf(told []placement.Told) (out []*wire.EndpointWork) {
-	for _, t := range told {
-		w := &wire.EndpointWork{Endpoint: t.Endpoint, ReadingMillis: int32(t.Pending), Unanswered: int32(t.Unanswered), Parts: t.Parts, Waiting: int32(t.Waiting), WordAgeMillis: int32(t.WordAge)}
-		if t.StatementAge > 0 {
-			w.Statement = &wire.EndpointStatement{Born: t.Born, AgeMillis: int32(t.StatementAge), Leaving: t.Statement.Leaving}
-			if t.Statement.HasRate {
-				w.Statement.Rate = &t.Statement.Rate
+func workToWire(reports []placement.Told) (out []*wire.EndpointWork) {
+	for _, e := range reports {
+		w := &wire.EndpointWork{Endpoint: e.Endpoint, ReadingMillis: int32(e.Pending), Unanswered: int32(e.Unanswered), Parts: e.Parts, Waiting: int32(e.Waiting), WordAgeMillis: int32(e.WordAge)}
+		if e.StatementAge > 0 {
+			w.Statement = &wire.EndpointStatement{Born: e.Born, AgeMillis: int32(e.StatementAge), Leaving: e.Statement.Leaving}
+			if e.Statement.HasRate {
+				w.Statement.Rate = &e.Statement.Rate
 			}
 		}
 		out = append(out, w)
--- a/relay/share_test.go
+++ b/relay/share_test.go
@@ -17,36 +17,36 @@
 	"pgregory.net/rapid"
 )
 
-// A site grows, and with it the reports of work and the entries that hear them; long
-// prompts come all the time, each of which others should hear of at once. What an entry
-// sends for it in a second stays the same; its word becomes older.
-func TestSharedWorkKeepsItsBytes(t *testing.T) {
+// A site grows, and with it the size of reports and the number of entries that receive them; long
+// prompts arrive all the time, and each is reported as soon as possible. The bytes that an entry
+// sends per second for reports stay bounded; its reports become older instead.
+func TestReportsStayWithinByteBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		size, to := rapid.IntRange(60, 60000).Draw(t, "size"), rapid.IntRange(1, 400).Draw(t, "to")
-		span := 100 * clock.Second
-		spent := allowance{}
+		duration := 100 * clock.Second
+		budget := byteBudget{}
 		bytes, now := 0, clock.Millis(0)
-		for now < span {
-			spent.pass(now)
-			now += max(spent.wait(), shareLeast)
-			spent.pass(now)
-			spent.left -= float64(size * to)
+		for now < duration {
+			budget.refill(now)
+			now += max(budget.wait(), minReportInterval)
+			budget.refill(now)
+			budget.available -= float64(size * to)
 			bytes += size * to
 		}
-		// The last report may be as large as it is; it is paid for afterwards.
+		// The last report may exceed the budget, whatever its size; later ones wait for it.
 		perSecond := float64(bytes-size*to) * float64(clock.Second) / float64(now)
-		if perSecond > shareBytes*1.01 {
-			t.Fatalf("%g bytes a second", perSecond)
+		if perSecond > reportBytesPerSecond*1.01 {
+			t.Fatalf("%g bytes per second", perSecond)
 		}
 	})
 }
 
-// An entry starts while its neighbours work. It asks one of them for what endpoints keep, once
-// it knows one, and takes nothing over that it did not ask for; strangers get no answer.
-func TestStartedEntryAsksForASnapshot(t *testing.T) {
+// An entry starts while its neighbours are running. It requests a snapshot from one of them once
+// it knows one, and ignores a snapshot that it did not request; unknown addresses get none.
+func TestStartedEntryRequestsSnapshot(t *testing.T) {
 	is := is.New(t)
 	c := clock.Boot()
-	// serverOf makes the server of an entry that knows another one near by.
+	// serverOf returns the server of an entry with one neighbour.
 	serverOf := func(name, other string) *Server {
 		view := site.NewState(site.Self{Name: name, Zone: "a"}, 0)
 		site.Reduce(view, site.EntriesRead{Now: 1, Addresses: map[string]string{name: name + ":1", other: other + ":1"}})
@@ -75,11 +75,11 @@
 	is.Equal(speeds, want)
 }
 
-// Speeds that no model has come from a broken or strange process. They would send all prompts
-// to one model's endpoints, or none.
-func TestSpeedsThatCannotBeAreDropped(t *testing.T) {
+// Impossible speeds come from a faulty or foreign process. They would send all prompts to the
+// endpoints of one model, or none.
+func TestInvalidSpeedsAreDropped(t *testing.T) {
 	is := is.New(t)
 	for _, s := range []*wire.ModelSpeed{{Model: "m", Measured: 1}, {Model: "m", TokenMillis: -1, Measured: 1}, {Model: "m", TokenMillis: math.NaN(), Measured: 1}, {Model: "m", TokenMillis: 1}, {Model: "m", TokenMillis: 99, Measured: 1}, {Model: "m", TokenMillis: 1, Measured: 1, BeyondMillis: math.NaN()}, {Model: "m", TokenMillis: 1, Measured: 1, BeyondMillis: -1e9}} {
-		is.Equal(len(measuredOf([]*wire.ModelSpeed{s})), 0)
+		is.Equal(len(speedsFromWire([]*wire.ModelSpeed{s})), 0)
 	}
 }
--- a/relay/snapshot.go
+++ b/relay/snapshot.go
@@ -13,102 +13,105 @@
 )
 
 const (
-	// askPause is the span between two questions of an entry that has just started, and
-	// askMost their number. After all entries were stopped nobody has an answer.
-	askPause = 250 * clock.Millis(1)
-	askMost  = 6
-	// askFor is how long an entry looks for neighbours to ask. By then it has learned
-	// itself what they would tell.
-	askFor = 15 * clock.Second
-	// answerPause is the least span between two answers: many entries may start at once.
-	answerPause = 50 * clock.Millis(1)
-	// answersWaiting bounds the entries that wait for an answer.
-	answersWaiting = 8
+	// snapshotRequestInterval is the time between two requests of an entry that has just started,
+	// and maxSnapshotRequests their number. After a stop of all entries no neighbour has a
+	// snapshot.
+	snapshotRequestInterval = 250 * clock.Millis(1)
+	maxSnapshotRequests     = 6
+	// snapshotRequestTimeout is how long a started entry looks for neighbours. After that time it
+	// has collected by itself what a snapshot would contain.
+	snapshotRequestTimeout = 15 * clock.Second
+	// snapshotSendInterval is the least time between two snapshots that are sent: many entries may
+	// start at once.
+	snapshotSendInterval = 50 * clock.Millis(1)
+	// maxSnapshotQueue bounds the entries that wait for a snapshot.
+	maxSnapshotQueue = 8
 )
 
-// RequestSnapshot asks one neighbour after another what endpoints keep and how fast models
-// read, until one has answered. An entry that knows neither has prompts read again that
-// its neighbours know where to send.
+// RequestSnapshot requests a snapshot of the cached blocks of endpoints and the speeds of models
+// from one neighbour after another, until one has replied. Without a snapshot prompts would be
+// processed again whose blocks the neighbours know to be cached. address is where this entry
+// receives reports.
 func (s *Server) RequestSnapshot(ctx context.Context, name, address string, send func(r *wire.EntryReport, to []string) error) {
 	if s.cfg.Strategies.Of(decision.Start) != decision.Snapshot {
 		return
 	}
 	r := &wire.EntryReport{Process: name, Address: address, AskParts: true, Partial: true}
-	s.wantsSnapshot.Store(true)
-	defer s.wantsSnapshot.Store(false)
-	until := s.cfg.Clock.Now() + askFor
-	for asked := 0; asked <= askMost && s.cfg.Clock.Now() < until && s.wantsSnapshot.Load() && clock.Pause(ctx, askPause); {
+	s.awaitingSnapshot.Store(true)
+	defer s.awaitingSnapshot.Store(false)
+	deadline := s.cfg.Clock.Now() + snapshotRequestTimeout
+	for requests := 0; requests <= maxSnapshotRequests && s.cfg.Clock.Now() < deadline && s.awaitingSnapshot.Load() && clock.Pause(ctx, snapshotRequestInterval); {
 		to := s.cfg.View().Neighbours()
 		if len(to) == 0 {
 			continue
 		}
-		if asked == askMost {
+		if requests == maxSnapshotRequests {
 			return
 		}
-		if err := send(r, to[asked%len(to):asked%len(to)+1]); err != nil {
-			s.cfg.Log.Warn("Neighbour was not asked for a snapshot", "error", logbook.Text(err))
+		if err := send(r, to[requests%len(to):requests%len(to)+1]); err != nil {
+			s.cfg.Log.Warn("Cannot request a snapshot from a neighbour", "error", logbook.Text(err))
 		}
-		asked++
+		requests++
 	}
 }
 
-// ServeSnapshots answers entries that have just started, until the context ends.
+// ServeSnapshots sends snapshots to entries that have just started, until the context ends.
 func (s *Server) ServeSnapshots(ctx context.Context, name string, send func(r *wire.EntryReport, to []string) error) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case address := <-s.asking:
-			// Whoever reaches the port could else have snapshots sent to others.
+		case address := <-s.snapshotRequests:
+			// Without this check anyone who can reach the port could have snapshots sent to third
+			// parties.
 			if !slices.Contains(s.cfg.View().Neighbours(), address) {
 				continue
 			}
-			parts, speeds := s.board.Snapshot(s.cfg.Clock.Now())
+			work, speeds := s.board.Snapshot(s.cfg.Clock.Now())
 			if len(speeds) == 0 {
 				continue
 			}
-			r := &wire.EntryReport{Process: name, Work: workOf(parts), Partial: true, Speeds: speedsOf(speeds)}
+			r := &wire.EntryReport{Process: name, Work: workToWire(work), Partial: true, Speeds: speedsToWire(speeds)}
 			if err := send(r, []string{address}); err != nil {
-				s.cfg.Log.Warn("Snapshot was not sent", "error", logbook.Text(err))
+				s.cfg.Log.Warn("Cannot send a snapshot", "error", logbook.Text(err))
 			}
-			clock.Pause(ctx, answerPause)
+			clock.Pause(ctx, snapshotSendInterval)
 		}
 	}
 }
 
-// hearSnapshot takes a question for a snapshot or an answer to one; not if the report is
-// neither.
-func (s *Server) hearSnapshot(r *wire.EntryReport) bool {
+// receiveSnapshot handles a snapshot or a request for one; it returns false for any other report.
+func (s *Server) receiveSnapshot(r *wire.EntryReport) bool {
 	switch {
 	case r.GetAskParts():
 		select {
-		case s.asking <- r.GetAddress():
+		case s.snapshotRequests <- r.GetAddress():
 		default:
 		}
 		return true
 	case len(r.GetSpeeds()) == 0:
 		return false
 	}
-	if s.wantsSnapshot.CompareAndSwap(true, false) {
-		s.board.Adopt(toldOf(r.GetWork()), measuredOf(r.GetSpeeds()), s.cfg.Clock.Now())
+	if s.awaitingSnapshot.CompareAndSwap(true, false) {
+		s.board.Adopt(workFromWire(r.GetWork()), speedsFromWire(r.GetSpeeds()), s.cfg.Clock.Now())
 		s.cfg.Log.Info("Snapshot of endpoints was taken over", "from", r.GetProcess(), "endpoints", len(r.GetWork()), "models", len(r.GetSpeeds()))
 	}
 	return true
 }
 
-func speedsOf(speeds []placement.ModelSpeed) (out []*wire.ModelSpeed) {
+func speedsToWire(speeds []placement.ModelSpeed) (out []*wire.ModelSpeed) {
 	for _, s := range speeds {
 		out = append(out, &wire.ModelSpeed{Model: s.Model, TokenMillis: s.Token, Measured: int32(s.Measured), BeyondMillis: s.Beyond})
 	}
 	return out
 }
 
-// measuredOf leaves out speeds that cannot be: they would send all prompts to one model's
-// endpoints, or none.
-func measuredOf(speeds []*wire.ModelSpeed) (out []placement.ModelSpeed) {
+// speedsFromWire drops impossible speeds: they would send all prompts to the endpoints of one
+// model, or none.
+func speedsFromWire(speeds []*wire.ModelSpeed) (out []placement.ModelSpeed) {
 	for _, s := range speeds {
-		beyond := math.Abs(s.GetBeyondMillis()) < mostBeyond
-		if beyond && s.GetTokenMillis() > 0 && s.GetTokenMillis() < slowestToken && s.GetMeasured() > 0 {
+		beyond := math.Abs(s.GetBeyondMillis()) < maxBeyondMillis
+		if beyond && s.GetTokenMillis() > 0 && s.GetTokenMillis() < maxTokenMillis && s.GetMeasured() > 0 {
 			out = append(out, placement.ModelSpeed{Model: s.GetModel(), Token: s.GetTokenMillis(), Measured: int(s.GetMeasured()), Beyond: s.GetBeyondMillis()})
 		}
 	}
@@ -116,8 +119,8 @@
 }
 
 const (
-	// slowestToken is the time in milliseconds in which any model reads a token.
-	slowestToken = 10.0
-	// mostBeyond is the most by which first bytes miss what is expected, in milliseconds.
-	mostBeyond = 10000.0
+	// maxTokenMillis is the time within which any model processes a prompt token.
+	maxTokenMillis = 10.0
+	// maxBeyondMillis is the largest plausible prediction error of first bytes, in milliseconds.
+	maxBeyondMillis = 10000.0
 )
--- a/relay/stream.go
+++ b/relay/stream.go
@@ -14,30 +14,29 @@
 )
 
 const (
-	// gapFactor and leastGap bound the silence within a stream that can go on
-	// elsewhere. An endpoint that pre-empts a request pauses its stream for up to
-	// a second and goes on.
-	gapFactor = 2
-	leastGap  = 1500 * clock.Millis(1)
-	// writePatience bounds the pause in which a caller takes nothing. A caller
-	// that stops reading would otherwise hold its request, and its place at an
-	// endpoint, until the request's time is up.
-	writePatience = 5 * clock.Second
-	// maxEvent bounds an event.
-	maxEvent = 1 << 20
+	// eventTimeoutFactor and minEventTimeout bound the wait for the next event of a stream that
+	// can be resumed elsewhere. An endpoint that pre-empts a request pauses its stream for up to a
+	// second and then continues.
+	eventTimeoutFactor = 2
+	minEventTimeout    = 1500 * clock.Millis(1)
+	// writeTimeout bounds a write to the caller. A caller that stops reading would otherwise hold
+	// its request, and its slot at an endpoint, until the request's deadline.
+	writeTimeout = 5 * clock.Second
+	// maxEventBytes bounds the size of an event.
+	maxEventBytes = 1 << 20
 )
 
-// stream hands events on as they come. Only whole events are handed on: an
-// endpoint that fails may stop in the middle of one.
-func (a *attempt) stream(h Head, answer *upstream.Answer) (r result, err error) {
+// streamAnswer forwards events as they arrive. Only complete events are forwarded: an endpoint
+// that fails may stop in the middle of one.
+func (a *attempt) streamAnswer(h Head, answer *upstream.Answer) (r result, err error) {
 	x := a.exchange
 	events := &eventReader{r: bufio.NewReader(answer)}
 	if !x.written {
-		x.open(h)
+		x.writeHead(h)
 	}
 	for {
-		if err = answer.SetPatience(x.silence()); err != nil {
-			return broken, lost(err)
+		if err = answer.SetPatience(x.eventTimeout()); err != nil {
+			return broken, interrupted(err)
 		}
 		e, err := events.next()
 		if err == io.EOF {
@@ -45,42 +44,43 @@
 		}
 		if err != nil {
 			a.silent, a.cause = upstream.TimedOut(err), err
-			return broken, lost(err)
+			return broken, interrupted(err)
 		}
-		a.lastAt = x.server.cfg.Clock.Now()
+		a.lastEventAt = x.server.cfg.Clock.Now()
 		if a.events == 0 {
-			a.openedAt = a.lastAt
+			a.firstEventAt = a.lastEventAt
 		}
 		a.events++
-		x.server.board.Heard(a.endpoint.ID, a.lastAt)
-		if err = x.emit(e); err != nil {
+		x.server.board.Heard(a.endpoint.ID, a.lastEventAt)
+		if err = x.writeEvent(e); err != nil {
 			return ended, err
 		}
 	}
 }
 
-// silence is how long the next event may take.
-func (x *exchange) silence() clock.Millis {
+// eventTimeout returns how long to wait for the next event.
+func (x *exchange) eventTimeout() clock.Millis {
 	if !x.mayRepeat() {
-		return max(x.left(), 1)
+		return max(x.remaining(), 1)
 	}
-	return max(min(max(gapFactor*x.route.Gap, leastGap), x.left()), 1)
+	return max(min(max(eventTimeoutFactor*x.route.Gap, minEventTimeout), x.remaining()), 1)
 }
 
-// open begins the answer to the caller. Its length is not known when a part of
-// it may come from another endpoint.
-func (x *exchange) open(h Head) {
+// writeHead sends the head of the answer to the caller. The length is omitted because part of the
+// answer may come from another endpoint.
+func (x *exchange) writeHead(h Head) {
 	copyHeader(x.w.Header(), h.Header)
 	x.w.Header().Del("Content-Length")
 	x.w.WriteHeader(h.Status)
 	x.written, x.status = true, h.Status
-	x.firstAt = x.server.cfg.Clock.Now() - x.startedAt
+	x.timeToFirstByte = x.server.cfg.Clock.Now() - x.startedAt
 }
 
-// emit hands one event on, unless the caller has it already.
-func (x *exchange) emit(e event) (err error) {
+// writeEvent sends one event to the caller and records its ID, from which the stream can be
+// resumed.
+func (x *exchange) writeEvent(e event) (err error) {
 	control := http.NewResponseController(x.w)
-	_ = control.SetWriteDeadline(time.Now().Add(writePatience.Duration()))
+	_ = control.SetWriteDeadline(time.Now().Add(writeTimeout.Duration()))
 	if _, err = x.w.Write(e.raw); err == nil {
 		err = control.Flush()
 	}
@@ -89,44 +89,44 @@
 	}
 	now := x.server.cfg.Clock.Now()
 	if x.events > 0 {
-		x.pause = max(x.pause, now-x.emittedAt)
+		x.longestPause = max(x.longestPause, now-x.lastEventAt)
 	}
 	x.events++
-	x.emittedAt = now
+	x.lastEventAt = now
 	if e.id != "" {
 		x.req.LastEventID, x.req.Resumes = e.id, true
 	}
 	return nil
 }
 
-// event is one event of a stream as it came.
+// event is one event of a stream, as received.
 type event struct {
 	raw []byte
 	id  string
 }
 
-// eventReader parts a stream into events.
+// eventReader splits a stream into events.
 type eventReader struct {
 	r *bufio.Reader
 }
 
 var (
-	errTorn  = errors.New("relay: stream ends in the middle of an event")
-	errEvent = errors.New("relay: event is too large")
+	errIncompleteEvent = errors.New("relay: stream ends in the middle of an event")
+	errEventTooLarge   = errors.New("relay: event is too large")
 )
 
-// next returns the next whole event, or io.EOF after the last one.
+// next returns the next complete event, or io.EOF after the last one.
 func (s *eventReader) next() (e event, err error) {
 	for {
 		line, err := s.r.ReadSlice('\n')
 		e.raw = append(e.raw, line...)
 		switch {
 		case err == io.EOF && len(e.raw) > 0:
-			return e, errTorn
+			return e, errIncompleteEvent
 		case err != nil && !errors.Is(err, bufio.ErrBufferFull):
 			return e, err
-		case len(e.raw) > maxEvent:
-			return e, errEvent
+		case len(e.raw) > maxEventBytes:
+			return e, errEventTooLarge
 		case err != nil:
 			continue
 		}
--- a/relay/tally.go
+++ b/relay/tally.go
@@ -8,37 +8,37 @@
 	"github.com/parsleydeal/parsleydeal/upgrade"
 )
 
-// outcome is one attempt's end as evidence on a version.
+// outcome is the outcome of one attempt, as evidence on its version.
 type outcome struct {
 	service string
 	route   string
 	target  bool
 	bad     bool
-	// timed says that the answer's pace could be told, slow by which grades it was.
+	// timed is true if the latency could be graded, and slow has the result for each grade.
 	timed bool
 	slow  [len(upgrade.Grades)]bool
-	// delay says that it was told by the delay of a dropped answer's first byte.
+	// delay is true if the latency is the first-byte delay of a dropped answer.
 	delay bool
 }
 
-// tally counts outcomes and running requests by version.
-type tally struct {
+// versionCounts counts outcomes and requests in flight by version.
+type versionCounts struct {
 	mu      sync.Mutex
 	counts  map[string]upgrade.Counts
 	running map[string]map[string]int
 }
 
-func newTally() *tally {
-	return &tally{counts: make(map[string]upgrade.Counts), running: make(map[string]map[string]int)}
+func newVersionCounts() *versionCounts {
+	return &versionCounts{counts: make(map[string]upgrade.Counts), running: make(map[string]map[string]int)}
 }
 
-// begin counts a running request; the function it returns counts its end.
-func (t *tally) begin(service, version string) (end func()) {
-	t.add(service, version, 1)
-	return func() { t.add(service, version, -1) }
+// beginRequest counts a request in flight; the returned function counts its end.
+func (t *versionCounts) beginRequest(service, version string) (end func()) {
+	t.addRunning(service, version, 1)
+	return func() { t.addRunning(service, version, -1) }
 }
 
-func (t *tally) add(service, version string, n int) {
+func (t *versionCounts) addRunning(service, version string, n int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.running[service] == nil {
@@ -50,7 +50,7 @@
 	}
 }
 
-func (t *tally) count(o outcome) {
+func (t *versionCounts) record(o outcome) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.counts[o.service] == nil {
@@ -59,26 +59,26 @@
 	k := upgrade.Key{Route: o.route, Target: o.target}
 	c := t.counts[o.service][k]
 	c.Ended++
-	c.Bad += number(o.bad)
+	c.Bad += toInt(o.bad)
 	t.counts[o.service][k] = c
 	k.Delay = o.delay
 	c = t.counts[o.service][k]
-	c.Timed += number(o.timed)
+	c.Timed += toInt(o.timed)
 	for i, slow := range o.slow {
-		c.Slow[i] += number(slow)
+		c.Slow[i] += toInt(slow)
 	}
 	t.counts[o.service][k] = c
 }
 
-func number(b bool) int64 {
+func toInt(b bool) int64 {
 	if b {
 		return 1
 	}
 	return 0
 }
 
-// counted returns a copy of all counts.
-func (t *tally) counted() site.Counted {
+// snapshot returns a copy of all counts.
+func (t *versionCounts) snapshot() site.Counted {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	c := site.Counted{Counts: make(map[string]upgrade.Counts, len(t.counts)), Running: make(map[string]map[string]int, len(t.running))}
