--- a/refusal/refusal.go
+++ b/refusal/refusal.go
@@ -1,5 +1,5 @@
-// Package refusal holds the typed answer to a request that did not get a whole
-// answer: why, and whether it ran.
+// Package refusal has the typed error for a request that got no complete answer: the cause,
+// and whether the request ran.
 package refusal
 
 import (
@@ -10,10 +10,10 @@
 	"github.com/parsleydeal/parsleydeal/peer/wire"
 )
 
-// Run says whether a refused request ran, as far as it can be proved.
+// Run is the run state: whether a refused request ran, as far as that can be proved.
 type Run string
 
-// The run states, as callers see them in the Parsleydeal-Run header.
+// The run states, as sent to callers in the Parsleydeal-Run header.
 const (
 	NotRun  Run = "not-run"
 	Ran     Run = "ran"
@@ -53,11 +53,12 @@
 	SessionRejected Code = "session-rejected"
 	KeyReused       Code = "key-reused"
 	Starting        Code = "starting"
-	// EngineUnreachable engines took no connection, so nothing ran.
+	// EngineUnreachable means that the engine accepted no connection, so nothing ran.
 	EngineUnreachable Code = "engine-unreachable"
-	// Restarted endpoints are not those that the attempt was meant for.
+	// Restarted means that the endpoint is no longer the incarnation that the attempt was
+	// addressed to.
 	Restarted Code = "restarted"
-	// NotKept answers are not kept at the endpoint that was asked.
+	// NotKept means that the endpoint does not store the requested answer.
 	NotKept Code = "not-kept"
 )
 
@@ -83,7 +84,7 @@
 	EngineUnreachable: http.StatusBadGateway,
 }
 
-// Refusal is an error with a cause, a run state and a time to come back.
+// Refusal is an error with a cause, a run state and a retry delay.
 type Refusal struct {
 	code       Code
 	message    string
@@ -91,7 +92,7 @@
 	retryAfter clock.Millis
 }
 
-// New makes a refusal of a request that did not run.
+// New returns a refusal of a request that did not run.
 func New(code Code, message string) *Refusal {
 	return &Refusal{code: code, message: message, run: NotRun}
 }
@@ -103,7 +104,7 @@
 	return &c
 }
 
-// WithRetryAfter returns a copy that tells the caller when to come back.
+// WithRetryAfter returns a copy with the delay after which the caller may retry.
 func (r *Refusal) WithRetryAfter(d clock.Millis) *Refusal {
 	c := *r
 	c.retryAfter = d
@@ -124,11 +125,10 @@
 // Run returns the run state.
 func (r *Refusal) Run() Run { return r.run }
 
-// RetryAfter returns when the caller may come back; 0 when it makes no
-// difference.
+// RetryAfter returns the delay after which the caller may retry; 0 means that none is set.
 func (r *Refusal) RetryAfter() clock.Millis { return r.retryAfter }
 
-// Status returns the HTTP status, 503 for codes without one of their own.
+// Status returns the HTTP status of the code, 503 where the code has none of its own.
 func (r *Refusal) Status() int {
 	if s, ok := statusOf[r.code]; ok {
 		return s
@@ -136,14 +136,14 @@
 	return http.StatusServiceUnavailable
 }
 
-// As finds a refusal in an error chain.
+// As returns the first refusal in an error chain.
 func As(err error) (r *Refusal, ok bool) {
 	ok = errors.As(err, &r)
 	return r, ok
 }
 
-// Of returns the refusal in an error. An error of any other kind leaves open
-// whether the request ran.
+// Of returns the refusal in an error. Any other error becomes an engine-failed refusal with
+// an unknown run state.
 func Of(err error) *Refusal {
 	if r, ok := As(err); ok {
 		return r
@@ -151,8 +151,7 @@
 	return New(EngineFailed, err.Error()).WithRun(Unknown)
 }
 
-// FromWire reads a refusal from a peer's message; a state that the peer left
-// out counts as unknown.
+// FromWire decodes a refusal from a peer's message. A missing run state is decoded as Unknown.
 func FromWire(m *wire.Refusal) *Refusal {
 	run := Unknown
 	switch m.GetRun() {
@@ -164,7 +163,7 @@
 	return &Refusal{code: Code(m.GetCode()), message: m.GetMessage(), run: run, retryAfter: clock.Millis(m.GetRetryAfterMillis())}
 }
 
-// Wire writes the refusal as a peer's message.
+// Wire encodes the refusal for a peer.
 func (r *Refusal) Wire() *wire.Refusal {
 	state := wire.RunState_RUN_UNKNOWN
 	switch r.run {
--- a/refusal/response.go
+++ b/refusal/response.go
@@ -8,20 +8,20 @@
 	"github.com/parsleydeal/parsleydeal/clock"
 )
 
-// promises are the statuses by which callers know that a request did not run and
-// never will.
-var promises = map[int]bool{
+// notRunStatuses are the statuses that callers take as a guarantee that the request did not
+// run and never will.
+var notRunStatuses = map[int]bool{
 	http.StatusRequestTimeout: true, http.StatusMisdirectedRequest: true, http.StatusTooManyRequests: true, http.StatusServiceUnavailable: true,
 }
 
-// RetrySafeStatus returns the HTTP status for callers that take some statuses for a
-// promise. A refusal of a request that may have run never gets one of these, or
-// the caller would run it a second time; one that did not run gets one wherever
-// its own status promises nothing, so that the caller may come back.
+// RetrySafeStatus returns the HTTP status for callers that decide by the status whether to
+// retry. A refusal of a request that may have run never gets a status that guarantees it did
+// not, because the caller would run the request a second time. A refusal of a request that
+// did not run gets 503 in place of any 5xx status, so that the caller may retry.
 func (r *Refusal) RetrySafeStatus() int {
 	status := r.Status()
 	switch {
-	case r.run != NotRun && promises[status]:
+	case r.run != NotRun && notRunStatuses[status]:
 		return http.StatusBadGateway
 	case r.run == NotRun && status >= http.StatusInternalServerError:
 		return http.StatusServiceUnavailable
@@ -29,8 +29,8 @@
 	return status
 }
 
-// body is the JSON form of a refusal.
-type body struct {
+// responseBody is the JSON body of a refusal.
+type responseBody struct {
 	Error struct {
 		Message string `json:"message"`
 		Code    Code   `json:"code"`
@@ -38,17 +38,17 @@
 	} `json:"error"`
 }
 
-// Write answers a request with the refusal. After is when the caller may come
-// back; 0 leaves it out.
-func (r *Refusal) Write(w http.ResponseWriter, req *http.Request, after clock.Millis) {
-	var b body
+// Write sends the refusal as the response. retryAfter is sent as the Retry-After header, in
+// seconds with three decimals, unless it is 0 or the request may have run.
+func (r *Refusal) Write(w http.ResponseWriter, req *http.Request, retryAfter clock.Millis) {
+	var b responseBody
 	b.Error.Message, b.Error.Code, b.Error.Run = r.message, r.code, r.run
 	data, _ := json.Marshal(b)
 	h := w.Header()
 	h.Set("Content-Type", "application/json")
 	h.Set("Content-Length", strconv.Itoa(len(data)))
-	if after > 0 && r.run == NotRun {
-		h.Set("Retry-After", strconv.FormatFloat(float64(after)/float64(clock.Second), 'f', 3, 64))
+	if retryAfter > 0 && r.run == NotRun {
+		h.Set("Retry-After", strconv.FormatFloat(float64(retryAfter)/float64(clock.Second), 'f', 3, 64))
 	}
 	w.WriteHeader(r.RetrySafeStatus())
 	if req.Method != http.MethodHead {
