--- a/relay/server.go
+++ b/relay/server.go
@@ -66,7 +66,7 @@
 	limitedFirst   *metrics.Counter
 	limitedFurther *metrics.Counter
 	latency        *latencyTracker
-	judge          *cascade.Judge
+	judge          *cascade.Escalator
 	leaving        atomic.Bool
 	startedAt      clock.Millis
 	// snapshotRequests holds the addresses of entries that wait for a snapshot; awaitingSnapshot
@@ -85,7 +85,7 @@
 	return &Server{
 		cfg: cfg, startedAt: cfg.Clock.Now(), meter: meter.New(set), metrics: set, advertisementChanges: set.NewCounter("parsleydeal_endpoint_statements_total"),
 		limitedFirst: set.NewCounter(`parsleydeal_limited_sends_total{attempt="first"}`), limitedFurther: set.NewCounter(`parsleydeal_limited_sends_total{attempt="further"}`), board: placement.NewBoardWith(cfg.Strategies), sessions: newSessions(cfg.SessionIdleTimeout), counts: newVersionCounts(),
-		snapshotRequests: make(chan string, maxSnapshotQueue), latency: newLatencyTracker(), judge: cascade.NewJudge(cfg.Strategies), budgets: make(map[string]*limit.Share),
+		snapshotRequests: make(chan string, maxSnapshotQueue), latency: newLatencyTracker(), judge: cascade.NewEscalator(cfg.Strategies), budgets: make(map[string]*limit.Share),
 	}
 }
 
--- a/relay/tally.go
+++ b/relay/tally.go
@@ -16,7 +16,7 @@
 	bad     bool
 	// timed is true if the latency could be graded, and slow has the result for each grade.
 	timed bool
-	slow  [len(upgrade.Grades)]bool
+	slow  [len(upgrade.SlowThresholds)]bool
 	// delay is true if the latency is the first-byte delay of a dropped answer.
 	delay bool
 }
