--- a/relay/server.go
+++ b/relay/server.go
@@ -63,7 +63,7 @@
 	limitedFirst   *metrics.Counter
 	limitedFurther *metrics.Counter
 	pace           *pace
-	judge          *cascade.Judge
+	judge          *cascade.Escalator
 	leaving        atomic.Bool
 	// startedAt is when the server was made.
 	startedAt clock.Millis
@@ -83,7 +83,7 @@
 	return &Server{
 		cfg: cfg, startedAt: cfg.Clock.Now(), meter: meter.New(set), metrics: set, statements: set.NewCounter("parsleydeal_endpoint_statements_total"),
 		limitedFirst: set.NewCounter(`parsleydeal_limited_sends_total{attempt="first"}`), limitedFurther: set.NewCounter(`parsleydeal_limited_sends_total{attempt="further"}`), board: placement.NewBoardWith(cfg.Ways), sessions: newSessions(cfg.SessionLife), tally: newTally(),
-		asking: make(chan string, answersWaiting), pace: newPace(), judge: cascade.NewJudge(cfg.Ways), budgets: make(map[string]*limit.Share),
+		asking: make(chan string, answersWaiting), pace: newPace(), judge: cascade.NewEscalator(cfg.Ways), budgets: make(map[string]*limit.Share),
 	}
 }
 
--- a/site/kept_test.go
+++ b/site/kept_test.go
@@ -34,7 +34,7 @@
 func movingState() *State {
 	s := NewState(Self{Name: "entry-c", Process: "c/1", Zone: "c", Exposure: 0.15}, 0)
 	s.current["pool"] = "v1"
-	s.upgrades["pool"] = upgrade.New(upgrade.Order{Service: "pool", Target: "v2", Span: 24 * clock.Second, Number: 7}, 0)
+	s.upgrades["pool"] = upgrade.New(upgrade.Order{Service: "pool", Target: "v2", Duration: 24 * clock.Second, Number: 7}, 0)
 	return s
 }
 
--- a/site/tell.go
+++ b/site/tell.go
@@ -97,7 +97,7 @@
 
 func (s *State) tellUpgrades(counts bool) (out []*wire.UpgradeReport) {
 	for service, u := range s.upgrades {
-		if u.Age(s.now) <= u.Order().Span+upgradeTold {
+		if u.Age(s.now) <= u.Order().Duration+upgradeTold {
 			out = append(out, s.tellUpgrade(service, u, counts))
 		}
 	}
--- a/site/upgrade.go
+++ b/site/upgrade.go
@@ -50,7 +50,7 @@
 		s.due(Verdict{Service: o.Service, Target: o.Target, Phase: upgrade.Running})
 	}
 	return []Effect{Say{Message: "Upgrade ordered", Fields: []any{
-		"service", o.Service, "target", o.Target, "span", o.Span, "number", o.Number, "current", s.current[o.Service], "phase", u.Phase(),
+		"service", o.Service, "target", o.Target, "span", o.Duration, "number", o.Number, "current", s.current[o.Service], "phase", u.Phase(),
 	}}}
 }
 
@@ -176,14 +176,14 @@
 	if u.Phase() != upgrade.Running {
 		return effects
 	}
-	u.Begun(s.now - clock.Millis(r.GetAgeMillis()))
+	u.AdjustStart(s.now - clock.Millis(r.GetAgeMillis()))
 	counts := make(upgrade.Counts, len(r.GetCounts()))
 	for _, c := range r.GetCounts() {
 		count := upgrade.Count{Ended: c.GetEnded(), Bad: c.GetBad(), Timed: c.GetTimed()}
 		copy(count.Slow[:], c.GetSlow())
 		counts[upgrade.Key{Route: c.GetRoute(), Target: c.GetTarget(), Delay: c.GetDelay()}] = count
 	}
-	u.Take(process, counts)
+	u.AddCounts(process, counts)
 	if p := upgrade.Phase(r.GetPhase()); u.Set(p, "heard: "+r.GetReason()) {
 		s.due(Verdict{Service: r.GetService(), Target: u.Order().Target, Phase: p})
 		return append(effects, s.ended(u)...)
@@ -209,7 +209,7 @@
 		if u == nil || u.Phase() != upgrade.Running {
 			continue
 		}
-		u.Take(s.self.Process, counts)
+		u.AddCounts(s.self.Process, counts)
 		effects = append(effects, s.judge(u)...)
 	}
 	return effects
--- a/upgrade/upgrade_test.go
+++ b/upgrade/upgrade_test.go
@@ -13,14 +13,14 @@
 // good version must not be rolled back for one failure that was told ten times.
 func TestOutcomesCountOnce(t *testing.T) {
 	is := is.New(t)
-	u := New(Order{Service: "s", Target: "v2", Span: 20000}, 0)
+	u := New(Order{Service: "s", Target: "v2", Duration: 20000}, 0)
 	k := Key{Route: "r", Target: true}
 	for range 10 {
-		u.Take("a/1", Counts{k: {Ended: 5, Bad: 1}})
-		u.Take("a/1", nil)
-		u.Take("a/1", Counts{{Route: "q"}: {Ended: 3}})
+		u.AddCounts("a/1", Counts{k: {Ended: 5, Bad: 1}})
+		u.AddCounts("a/1", nil)
+		u.AddCounts("a/1", Counts{{Route: "q"}: {Ended: 3}})
 	}
-	u.Take("a/2", Counts{k: {Ended: 2}}) // started again
+	u.AddCounts("a/2", Counts{k: {Ended: 2}}) // started again
 	is.Equal(u.Total(), Count{Ended: 7, Bad: 1})
 }
 
@@ -28,7 +28,7 @@
 // hardly any. It is found before fifty have failed, whatever the order.
 func TestBadVersionIsFoundBeforeFifty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		u := New(Order{Service: "s", Target: "v2", Span: 20000}, 0)
+		u := New(Order{Service: "s", Target: "v2", Duration: 20000}, 0)
 		var bad, other, old Count
 		for i := range 3000 {
 			old.Ended++
@@ -42,7 +42,7 @@
 				}
 				other.Ended++
 			}
-			u.Take("a", Counts{{Route: "r", Target: true}: bad, {Route: "q", Target: true}: other, {Route: "r"}: old, {Route: "q"}: old})
+			u.AddCounts("a", Counts{{Route: "r", Target: true}: bad, {Route: "q", Target: true}: other, {Route: "r"}: old, {Route: "q"}: old})
 			if u.Judge(clock.Millis(i), 1) {
 				break
 			}
@@ -56,7 +56,7 @@
 // Everything fails a quarter of its requests for a while, the old version as much
 // as the new one. The new version is not to blame.
 func TestCommonCauseBlamesNoVersion(t *testing.T) {
-	u := New(Order{Service: "s", Target: "v2", Span: 20000}, 0)
+	u := New(Order{Service: "s", Target: "v2", Duration: 20000}, 0)
 	var fresh, old Count
 	for i := range 4000 {
 		old.Ended++
@@ -69,7 +69,7 @@
 				fresh.Bad++
 			}
 		}
-		u.Take("a", Counts{{Route: "r", Target: true}: fresh, {Route: "r"}: old})
+		u.AddCounts("a", Counts{{Route: "r", Target: true}: fresh, {Route: "r"}: old})
 		if u.Judge(clock.Millis(i), 1) {
 			t.Fatalf("%s after %+v beside %+v", u.Reason(), fresh, old)
 		}
@@ -157,7 +157,7 @@
 // one for every eight of an old one of which so many in a hundred are slow by each grade.
 func judgedBeside(seed uint64, answers int, slowOld [3]int, slow ...int) (u *Upgrade) {
 	const half = 10000
-	u = New(Order{Service: "s", Target: "v2", Span: 2 * half}, 0)
+	u = New(Order{Service: "s", Target: "v2", Duration: 2 * half}, 0)
 	r := rand.New(rand.NewPCG(seed, 1))
 	var old, fresh Count
 	for i := range answers {
@@ -165,7 +165,7 @@
 			old.add(r.IntN(100), slowOld[:]...)
 		}
 		fresh.add(r.IntN(100), slow...)
-		u.Take("a", Counts{{Route: "r", Target: true}: fresh, {Route: "r"}: old})
+		u.AddCounts("a", Counts{{Route: "r", Target: true}: fresh, {Route: "r"}: old})
 		if u.Judge(clock.Millis((i+1)*half/answers), 1) {
 			break
 		}
@@ -177,7 +177,7 @@
 // so many of these, of which so many in a hundred are slow by each grade. It ends with
 // the verdict.
 func judged(t *rapid.T, every int, slow ...int) (u *Upgrade, fresh Count) {
-	u = New(Order{Service: "s", Target: "v2", Span: 20000}, 0)
+	u = New(Order{Service: "s", Target: "v2", Duration: 20000}, 0)
 	draw := evenly(t)
 	var old Count
 	for i := range 2000 {
@@ -185,7 +185,7 @@
 		if i%every == 0 {
 			fresh.add(draw(), slow...)
 		}
-		u.Take("a", Counts{{Route: "r", Target: true}: fresh, {Route: "r"}: old})
+		u.AddCounts("a", Counts{{Route: "r", Target: true}: fresh, {Route: "r"}: old})
 		if u.Judge(clock.Millis(i), 1) {
 			break
 		}
@@ -214,12 +214,12 @@
 
 // delayed plays so many timed and dropped answers of a new version, beside ten times as many
 // of an old one, and returns the state of the order at half of its span.
-func delayed(answers int64, slow, delayedSlow func(n int64) [len(Grades)]int64) *Upgrade {
-	u := New(Order{Service: "s", Target: "v2", Span: 20000}, 0)
+func delayed(answers int64, slow, delayedSlow func(n int64) [len(SlowThresholds)]int64) *Upgrade {
+	u := New(Order{Service: "s", Target: "v2", Duration: 20000}, 0)
 	for i := range answers + 1 {
 		n := 10 * i
-		old := [len(Grades)]int64{n * 35 / 100, n / 5, n * 3 / 100}
-		u.Take("a", Counts{
+		old := [len(SlowThresholds)]int64{n * 35 / 100, n / 5, n * 3 / 100}
+		u.AddCounts("a", Counts{
 			{Route: "r"}:                            {Ended: 2 * n, Timed: n, Slow: old},
 			{Route: "r", Delay: true}:               {Timed: n, Slow: old},
 			{Route: "r", Target: true}:              {Ended: 2 * i, Timed: i, Slow: slow(i)},
@@ -234,11 +234,11 @@
 // It was completed on a handful of timed answers.
 func TestDelaysTellWhereFewAnswersAreTimed(t *testing.T) {
 	is := is.New(t)
-	all := func(n int64) [len(Grades)]int64 { return [len(Grades)]int64{n, n, 0} }
+	all := func(n int64) [len(SlowThresholds)]int64 { return [len(SlowThresholds)]int64{n, n, 0} }
 	u := delayed(5, all, all)
 	is.Equal(u.Total(), Count{Ended: 10, Timed: 5, Slow: all(5)})
 	is.Equal(u.Phase(), RolledBack)
-	u = delayed(5, all, func(int64) [len(Grades)]int64 { return [len(Grades)]int64{} })
+	u = delayed(5, all, func(int64) [len(SlowThresholds)]int64 { return [len(SlowThresholds)]int64{} })
 	is.Equal(u.Phase(), Running)
 }
 
@@ -246,8 +246,8 @@
 // late beside its timed answers. These decide there.
 func TestDelaysDoNotOutweighTimedAnswers(t *testing.T) {
 	is := is.New(t)
-	few := func(n int64) [len(Grades)]int64 { return [len(Grades)]int64{n / 3, n / 5, 0} }
-	all := func(n int64) [len(Grades)]int64 { return [len(Grades)]int64{n, n, 0} }
+	few := func(n int64) [len(SlowThresholds)]int64 { return [len(SlowThresholds)]int64{n / 3, n / 5, 0} }
+	all := func(n int64) [len(SlowThresholds)]int64 { return [len(SlowThresholds)]int64{n, n, 0} }
 	is.Equal(delayed(2*fewTimed, few, all).Phase(), Running)
 	is.Equal(delayed(fewTimed/2, few, all).Phase(), RolledBack)
 }
