--- a/upgrade/evidence.go
+++ b/upgrade/evidence.go
@@ -6,28 +6,28 @@
 	"github.com/parsleydeal/parsleydeal/rollout"
 )
 
-// Key names what outcomes are counted by: a route, whether the new version answered, and
-// whether it is only the delays of first bytes of answers that were dropped.
+// Key groups outcomes by route and by version: Target is true for the new version. Delay is
+// true for the first-byte delays of dropped answers, which are counted separately.
 type Key struct {
 	Route  string
 	Target bool
 	Delay  bool
 }
 
-// Count adds up outcomes of one key.
+// Count sums the outcomes of one key.
 type Count struct {
-	// Ended counts answers that ended, Bad those that failed.
+	// Ended counts answers that ended, Bad those of them that failed.
 	Ended int64
 	Bad   int64
-	// Timed counts answers whose pace could be told, Slow those of them that were
-	// slow by each grade.
+	// Timed counts answers whose pace could be measured, Slow those of them that exceeded
+	// each of SlowThresholds.
 	Timed int64
 	Slow  [len(SlowThresholds)]int64
 }
 
 func (c Count) minus(o Count) Count { return c.plus(o, -1) }
 
-// plus adds up two counts, the other one times a sign.
+// plus returns c plus sign times o.
 func (c Count) plus(o Count, sign int64) Count {
 	c.Ended += sign * o.Ended
 	c.Bad += sign * o.Bad
@@ -41,53 +41,53 @@
 // Counts is what one process has counted since it started.
 type Counts map[Key]Count
 
-// failLimit is the part of a good version's answers that may fail.
-const failLimit = 0.05
+// maxFailureRatio is the ratio of a good version's answers that may fail.
+const maxFailureRatio = 0.05
 
-// SlowThreshold is one way in which an answer may be slow: it took longer than a quantile of
-// the old version's answers, or than a multiple of that.
+// SlowThreshold defines a slow answer: one that took longer than Factor times a quantile of
+// the old version's answers.
 type SlowThreshold struct {
-	// Quantile is the part of the old version's answers that are below the quantile.
+	// Quantile is the ratio of the old version's answers below the quantile, from 0 to 1.
 	Quantile float64
 	Factor   float64
-	// limit is the part of a good version's answers that may be slow by the grade;
-	// the old version itself has 1-Rank of them at a factor of 1.
+	// limit is the ratio of a good version's answers that may exceed the threshold; for
+	// the old version itself it is 1-Quantile at a factor of 1.
 	limit float64
 }
 
-// SlowThresholds are the ways in which answers may be slow. A version that is several times
-// slower throughout is told soonest by a high rank, unless the old version has many
-// slow answers itself: where the load makes its streams' pauses differ several times, a
-// slow version's lie hardly beyond the 0.8 quantile. One that is slow at times only is
-// told by a multiple, beyond which the old version has few answers.
+// SlowThresholds lists the definitions of a slow answer. A version that is several times
+// slower throughout is detected soonest by a high quantile, unless the old version has many
+// slow answers itself: where load makes the gaps in its streams vary several-fold, most of a
+// slow version's gaps hardly exceed the 0.8 quantile. A version that is only sometimes slow is
+// detected by a multiple, which few of the old version's answers exceed.
 var SlowThresholds = [...]SlowThreshold{
 	{Quantile: 0.65, Factor: 1, limit: 0.4},
 	{Quantile: 0.8, Factor: 1, limit: 0.25},
 	{Quantile: 0.8, Factor: 2.5, limit: 0.06},
 }
 
-// allRoutes is the route under which the outcomes of all routes are judged.
+// allRoutes is the key for the outcomes of all routes together.
 const allRoutes = ""
 
-// measure is one way in which a version may be bad: a sequential test of the new
-// version's rate, beside the old version's samples. A version is bad only when it is
-// beyond the limit and worse than the old one.
+// measure is one criterion by which a version may be bad: a sequential test of the new
+// version's rate, with the old version's samples as control. A version is bad only when its
+// rate exceeds the limit and is worse than the old version's.
 type measure struct {
 	name  string
 	limit float64
-	// relative measures need answers of the old version to compare with: an
+	// relative measures need answers of the old version to compare with, since an
 	// overload makes both versions slow.
 	relative bool
-	// sample is what a count says of the measure.
+	// sample extracts the measure's sample from a count.
 	sample func(c Count) rollout.Sample
 }
 
-// measures lists all ways: failing, and slow by each grade.
+// measures lists the failure rate and one measure for each of SlowThresholds.
 var measures = func() (all [1 + len(SlowThresholds)]measure) {
-	all[0] = measure{"failing", failLimit, false, func(c Count) rollout.Sample { return sampleOf(c.Ended, c.Bad) }}
-	for i, g := range SlowThresholds {
-		name := fmt.Sprintf("slower than %g times the %g quantile", g.Factor, g.Quantile)
-		all[1+i] = measure{name, g.limit, true, func(c Count) rollout.Sample { return sampleOf(c.Timed, c.Slow[i]) }}
+	all[0] = measure{"failing", maxFailureRatio, false, func(c Count) rollout.Sample { return sampleOf(c.Ended, c.Bad) }}
+	for i, t := range SlowThresholds {
+		name := fmt.Sprintf("slower than %g times the %g quantile", t.Factor, t.Quantile)
+		all[1+i] = measure{name, t.limit, true, func(c Count) rollout.Sample { return sampleOf(c.Timed, c.Slow[i]) }}
 	}
 	return all
 }()
@@ -96,42 +96,42 @@
 	return rollout.Sample{N: float64(n), Bad: float64(bad)}
 }
 
-// bench holds the tests of one route, by measure.
-type bench struct {
+// routeTests holds the tests of one route, by measure.
+type routeTests struct {
 	tests [len(measures)]rollout.Test
-	// old sums the old version's samples beside them.
+	// old sums the old version's samples over the same time.
 	old [len(measures)]rollout.Sample
 }
 
-// add takes new outcomes of one version.
-func (b *bench) add(c Count, target bool) {
+// add records new outcomes of one version.
+func (r *routeTests) add(c Count, target bool) {
 	for i, m := range measures {
 		sample := m.sample(c)
 		switch {
 		case !target:
-			b.old[i] = rollout.Sample{N: b.old[i].N + sample.N, Bad: b.old[i].Bad + sample.Bad}
+			r.old[i] = rollout.Sample{N: r.old[i].N + sample.N, Bad: r.old[i].Bad + sample.Bad}
 		case sample.N > 0:
-			b.tests[i].Add(sample, m.limit, b.old[i], rollout.Sample{})
+			r.tests[i].Add(sample, m.limit, r.old[i], rollout.Sample{})
 		}
 	}
 }
 
-// verdict names what the new version is bad at; empty while it is not known to
-// be.
-func (b *bench) verdict() string {
+// verdict returns the measure by which the new version is bad, or "" without sufficient
+// evidence.
+func (r *routeTests) verdict() string {
 	for i, m := range measures {
-		if b.tests[i].Crossed(b.old[i], b.old[i].N > 0, m.relative) {
+		if r.tests[i].Crossed(r.old[i], r.old[i].N > 0, m.relative) {
 			return m.name
 		}
 	}
 	return ""
 }
 
-// leaning names what the new version seems to be bad at, by evidence that is not enough
-// for a verdict.
-func (b *bench) leaning() string {
+// suspicion returns the measure by which the new version seems to be bad on evidence that is
+// too weak for a verdict, or "".
+func (r *routeTests) suspicion() string {
 	for i, m := range measures {
-		if b.tests[i].Suspicious(b.old[i]) {
+		if r.tests[i].Suspicious(r.old[i]) {
 			return m.name
 		}
 	}
--- a/upgrade/order.go
+++ b/upgrade/order.go
@@ -1,22 +1,22 @@
-// Package upgrade moves a service's traffic from one version to another: how
-// much of it goes to the new version at which moment, when the new version is
-// found bad, and when the old one is idle and the move is done.
+// Package upgrade moves a service's traffic from one version to another. It decides the
+// new version's share over time, when a bad version is rolled back, and when the old
+// version is idle and the upgrade is complete.
 package upgrade
 
 import "github.com/parsleydeal/parsleydeal/clock"
 
-// Order asks for a move.
+// Order requests an upgrade.
 type Order struct {
 	Service string
 	// Target is the new version.
 	Target string
-	// Duration is the time that the move may take.
+	// Duration is the time that the upgrade may take.
 	Duration clock.Millis
-	// Number tells one order for a service from the next; it grows.
+	// Number identifies the order among those for a service; it increases.
 	Number int64
 }
 
-// Phase is the state of a move.
+// Phase is the state of an upgrade.
 type Phase int
 
 // The phases.
@@ -26,39 +26,39 @@
 	RolledBack
 )
 
-// String names the phase for logs.
+// String returns the phase's name for logs.
 func (p Phase) String() string {
 	return [...]string{"running", "completed", "rolled-back"}[p]
 }
 
-// Fractions of an order's span.
 const (
-	// firstPart is the part in which sessions keep the version they had, so that
-	// the new version's share stays at that of new sessions.
-	firstPart = 0.5
-	// fullFrom is when the new version gets all traffic; what is left of the span
-	// is for the old version's streams to end.
-	fullFrom = 0.72
-	// exposurePart is how much of the exposure that operators allow the first
-	// part uses. The rest is for the steps after it, in which a version that is
-	// bad only under load shows.
-	exposurePart = 0.55
+	// pinnedRatio is the ratio of an order's duration during which sessions keep their
+	// version, so that the new version's share stays at that of new sessions.
+	pinnedRatio = 0.5
+	// fullTrafficRatio is the ratio of an order's duration after which the new version
+	// gets all traffic; the rest is for the old version's streams to end.
+	fullTrafficRatio = 0.72
+	// firstExposureRatio is the ratio of the exposure allowed by operators that is used
+	// while sessions are pinned. The rest is for the later steps, in which a version that
+	// is bad only under load shows it.
+	firstExposureRatio = 0.55
 )
 
-// rise lists the new version's shares between firstPart and fullFrom. Each step
-// lasts long enough, at an eleventh of a 24 s move, for 1.5 s of evidence.
-var rise = [...]float64{0.2, 0.4, 0.7}
+// stepShares lists the new version's shares between pinnedRatio and fullTrafficRatio, in
+// steps of equal length. In a 24 s upgrade a step lasts 1.76 s, long enough for 1.5 s of
+// evidence.
+var stepShares = [...]float64{0.2, 0.4, 0.7}
 
-// Share is the part of a service's sessions that belong to the new version when
-// a part of the order's span has passed.
-func Share(passed, exposure float64) float64 {
-	first := exposure * exposurePart
+// Share returns the ratio of a service's sessions that go to the new version. Elapsed is the
+// elapsed ratio of the order's duration, exposure the ratio allowed by operators.
+func Share(elapsed, exposure float64) float64 {
+	first := exposure * firstExposureRatio
 	switch {
-	case passed < firstPart:
+	case elapsed < pinnedRatio:
 		return first
-	case passed >= fullFrom:
+	case elapsed >= fullTrafficRatio:
 		return 1
 	}
-	step := int((passed - firstPart) / (fullFrom - firstPart) * float64(len(rise)))
-	return max(first, rise[min(step, len(rise)-1)])
+	step := int((elapsed - pinnedRatio) / (fullTrafficRatio - pinnedRatio) * float64(len(stepShares)))
+	return max(first, stepShares[min(step, len(stepShares)-1)])
 }
--- a/upgrade/upgrade.go
+++ b/upgrade/upgrade.go
@@ -3,65 +3,65 @@
 import "github.com/parsleydeal/parsleydeal/clock"
 
 const (
-	// settle is how long nothing may have run on the old version before the move
-	// is done. What peers say of themselves is up to two of their reports old.
-	settle = 700 * clock.Millis(1)
-	// lastCall is how long before the end of the span a move is done even though
-	// the old version still works. An order that is not done in time counts as
-	// failed, while the streams cut by it go on at the new version.
-	lastCall = 1500 * clock.Millis(1)
+	// idleDuration is how long nothing must have run on the old version before the upgrade
+	// is complete. The state of peers is up to two of their reports old.
+	idleDuration = 700 * clock.Millis(1)
+	// completionMargin is how long before its deadline an upgrade is completed even though
+	// the old version is still in use. An order that is not completed in time counts as
+	// failed, while the streams that completion cuts continue on the new version.
+	completionMargin = 1500 * clock.Millis(1)
 )
 
-// Upgrade is one order on its way. It reads no clock.
+// Upgrade tracks one order. It reads no clock.
 type Upgrade struct {
 	order     Order
 	startedAt clock.Millis
 	phase     Phase
-	// reason says what the verdict rests on.
+	// reason explains the verdict.
 	reason string
-	// seen holds the last cumulative counts of each process.
-	seen    map[string]Counts
-	benches map[string]*bench
-	// thin has the delays of dropped answers besides, of all routes.
-	thin bench
+	// lastCounts holds the last cumulative counts of each process.
+	lastCounts   map[string]Counts
+	testsByRoute map[string]*routeTests
+	// withDelays covers all routes and includes the delays of dropped answers.
+	withDelays routeTests
 	// total sums all outcomes of the new version.
 	total Count
-	// idleSince is when the old version was first seen idle; 0 while it works.
+	// idleSince is when the old version was first seen idle; 0 while it is in use.
 	idleSince clock.Millis
 }
 
-// New begins an order that was given some time before now.
+// New starts tracking an order that was given at startedAt.
 func New(o Order, startedAt clock.Millis) *Upgrade {
-	return &Upgrade{order: o, startedAt: startedAt, seen: make(map[string]Counts), benches: make(map[string]*bench)}
+	return &Upgrade{order: o, startedAt: startedAt, lastCounts: make(map[string]Counts), testsByRoute: make(map[string]*routeTests)}
 }
 
 // Order returns the order.
 func (u *Upgrade) Order() Order { return u.order }
 
-// Phase returns the state of the move.
+// Phase returns the state of the upgrade.
 func (u *Upgrade) Phase() Phase { return u.phase }
 
-// Reason says what a verdict rests on.
+// Reason explains the verdict; it is empty while the upgrade runs.
 func (u *Upgrade) Reason() string { return u.reason }
 
-// Total sums the outcomes of the new version that were seen.
+// Total sums the recorded outcomes of the new version.
 func (u *Upgrade) Total() Count { return u.total }
 
-// Age returns how long the order has been under way.
+// Age returns the time since the order started.
 func (u *Upgrade) Age(now clock.Millis) clock.Millis { return now - u.startedAt }
 
-// AdjustStart takes an earlier beginning that a peer has seen, so that a process that
-// started in the middle of a move does not begin it anew.
+// AdjustStart applies an earlier start time reported by a peer, so that a process started
+// during an upgrade does not restart it.
 func (u *Upgrade) AdjustStart(at clock.Millis) {
 	u.startedAt = min(u.startedAt, at)
 }
 
-// ElapsedRatio is the part of the span that has passed.
+// ElapsedRatio returns the elapsed ratio of the order's duration; it exceeds 1 after the end.
 func (u *Upgrade) ElapsedRatio(now clock.Millis) float64 {
 	return float64(u.Age(now)) / float64(max(u.order.Duration, 1))
 }
 
-// Set takes a state that was agreed on elsewhere. A verdict is final.
+// Set applies a phase that was agreed elsewhere. A verdict is final.
 func (u *Upgrade) Set(p Phase, reason string) (changed bool) {
 	if u.phase != Running || p == Running {
 		return false
@@ -70,85 +70,85 @@
 	return true
 }
 
-// AddCounts adds the cumulative counts of one process; what is missing has not changed.
-// A process that starts again has another name, so that its counts never fall
-// back.
+// AddCounts records the cumulative counts of one process; missing keys have not changed. A
+// restarted process has another name, so that the counts of a process never decrease.
 func (u *Upgrade) AddCounts(process string, counts Counts) {
-	before, ok := u.seen[process]
+	last, ok := u.lastCounts[process]
 	if !ok {
-		before = make(Counts)
-		u.seen[process] = before
+		last = make(Counts)
+		u.lastCounts[process] = last
 	}
 	for k, c := range counts {
-		d := c.minus(before[k])
-		before[k] = c
+		d := c.minus(last[k])
+		last[k] = c
 		if d == (Count{}) {
 			continue
 		}
-		u.thin.add(d, k.Target)
+		u.withDelays.add(d, k.Target)
 		if k.Delay {
 			continue
 		}
 		if k.Target {
 			u.total = u.total.plus(d, 1)
 		}
-		u.bench(k.Route).add(d, k.Target)
-		u.bench(allRoutes).add(d, k.Target)
+		u.testsOf(k.Route).add(d, k.Target)
+		u.testsOf(allRoutes).add(d, k.Target)
 	}
 }
 
-func (u *Upgrade) bench(route string) *bench {
-	b, ok := u.benches[route]
+func (u *Upgrade) testsOf(route string) *routeTests {
+	tests, ok := u.testsByRoute[route]
 	if !ok {
-		b = &bench{}
-		u.benches[route] = b
+		tests = &routeTests{}
+		u.testsByRoute[route] = tests
 	}
-	return b
+	return tests
 }
 
-// Judge finds the move's end: rolled back as soon as the new version is bad, or when its
-// share is to rise while the evidence leans against it, completed when the old version
-// works on nothing any more. Old is the number of requests that run on the old version,
-// all processes together.
+// Judge decides whether the upgrade ends. It rolls back as soon as the new version is bad, or
+// when the new version's share is due to rise while the evidence makes it suspicious. It
+// completes once the old version is idle, or shortly before the deadline. Old is the number of
+// requests running on the old version in all processes.
 func (u *Upgrade) Judge(now clock.Millis, old int) (changed bool) {
 	if u.phase != Running {
 		return false
 	}
-	for route, b := range u.benches {
-		if v := b.verdict(); v != "" {
-			return u.Set(RolledBack, v+" on "+nameOf(route))
+	for route, tests := range u.testsByRoute {
+		if v := tests.verdict(); v != "" {
+			return u.Set(RolledBack, v+" on "+routeName(route))
 		}
 	}
-	if v := u.leaning(); v != "" && u.ElapsedRatio(now) >= firstPart {
+	if v := u.suspicion(); v != "" && u.ElapsedRatio(now) >= pinnedRatio {
 		return u.Set(RolledBack, "its share was to rise, and it seems "+v)
 	}
-	if old > 0 || u.ElapsedRatio(now) < fullFrom {
+	if old > 0 || u.ElapsedRatio(now) < fullTrafficRatio {
 		u.idleSince = 0
 	} else if u.idleSince == 0 {
 		u.idleSince = now
 	}
 	switch {
-	case u.idleSince > 0 && now-u.idleSince >= settle:
+	case u.idleSince > 0 && now-u.idleSince >= idleDuration:
 		return u.Set(Completed, "old version is idle")
-	case u.ElapsedRatio(now) >= fullFrom && u.Age(now) >= u.order.Duration-lastCall:
+	case u.ElapsedRatio(now) >= fullTrafficRatio && u.Age(now) >= u.order.Duration-completionMargin:
 		return u.Set(Completed, "time is up")
 	}
 	return false
 }
 
-// fewTimed is how many timed answers of the new version are so few that the delays of dropped
-// ones are asked as well: these tell less, since what a prompt meets is foretold roughly.
-const fewTimed = 100
+// minTimed is the number of timed answers of the new version below which the delays of dropped
+// answers are used too. Delays are weaker evidence: they are relative to a forecast of the
+// prompt's wait, which is rough.
+const minTimed = 100
 
-// leaning names what the new version seems to be bad at.
-func (u *Upgrade) leaning() string {
-	if v := u.bench(allRoutes).leaning(); v != "" || u.total.Timed >= fewTimed {
+// suspicion returns the measure by which the new version seems to be bad over all routes, or "".
+func (u *Upgrade) suspicion() string {
+	if v := u.testsOf(allRoutes).suspicion(); v != "" || u.total.Timed >= minTimed {
 		return v
 	}
-	return u.thin.leaning()
+	return u.withDelays.suspicion()
 }
 
-func nameOf(route string) string {
+func routeName(route string) string {
 	if route == allRoutes {
 		return "all routes"
 	}
--- a/upgrade/upgrade_test.go
+++ b/upgrade/upgrade_test.go
@@ -9,9 +9,9 @@
 	"pgregory.net/rapid"
 )
 
-// Reports come twice, without counts and with some. Each outcome counts once: a
-// good version must not be rolled back for one failure that was told ten times.
-func TestOutcomesCountOnce(t *testing.T) {
+// Reports are repeated, with and without counts. If a repeated failure counted again, a good
+// version would be rolled back for a single failure reported ten times.
+func TestRepeatedReportsCountOnce(t *testing.T) {
 	is := is.New(t)
 	u := New(Order{Service: "s", Target: "v2", Duration: 20000}, 0)
 	k := Key{Route: "r", Target: true}
@@ -20,13 +20,13 @@
 		u.AddCounts("a/1", nil)
 		u.AddCounts("a/1", Counts{{Route: "q"}: {Ended: 3}})
 	}
-	u.AddCounts("a/2", Counts{k: {Ended: 2}}) // started again
+	u.AddCounts("a/2", Counts{k: {Ended: 2}}) // after a restart
 	is.Equal(u.Total(), Count{Ended: 7, Bad: 1})
 }
 
-// A version fails a third of its requests on one route only, and others beside it
-// hardly any. It is found before fifty have failed, whatever the order.
-func TestBadVersionIsFoundBeforeFifty(t *testing.T) {
+// A version fails a third of its requests on one route, and hardly any other request fails. It
+// must be rolled back before fifty have failed, in whatever order outcomes arrive.
+func TestFailingVersionIsRolledBackWithinFiftyFailures(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		u := New(Order{Service: "s", Target: "v2", Duration: 20000}, 0)
 		var bad, other, old Count
@@ -53,31 +53,31 @@
 	})
 }
 
-// Everything fails a quarter of its requests for a while, the old version as much
-// as the new one. The new version is not to blame.
-func TestCommonCauseBlamesNoVersion(t *testing.T) {
+// A quarter of all requests fail for a while, on the old version as well as on the new one. The
+// new version must not be rolled back for a common cause.
+func TestCommonFailureRollsNothingBack(t *testing.T) {
 	u := New(Order{Service: "s", Target: "v2", Duration: 20000}, 0)
-	var fresh, old Count
+	var target, old Count
 	for i := range 4000 {
 		old.Ended++
 		if i%4 == 0 {
 			old.Bad++
 		}
 		if i%10 == 0 {
-			fresh.Ended++
+			target.Ended++
 			if i%40 == 0 {
-				fresh.Bad++
+				target.Bad++
 			}
 		}
-		u.AddCounts("a", Counts{{Route: "r", Target: true}: fresh, {Route: "r"}: old})
+		u.AddCounts("a", Counts{{Route: "r", Target: true}: target, {Route: "r"}: old})
 		if u.Judge(clock.Millis(i), 1) {
-			t.Fatalf("%s after %+v beside %+v", u.Reason(), fresh, old)
+			t.Fatalf("%s after %+v beside %+v", u.Reason(), target, old)
 		}
 	}
 }
 
-// The share never falls while an order runs, so that no session moves back.
-func TestShareOnlyRises(t *testing.T) {
+// If the share fell while an order runs, sessions would move back to the old version.
+func TestShareNeverFalls(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		exposure := rapid.Float64Range(0.01, 1).Draw(t, "exposure")
 		a := rapid.Float64Range(0, 1).Draw(t, "a")
@@ -88,84 +88,83 @@
 	})
 }
 
-// A version takes eight times as long for two fifths of its requests and is as fast
-// as the old one with the others. With an eighth of the traffic it was rolled back
-// only after it had got nearly all, 4 s later than agreed. Now it is found before
-// its fiftieth slow answer.
-func TestVersionThatIsSlowAtTimesIsFoundBeforeFifty(t *testing.T) {
+// A version takes eight times as long for two fifths of its requests and is as fast as the old
+// one for the rest. If an eighth of the traffic does not expose it, it is rolled back 4 s late,
+// when it already has nearly all. It must be found before its fiftieth slow answer.
+func TestIntermittentlySlowVersionIsRolledBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		u, fresh := judged(t, 8, 61, 52, 40)
-		if u.Phase() != RolledBack || fresh.Slow[2] >= 50 {
-			t.Fatalf("%s after %+v", u.Phase(), fresh)
+		u, target := untilVerdict(t, 8, 61, 52, 40)
+		if u.Phase() != RolledBack || target.Slow[2] >= 50 {
+			t.Fatalf("%s after %+v", u.Phase(), target)
 		}
 	})
 }
 
-// A version has 71 to 204 ms between the events of its streams, under a load that
-// gives the old one's 21 to 106 ms. All its answers are beyond the 0.65 quantile of
-// the old version's and three quarters beyond the 0.8 quantile, which alone told too
-// late.
-func TestSlowVersionIsFoundBesideABusyOldOne(t *testing.T) {
+// A version has 71 to 204 ms between the events of its streams, under a load that gives the old
+// version 21 to 106 ms. All its answers exceed the old version's 0.65 quantile, but only three
+// quarters exceed the 0.8 quantile, which alone detects it too late.
+func TestSlowVersionIsRolledBackUnderLoad(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		u, fresh := judged(t, 8, 98, 70, 10)
-		if u.Phase() != RolledBack || fresh.Ended >= 60 {
-			t.Fatalf("%s after %+v", u.Phase(), fresh)
+		u, target := untilVerdict(t, 8, 98, 70, 10)
+		if u.Phase() != RolledBack || target.Ended >= 60 {
+			t.Fatalf("%s after %+v", u.Phase(), target)
 		}
 	})
 }
 
-// A good version has as many slow answers as the old one, by each grade: it stays.
-func TestVersionAsSlowAsTheOldOneStays(t *testing.T) {
+// A good version has as many slow answers as the old one at each threshold. It must be kept.
+func TestVersionAsSlowAsOldOneIsKept(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		if u, fresh := judged(t, 1, 35, 20, 3); u.Phase() != Running {
-			t.Fatalf("%s after %+v", u.Reason(), fresh)
+		if u, target := untilVerdict(t, 1, 35, 20, 3); u.Phase() != Running {
+			t.Fatalf("%s after %+v", u.Reason(), target)
 		}
 	})
 }
 
-// Endpoints are cut off while a slow version is brought in, and every second answer of
-// the old version is slow as well. Nearly all of the new one's are, but sixteen of them
-// are too few for a verdict: its share rose, the old version fell idle and it was
-// completed.
-func TestShareDoesNotRiseWhileEvidenceLeansAgainstIt(t *testing.T) {
-	kept := 0
+// Endpoints become unreachable while a slow version is rolled out, and half of the old version's
+// answers are slow as well. Nearly all answers of the new version are slow, but sixteen are too
+// few for a verdict. Without the weaker test its share rises, the old version becomes idle and
+// the upgrade completes.
+func TestSuspiciousVersionIsRolledBackBeforeItsShareRises(t *testing.T) {
+	risen := 0
 	for seed := range uint64(200) {
-		if u := judgedBeside(seed, 16, [3]int{55, 40, 6}, 97, 70, 20); u.Phase() != RolledBack {
-			kept++
+		if u := afterHalf(seed, 16, [3]int{55, 40, 6}, 97, 70, 20); u.Phase() != RolledBack {
+			risen++
 		}
 	}
-	if kept > 10 {
-		t.Errorf("the share of %d of 200 slow versions rose", kept)
+	if risen > 10 {
+		t.Errorf("the share of %d of 200 slow versions rose", risen)
 	}
 }
 
-// The same faults with a good version: both versions are as slow. Few are rolled back
-// for nothing; each is ordered once more.
-func TestGoodVersionStaysBesideFaults(t *testing.T) {
-	wrong := 0
+// The same faults with a good version: both versions are equally slow. Few upgrades may be rolled
+// back without reason, each of which costs operators another order.
+func TestGoodVersionIsKeptDuringFaults(t *testing.T) {
+	rolledBack := 0
 	for seed := range uint64(500) {
-		if u := judgedBeside(seed, 40, [3]int{55, 40, 6}, 55, 40, 6); u.Phase() != Running {
-			wrong++
+		if u := afterHalf(seed, 40, [3]int{55, 40, 6}, 55, 40, 6); u.Phase() != Running {
+			rolledBack++
 		}
 	}
-	if wrong > 15 {
-		t.Errorf("%d of 500 good versions were rolled back", wrong)
+	if rolledBack > 15 {
+		t.Errorf("%d of 500 good versions were rolled back", rolledBack)
 	}
 }
 
-// judgedBeside plays so many answers of a new version until half of its span has passed,
-// one for every eight of an old one of which so many in a hundred are slow by each grade.
-func judgedBeside(seed uint64, answers int, slowOld [3]int, slow ...int) (u *Upgrade) {
+// afterHalf feeds answers of a new version over half of an upgrade's duration, or until the
+// verdict, of which slow[i] percent exceed threshold i. For each of them there are eight answers of the old
+// version, of which slowOld[i] percent exceed threshold i.
+func afterHalf(seed uint64, answers int, slowOld [3]int, slow ...int) (u *Upgrade) {
 	const half = 10000
 	u = New(Order{Service: "s", Target: "v2", Duration: 2 * half}, 0)
 	r := rand.New(rand.NewPCG(seed, 1))
-	var old, fresh Count
+	var old, target Count
 	for i := range answers {
 		for range 8 {
 			old.add(r.IntN(100), slowOld[:]...)
 		}
-		fresh.add(r.IntN(100), slow...)
-		u.AddCounts("a", Counts{{Route: "r", Target: true}: fresh, {Route: "r"}: old})
+		target.add(r.IntN(100), slow...)
+		u.AddCounts("a", Counts{{Route: "r", Target: true}: target, {Route: "r"}: old})
 		if u.Judge(clock.Millis((i+1)*half/answers), 1) {
 			break
 		}
@@ -173,35 +172,35 @@
 	return u
 }
 
-// judged plays 2,000 answers of the old version, and one of a new version for every
-// so many of these, of which so many in a hundred are slow by each grade. It ends with
-// the verdict.
-func judged(t *rapid.T, every int, slow ...int) (u *Upgrade, fresh Count) {
+// untilVerdict feeds up to 2,000 answers of the old version, and after each n-th of them, n being
+// every, one of the new version. Of these, slow[i] percent exceed threshold i. It stops at the
+// verdict.
+func untilVerdict(t *rapid.T, every int, slow ...int) (u *Upgrade, target Count) {
 	u = New(Order{Service: "s", Target: "v2", Duration: 20000}, 0)
-	draw := evenly(t)
+	draw := uniform(t)
 	var old Count
 	for i := range 2000 {
 		old.add(draw(), 35, 20, 3)
 		if i%every == 0 {
-			fresh.add(draw(), slow...)
+			target.add(draw(), slow...)
 		}
-		u.AddCounts("a", Counts{{Route: "r", Target: true}: fresh, {Route: "r"}: old})
+		u.AddCounts("a", Counts{{Route: "r", Target: true}: target, {Route: "r"}: old})
 		if u.Judge(clock.Millis(i), 1) {
 			break
 		}
 	}
-	return u, fresh
+	return u, target
 }
 
-// evenly draws numbers below a hundred, all as often: rapid's own draws prefer
+// uniform returns a source of uniformly distributed numbers below 100; rapid's own draws prefer
 // small ones.
-func evenly(t *rapid.T) func() int {
+func uniform(t *rapid.T) func() int {
 	r := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
 	return func() int { return r.IntN(100) }
 }
 
-// add counts an answer by a draw out of a hundred, of which so many are slow by each
-// grade.
+// add counts an answer. Draw is a number below 100; the answer exceeds threshold i if it is below
+// slow[i].
 func (c *Count) add(draw int, slow ...int) {
 	c.Ended++
 	c.Timed++
@@ -212,9 +211,9 @@
 	}
 }
 
-// delayed plays so many timed and dropped answers of a new version, beside ten times as many
-// of an old one, and returns the state of the order at half of its span.
-func delayed(answers int64, slow, delayedSlow func(n int64) [len(SlowThresholds)]int64) *Upgrade {
+// withDelayedAnswers feeds equally many timed and dropped answers of a new version, and ten times as
+// many of an old one. It returns the upgrade after a judgement at half of its duration.
+func withDelayedAnswers(answers int64, slow, delayedSlow func(n int64) [len(SlowThresholds)]int64) *Upgrade {
 	u := New(Order{Service: "s", Target: "v2", Duration: 20000}, 0)
 	for i := range answers + 1 {
 		n := 10 * i
@@ -230,24 +229,25 @@
 	return u
 }
 
-// A slow version gets few requests, and most of its answers are dropped before their events.
-// It was completed on a handful of timed answers.
-func TestDelaysTellWhereFewAnswersAreTimed(t *testing.T) {
+// A slow version gets few requests, and most of its answers are dropped before their events can
+// be timed. Without the delays of dropped answers the upgrade completes on a handful of timed
+// answers.
+func TestDelaysDecideWhenFewAnswersAreTimed(t *testing.T) {
 	is := is.New(t)
 	all := func(n int64) [len(SlowThresholds)]int64 { return [len(SlowThresholds)]int64{n, n, 0} }
-	u := delayed(5, all, all)
+	u := withDelayedAnswers(5, all, all)
 	is.Equal(u.Total(), Count{Ended: 10, Timed: 5, Slow: all(5)})
 	is.Equal(u.Phase(), RolledBack)
-	u = delayed(5, all, func(int64) [len(SlowThresholds)]int64 { return [len(SlowThresholds)]int64{} })
+	u = withDelayedAnswers(5, all, func(int64) [len(SlowThresholds)]int64 { return [len(SlowThresholds)]int64{} })
 	is.Equal(u.Phase(), Running)
 }
 
-// On a busy site prompts are foretold roughly, and many first bytes of a good version are
-// late beside its timed answers. These decide there.
+// On a busy site forecasts of a prompt's wait are rough, and many first bytes of a good version
+// are late although its timed answers are not. The timed answers must decide there.
 func TestDelaysDoNotOutweighTimedAnswers(t *testing.T) {
 	is := is.New(t)
 	few := func(n int64) [len(SlowThresholds)]int64 { return [len(SlowThresholds)]int64{n / 3, n / 5, 0} }
 	all := func(n int64) [len(SlowThresholds)]int64 { return [len(SlowThresholds)]int64{n, n, 0} }
-	is.Equal(delayed(2*fewTimed, few, all).Phase(), Running)
-	is.Equal(delayed(fewTimed/2, few, all).Phase(), RolledBack)
+	is.Equal(withDelayedAnswers(2*minTimed, few, all).Phase(), Running)
+	is.Equal(withDelayedAnswers(minTimed/2, few, all).Phase(), RolledBack)
 }
