--- a/evidence/judge.go
+++ b/evidence/judge.go
@@ -10,14 +10,14 @@
 	"github.com/parsleydeal/parsleydeal/table"
 )
 
-// JudgeCount is how many processes sum the evidence on a version: one judges,
-// the others step in when it is gone.
+// JudgeCount is the number of processes that sum the evidence on a version: one judges, the
+// others take over when it is unreachable.
 const JudgeCount = 3
 
-// Judges names the VMs to which counts on a version go, in the order in which
-// they act. All versions of a model have the same ones, since they are compared
-// with each other. Every process computes the same ones from the same VM list; with
-// lists that differ for a while more processes judge, which does no harm.
+// Judges returns the IDs of the VMs that receive counts on a version, in the order in which they
+// act. All versions of a model have the same judges, since they are compared with each other.
+// Every process derives the same judges from the same VM list; while lists differ, more processes
+// judge, which is harmless.
 func Judges(vms []provider.VM, version string) (out []string) {
 	model, _, _ := table.SplitVersion(version)
 	type ranked struct {
@@ -25,9 +25,9 @@
 		score uint64
 	}
 	var all []ranked
-	for _, v := range vms {
-		if v.Role == provider.EntryRole && !v.Leaving {
-			all = append(all, ranked{v.ID, xxhash.Sum64String(v.ID + "/" + model)})
+	for _, vm := range vms {
+		if vm.Role == provider.EntryRole && !vm.Leaving {
+			all = append(all, ranked{vm.ID, xxhash.Sum64String(vm.ID + "/" + model)})
 		}
 	}
 	slices.SortFunc(all, func(a, b ranked) int {
--- a/evidence/state.go
+++ b/evidence/state.go
@@ -10,101 +10,99 @@
 	"github.com/parsleydeal/parsleydeal/peer/wire"
 )
 
-// Bounds of what is kept.
+// Bounds on memory.
 const (
-	// maxOwn bounds the keys this process counts itself; the key that changed
-	// least recently falls out, and its evidence of the past is no longer told.
-	maxOwn = 2048
-	// maxCounts bounds the counts kept of all other processes together; the
-	// process that was heard least recently falls out whole.
-	maxCounts = 100_000
-	// maxDropped bounds the remembered processes that fell out; the oldest is
-	// forgotten first.
-	maxDropped = 8192
+	// maxLocalKeys bounds the keys of this process's own counts. Beyond it the key that changed
+	// least recently is evicted, and its past evidence is no longer reported.
+	maxLocalKeys = 2048
+	// maxPeerKeys bounds the keys stored for all other processes together. Beyond it all counts
+	// of the process whose last new evidence is oldest are evicted.
+	maxPeerKeys = 100_000
+	// maxEvicted bounds the list of evicted processes; the oldest is removed first.
+	maxEvicted = 8192
 )
 
-// What a report to others holds.
+// Contents of a report to peers.
 const (
-	// reportEvery is the span between two new reports.
-	reportEvery = clock.Second
-	// reportSpan is how long a change is told again, so that one lost report
-	// delays nothing.
-	reportSpan = 10 * clock.Second
-	// reportMost bounds the counts of one report.
-	reportMost = 128
-	// reportOld is how many unchanged counts a report repeats in turn, so that
-	// any loss is made good in the end.
-	reportOld = 8
+	// reportInterval is the time between two new reports.
+	reportInterval = clock.Second
+	// reportWindow is how long a change is repeated, so that one lost report delays nothing.
+	reportWindow = 10 * clock.Second
+	// maxReportChanged bounds the changed counts in one report.
+	maxReportChanged = 128
+	// reportUnchanged is how many further counts each report repeats in rotation, so that the
+	// loss of any number of reports is recovered eventually.
+	reportUnchanged = 8
 )
 
-// Delta is evidence that this process had not yet taken in.
+// Delta is evidence that this process had not yet counted.
 type Delta struct {
 	Key   Key
 	Stats Stats
 }
 
-// source is one life of one process.
+// source is one incarnation of a process.
 type source struct {
 	vm    string
 	epoch uint64
 }
 
-type ownCount struct {
-	tally     Stats
+type localStats struct {
+	stats     Stats
 	changedAt clock.Millis
 }
 
-type sourceCounts struct {
-	tallies map[Key]Stats
-	// heard orders sources by their last new evidence.
-	heard uint64
+type sourceStats struct {
+	stats map[Key]Stats
+	// lastSequence is the sequence number of the last new evidence.
+	lastSequence uint64
 }
 
-// State reduces what this process sees and what others report.
+// State reduces the process's own evidence and what peers report.
 type State struct {
 	self source
 	now  clock.Millis
-	// own holds at most maxOwn keys.
-	own map[Key]ownCount
-	// others never holds this process's own source; its tallies number at most
-	// maxCounts in all.
-	others map[source]*sourceCounts
-	counts int
-	clock  uint64
-	// dropped holds sources that fell out. Their reports are ignored: taken in
-	// as new they would count a second time.
-	dropped     map[source]bool
-	dropOrder   []source
-	report      []*wire.Count
-	reportedAt  clock.Millis
-	reportStart int
+	// local holds at most maxLocalKeys keys.
+	local map[Key]localStats
+	// peers never contains this process's own incarnation; its keys number at most maxPeerKeys
+	// in total.
+	peers    map[source]*sourceStats
+	peerKeys int
+	sequence uint64
+	// evicted holds sources whose counts were evicted. Their reports are ignored, since they
+	// would be counted a second time as new ones.
+	evicted       map[source]bool
+	evictionOrder []source
+	report        []*wire.Count
+	reportedAt    clock.Millis
+	repeatIndex   int
 }
 
-// NewState returns the empty state of one life of a process.
+// NewState returns an empty state for one incarnation of a process.
 func NewState(vm string, epoch uint64) State {
 	return State{
 		self:    source{vm: vm, epoch: epoch},
-		own:     make(map[Key]ownCount),
-		others:  make(map[source]*sourceCounts),
-		dropped: make(map[source]bool),
+		local:   make(map[Key]localStats),
+		peers:   make(map[source]*sourceStats),
+		evicted: make(map[source]bool),
 	}
 }
 
-// Reduce takes one event in and returns the evidence that is new. Changed tells
-// that the report to others is a new one.
+// Reduce applies an event and returns the evidence that is new. Changed reports whether Report
+// returns a new report.
 func (s *State) Reduce(e event.Event) (deltas []Delta, changed bool) {
 	switch e := e.(type) {
 	case event.Tick:
 		s.now = e.Now
-		return nil, s.renew()
+		return nil, s.refreshReport()
 	case event.Begun:
-		return s.see(Key{e.Route, e.Version, e.Organisation}, Stats{Started: 1}), false
+		return s.record(Key{e.Route, e.Version, e.Organisation}, Stats{Started: 1}), false
 	case event.Observed:
-		return s.see(Key{e.Route, e.Version, e.Organisation}, observed(e)), false
+		return s.record(Key{e.Route, e.Version, e.Organisation}, observed(e)), false
 	case event.Rated:
-		return s.see(Key{e.Route, e.Version, e.Organisation}, Stats{Ratings: 1, RatingSum: e.Score}), false
+		return s.record(Key{e.Route, e.Version, e.Organisation}, Stats{Ratings: 1, RatingSum: e.Score}), false
 	case event.Judged:
-		return s.see(Key{e.Route, e.Version, e.Organisation}, judged(e)), false
+		return s.record(Key{e.Route, e.Version, e.Organisation}, judged(e)), false
 	case event.DigestReceived:
 		for _, c := range e.Digest.GetCounts() {
 			if d, ok := s.Merge(c); ok {
@@ -135,117 +133,116 @@
 	return t
 }
 
-func (s *State) see(k Key, t Stats) []Delta {
-	if !t.sane() || k.Version == "" {
+func (s *State) record(k Key, t Stats) []Delta {
+	if !t.valid() || k.Version == "" {
 		return nil
 	}
-	if _, known := s.own[k]; !known && len(s.own) >= maxOwn {
-		s.forgetOwn()
+	if _, known := s.local[k]; !known && len(s.local) >= maxLocalKeys {
+		s.evictLocal()
 	}
-	s.own[k] = ownCount{tally: s.own[k].tally.Plus(t), changedAt: s.now}
+	s.local[k] = localStats{stats: s.local[k].stats.Plus(t), changedAt: s.now}
 	return []Delta{{Key: k, Stats: t}}
 }
 
-func (s *State) forgetOwn() {
-	oldest := s.sorted()[0]
-	delete(s.own, oldest)
+func (s *State) evictLocal() {
+	oldest := s.localKeys()[0]
+	delete(s.local, oldest)
 }
 
-// Merge takes a count of another process in. Ok is false when it tells nothing
-// new: it was repeated, came late, is this process's own come back, or is no
-// possible count.
+// Merge applies a count from another process. Ok is false when it adds nothing: it is a repeat, is
+// outdated, is this process's own count echoed by a peer, or is invalid.
 func (s *State) Merge(c *wire.Count) (d Delta, ok bool) {
 	k, t := fromWire(c)
 	src := source{vm: c.GetVm(), epoch: c.GetEpoch()}
-	if src == s.self || s.dropped[src] || !t.sane() || k.Version == "" {
+	if src == s.self || s.evicted[src] || !t.valid() || k.Version == "" {
 		return d, false
 	}
-	from := s.others[src]
-	if from == nil {
-		from = &sourceCounts{tallies: make(map[Key]Stats)}
-		s.others[src] = from
+	peer := s.peers[src]
+	if peer == nil {
+		peer = &sourceStats{stats: make(map[Key]Stats)}
+		s.peers[src] = peer
 	}
-	old, known := from.tallies[k]
+	old, known := peer.stats[k]
 	d = Delta{Key: k, Stats: t.since(old)}
 	if d.Stats == (Stats{}) {
 		return d, false
 	}
-	from.tallies[k] = old.Plus(d.Stats)
-	s.clock++
-	from.heard = s.clock
+	peer.stats[k] = old.Plus(d.Stats)
+	s.sequence++
+	peer.lastSequence = s.sequence
 	if !known {
-		s.counts++
-		s.bound()
+		s.peerKeys++
+		s.enforceBound()
 	}
 	return d, true
 }
 
-func (s *State) bound() {
-	for s.counts > maxCounts && len(s.others) > 1 {
-		s.drop(s.quietest())
+func (s *State) enforceBound() {
+	for s.peerKeys > maxPeerKeys && len(s.peers) > 1 {
+		s.evict(s.leastRecent())
 	}
 }
 
-func (s *State) quietest() (out source) {
-	least := ^uint64(0)
-	for src, c := range s.others {
-		if c.heard < least {
-			least = c.heard
+func (s *State) leastRecent() (out source) {
+	oldest := ^uint64(0)
+	for src, p := range s.peers {
+		if p.lastSequence < oldest {
+			oldest = p.lastSequence
 			out = src
 		}
 	}
 	return out
 }
 
-func (s *State) drop(src source) {
-	s.counts -= len(s.others[src].tallies)
-	delete(s.others, src)
-	s.dropped[src] = true
-	s.dropOrder = append(s.dropOrder, src)
-	if len(s.dropOrder) > maxDropped {
-		delete(s.dropped, s.dropOrder[0])
-		s.dropOrder = s.dropOrder[1:]
+func (s *State) evict(src source) {
+	s.peerKeys -= len(s.peers[src].stats)
+	delete(s.peers, src)
+	s.evicted[src] = true
+	s.evictionOrder = append(s.evictionOrder, src)
+	if len(s.evictionOrder) > maxEvicted {
+		delete(s.evicted, s.evictionOrder[0])
+		s.evictionOrder = s.evictionOrder[1:]
 	}
 }
 
-// Report returns what this process tells others. It is replaced, never changed.
+// Report returns the counts for peers. The slice and its elements are never modified; a new report
+// replaces them.
 func (s *State) Report() []*wire.Count { return s.report }
 
-// renew makes a new report when it is time: the counts that changed within
-// reportSpan, newest first, and a few others in turn. Which counts are told
-// depends on when work ended, never on how it ended, or errors would be heard
-// before the good answers beside them.
-func (s *State) renew() (changed bool) {
-	if s.now-s.reportedAt < reportEvery || len(s.own) == 0 {
+// refreshReport builds a new report when it is due: the counts that changed within reportWindow,
+// newest first, and a few others in rotation. The selection depends on when work ended, never on
+// how it ended; otherwise errors would be received before the good answers beside them.
+func (s *State) refreshReport() (changed bool) {
+	if s.now-s.reportedAt < reportInterval || len(s.local) == 0 {
 		return false
 	}
 	s.reportedAt = s.now
-	keys := s.sorted()
+	keys := s.localKeys()
 	var report []*wire.Count
 	for _, k := range slices.Backward(keys) {
-		c := s.own[k]
-		if s.now-c.changedAt > reportSpan || len(report) == reportMost {
+		c := s.local[k]
+		if s.now-c.changedAt > reportWindow || len(report) == maxReportChanged {
 			break
 		}
-		report = append(report, toWire(s.self.vm, s.self.epoch, k, c.tally))
+		report = append(report, toWire(s.self.vm, s.self.epoch, k, c.stats))
 	}
-	for range min(reportOld, len(keys)) {
-		s.reportStart = (s.reportStart + 1) % len(keys)
-		k := keys[s.reportStart]
-		report = append(report, toWire(s.self.vm, s.self.epoch, k, s.own[k].tally))
+	for range min(reportUnchanged, len(keys)) {
+		s.repeatIndex = (s.repeatIndex + 1) % len(keys)
+		k := keys[s.repeatIndex]
+		report = append(report, toWire(s.self.vm, s.self.epoch, k, s.local[k].stats))
 	}
 	s.report = report
 	return true
 }
 
-// sorted returns the own keys, the least recently changed first.
-func (s *State) sorted() (keys []Key) {
-	for k := range s.own {
+// localKeys returns the keys of the process's own counts, the least recently changed first.
+func (s *State) localKeys() (keys []Key) {
+	for k := range s.local {
 		keys = append(keys, k)
 	}
 	slices.SortFunc(keys, func(a, b Key) int {
 		return cmp.Or(
-			cmp.Compare(s.own[a].changedAt, s.own[b].changedAt),
+			cmp.Compare(s.local[a].changedAt, s.local[b].changedAt),
 			strings.Compare(a.Version, b.Version),
 			strings.Compare(a.Route, b.Route),
 			strings.Compare(a.Organisation, b.Organisation),
@@ -254,14 +251,14 @@
 	return keys
 }
 
-// Totals sums, by key, what this process saw and what others told it.
+// Totals sums, by key, the process's own counts and those reported by peers.
 func (s *State) Totals() map[Key]Stats {
 	sums := make(map[Key]Stats)
-	for k, c := range s.own {
-		sums[k] = sums[k].Plus(c.tally)
+	for k, c := range s.local {
+		sums[k] = sums[k].Plus(c.stats)
 	}
-	for _, o := range s.others {
-		for k, t := range o.tallies {
+	for _, p := range s.peers {
+		for k, t := range p.stats {
 			sums[k] = sums[k].Plus(t)
 		}
 	}
--- a/evidence/state_test.go
+++ b/evidence/state_test.go
@@ -10,10 +10,9 @@
 	"pgregory.net/rapid"
 )
 
-// Reports from three processes, one of which restarts, arrive in any order, some
-// twice and some never. If a repeated or late one counted again, a good version
-// would be held for errors that never were; so the sum must always be that of
-// the newest report of each life of each process.
+// Reports of three processes, each with two incarnations, arrive in any order, some repeatedly and
+// some never. If a repeated or late one counted again, a good version would be held for errors that
+// never occurred. The sum must always be that of the newest report of each incarnation.
 func TestReportsCountOnceInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		is := is.New(t)
@@ -36,9 +35,9 @@
 	})
 }
 
-// A process's own counts come back to it through a peer, or a broken peer sends
-// counts that cannot be. Neither may change what is known.
-func TestEchoAndNonsenseAreIgnored(t *testing.T) {
+// A process's own counts come back through a peer, or a faulty peer sends impossible counts.
+// Neither may change the sums.
+func TestEchoedAndInvalidCountsAreIgnored(t *testing.T) {
 	is := is.New(t)
 	s := NewState("judge", 7)
 	for _, c := range []*wire.Count{
@@ -48,20 +47,20 @@
 		{Vm: "a", Epoch: 1, Errors: 5},
 	} {
 		_, ok := s.Merge(c)
-		is.True(!ok) // tells nothing
+		is.True(!ok) // adds nothing
 	}
 	_, ok := s.Merge(&wire.Count{Vm: "judge", Epoch: 6, Version: "m@1", Errors: 5})
-	is.True(ok) // an earlier life of this process counts
+	is.True(ok) // an earlier incarnation of this process counts
 }
 
-// One report is lost. What it told must come again in later ones, or the judge
-// would never learn of it once traffic has stopped.
-func TestLostReportIsMadeGood(t *testing.T) {
+// One report is lost. Later ones must repeat its counts, or the judge would never receive them
+// once traffic has stopped.
+func TestLostReportIsRepeated(t *testing.T) {
 	is := is.New(t)
 	s := NewState("a", 1)
 	s.Reduce(event.Tick{Now: 1})
 	s.Reduce(event.Observed{Version: "m@1", Failed: true})
-	for _, now := range []clock.Millis{reportEvery, 2 * reportEvery, 10 * reportSpan} {
+	for _, now := range []clock.Millis{reportInterval, 2 * reportInterval, 10 * reportWindow} {
 		_, changed := s.Reduce(event.Tick{Now: now + 1})
 		is.True(changed)
 		is.Equal(s.Report()[0].GetErrors(), int64(1))
--- a/evidence/tally.go
+++ b/evidence/tally.go
@@ -1,6 +1,5 @@
-// Package evidence sums what all processes have seen of each version. Counts
-// are cumulative per process and epoch, so that lost, repeated and reordered
-// reports of them do no harm.
+// Package evidence sums the outcomes of each version over all processes. Counts are cumulative per
+// process and epoch, so that lost, repeated and reordered reports are harmless.
 package evidence
 
 import (
@@ -9,32 +8,34 @@
 	"github.com/parsleydeal/parsleydeal/peer/wire"
 )
 
-// Key says what a tally is about.
+// Key identifies what Stats are about.
 type Key struct {
 	Route        string
 	Version      string
 	Organisation string
 }
 
-// Stats counts what was seen. All fields only grow.
+// Stats counts outcomes. All fields only increase.
 type Stats struct {
-	// Started counts answers whose first token came.
+	// Started counts answers whose first token arrived.
 	Started int64
-	// Good and Errors count attempts that ended whole and through the version's
-	// fault; Slow is the part of Good that missed the route's objective.
+	// Good counts attempts that ended with a complete answer, Errors those that failed through
+	// the version's fault. Slow counts the good ones that missed the route's latency objective.
 	Good   int64
 	Errors int64
 	Slow   int64
-	// Ratings counts late ratings; RatingSum adds up their scores.
+	// Ratings counts ratings, including those of Judged; RatingSum adds up their scores, from 0
+	// to 1 each.
 	Ratings   int64
 	RatingSum float64
-	// Judged counts first answers of cascades, Passed those delivered.
+	// Judged counts first answers of cascades, Passed those of them that were delivered, and
+	// PassedSum adds up the scores of the latter.
 	Judged    int64
 	Passed    int64
 	PassedSum float64
 }
 
-// Plus returns the sum of two tallies.
+// Plus returns the sum of both.
 func (t Stats) Plus(o Stats) Stats {
 	t.Started += o.Started
 	t.Good += o.Good
@@ -48,8 +49,8 @@
 	return t
 }
 
-// since returns what t counts beyond an older tally of the same process; fields
-// in which the older one is ahead give nothing.
+// since returns what t counts beyond older stats of the same process; fields in which the older
+// ones are ahead are 0.
 func (t Stats) since(o Stats) Stats {
 	return Stats{
 		Started:   max(t.Started-o.Started, 0),
@@ -64,18 +65,18 @@
 	}
 }
 
-// sane reports whether a peer's tally can be a count at all.
-func (t Stats) sane() bool {
+// valid reports whether stats from a peer are possible.
+func (t Stats) valid() bool {
 	for _, n := range []int64{t.Started, t.Good, t.Errors, t.Slow, t.Ratings, t.Judged, t.Passed} {
 		if n < 0 {
 			return false
 		}
 	}
-	return sumOf(t.RatingSum, t.Ratings) && sumOf(t.PassedSum, t.Passed)
+	return validSum(t.RatingSum, t.Ratings) && validSum(t.PassedSum, t.Passed)
 }
 
-// sumOf reports whether sum can add up n scores between 0 and 1.
-func sumOf(sum float64, n int64) bool {
+// validSum reports whether sum can be the sum of n scores between 0 and 1.
+func validSum(sum float64, n int64) bool {
 	return !math.IsNaN(sum) && sum >= 0 && sum <= float64(n)
 }
 
