--- a/rollout/hold.go
+++ b/rollout/hold.go
@@ -1,5 +1,5 @@
-// Package rollout finds versions that turn bad while they are rolled out, or
-// later, and holds them back from new work everywhere.
+// Package rollout detects versions that turn bad during a roll-out or later, and holds them: a held
+// version gets no new work from any process.
 package rollout
 
 import (
@@ -16,22 +16,22 @@
 // Errors is the namespace of this package's errors.
 var Errors = errorx.NewNamespace("rollout")
 
-// ErrMalformed marks a record that holds no hold.
+// ErrMalformed is the type of errors for records that do not encode a hold.
 var ErrMalformed = Errors.NewType("malformed")
 
-// Scope is what a hold holds.
+// Scope is what a hold applies to.
 type Scope struct {
 	Version string
-	// Organisation is empty when the version is held for all.
+	// Organisation is empty when the version is held for all organisations.
 	Organisation string
 }
 
-// ID names the scope's hold of one release in the log.
+// ID returns the ID of the log record for a hold of the scope at a release.
 func (s Scope) ID(released int64) string {
 	return "hold/" + s.Version + "/" + s.Organisation + "/" + itoa(released)
 }
 
-// Encode writes a hold as a record of the log.
+// Encode encodes a hold as a log record.
 func Encode(h *wire.Hold) (data []byte, err error) {
 	data, err = proto.Marshal(h)
 	if err != nil {
@@ -40,7 +40,7 @@
 	return data, err
 }
 
-// Decode reads a record of the log.
+// Decode decodes a log record and checks the version's format.
 func Decode(data []byte) (h *wire.Hold, err error) {
 	defer func() {
 		if err != nil {
@@ -57,12 +57,12 @@
 	return h, nil
 }
 
-// Holds is an immutable set of the holds in force. The nil value has none.
+// Holds is an immutable set of the holds in force. A nil set is empty.
 type Holds struct {
 	holds map[Scope]*wire.Hold
 }
 
-// NewHolds makes a set for tests and tools.
+// NewHolds returns a set of the given holds.
 func NewHolds(list ...*wire.Hold) *Holds {
 	h := &Holds{holds: make(map[Scope]*wire.Hold, len(list))}
 	for _, x := range list {
@@ -87,11 +87,10 @@
 	return one
 }
 
-// MaxDigestHolds bounds the holds in one message to a peer; a reader of the log knows
-// them all.
+// MaxDigestHolds bounds the holds in one message to a peer; readers of the log get all of them.
 const MaxDigestHolds = 64
 
-// Logged lists the holds that stand on the log, for peers.
+// Logged returns the holds that are on the log, at most MaxDigestHolds, to be sent to peers.
 func (h *Holds) Logged() (out []*wire.Hold) {
 	for _, x := range h.List() {
 		if x.GetOffset() >= 0 && len(out) < MaxDigestHolds {
--- a/rollout/judge.go
+++ b/rollout/judge.go
@@ -9,40 +9,40 @@
 	"github.com/parsleydeal/parsleydeal/table"
 )
 
-// take adds evidence to the tests of its own organisation and of all.
-func (s *State) take(d evidence.Delta, known Env) (effects []event.Effect, changed bool) {
-	if known.Tables == nil {
+// addDelta adds evidence to the tests of its own organisation and of all organisations.
+func (s *State) addDelta(d evidence.Delta, env Env) (effects []event.Effect, changed bool) {
+	if env.Tables == nil {
 		return nil, false
 	}
-	route, ok := known.Tables.Routes[d.Key.Route]
-	if !ok || !route.Allows(d.Key.Version) || s.Holds(known.Tables).Held(d.Key.Version, d.Key.Organisation) {
+	route, ok := env.Tables.Routes[d.Key.Route]
+	if !ok || !route.Allows(d.Key.Version) || s.Holds(env.Tables).Held(d.Key.Version, d.Key.Organisation) {
 		return nil, false
 	}
 	all := d.Key
 	all.Organisation = ""
-	limits := limitsOf(known.Tables, route, d.Key.Version)
-	whole := s.totals(all)
+	limits := limitsOf(env.Tables, route, d.Key.Version)
+	overall := s.totals(all)
 	for _, k := range []evidence.Key{all, d.Key} {
-		t := s.test(k)
+		t := s.testsOf(k)
 		if t == nil {
 			continue
 		}
 		control := s.control(k, route)
 		for i, sample := range samplesOf(d.Stats) {
 			if sample.N > 0 || sample.Bad > 0 {
-				t[i].Add(sample, limits[i], control[i], whole[i])
+				t[i].Add(sample, limits[i], control[i], overall[i])
 			}
 		}
 	}
 	for _, k := range []evidence.Key{all, d.Key} {
-		more, due := s.judge(k, route, limits, known)
+		more, found := s.evaluate(k, route, limits, env)
 		effects = append(effects, more...)
-		changed = changed || due
+		changed = changed || found
 	}
 	return effects, changed
 }
 
-func (s *State) totals(k evidence.Key) (out [signals]Sample) {
+func (s *State) totals(k evidence.Key) (out [signalCount]Sample) {
 	if t, ok := s.tests[k]; ok {
 		for i := range out {
 			out[i] = t[i].total
@@ -51,7 +51,7 @@
 	return out
 }
 
-func (s *State) test(k evidence.Key) *tests {
+func (s *State) testsOf(k evidence.Key) *tests {
 	t, ok := s.tests[k]
 	if !ok && (len(s.tests) < maxTests || k.Organisation == "") {
 		t = &tests{}
@@ -61,31 +61,29 @@
 }
 
 // limitsOf returns the rates up to which a version on a route is good.
-func limitsOf(t *table.Tables, r table.Route, version string) (out [signals]float64) {
+func limitsOf(t *table.Tables, r table.Route, version string) (out [signalCount]float64) {
 	h := r.Hold.WithDefaults()
-	const least, most = 0.001, 0.95
-	out[failing] = h.Errors
-	out[slowing] = h.Slow
-	out[rating] = 1 - t.Versions[version].Quality + h.RatingLoss
+	const minRate, maxRate = 0.001, 0.95
+	out[signalErrors] = h.Errors
+	out[signalSlow] = h.Slow
+	out[signalRatings] = 1 - t.Versions[version].Quality + h.RatingLoss
 	for i := range out {
-		out[i] = min(max(out[i], least), most)
+		out[i] = min(max(out[i], minRate), maxRate)
 	}
 	return out
 }
 
-// samplesOf parts a tally by signal. Errors are set against answers begun, not
-// against answers ended: errors end sooner, so that the first seconds of a good
-// version would show its errors alone.
-func samplesOf(t evidence.Stats) (out [signals]Sample) {
-	out[failing] = Sample{N: float64(t.Started + t.Errors), Bad: float64(t.Errors)}
-	out[slowing] = Sample{N: float64(t.Good), Bad: float64(t.Slow)}
-	out[rating] = Sample{N: float64(t.Ratings), Bad: float64(t.Ratings) - t.RatingSum}
+// samplesOf splits stats by signal. Errors are compared with started answers instead of ended ones:
+// errors end sooner, so that the first seconds of a good version would show only its errors.
+func samplesOf(t evidence.Stats) (out [signalCount]Sample) {
+	out[signalErrors] = Sample{N: float64(t.Started + t.Errors), Bad: float64(t.Errors)}
+	out[signalSlow] = Sample{N: float64(t.Good), Bad: float64(t.Slow)}
+	out[signalRatings] = Sample{N: float64(t.Ratings), Bad: float64(t.Ratings) - t.RatingSum}
 	return out
 }
 
-// control sums the other versions of the same model on the same route for the
-// same organisation.
-func (s *State) control(k evidence.Key, r table.Route) (out [signals]Sample) {
+// control sums the other versions of the same model on the same route for the same organisation.
+func (s *State) control(k evidence.Key, r table.Route) (out [signalCount]Sample) {
 	model, _, _ := table.SplitVersion(k.Version)
 	for _, m := range r.Models {
 		if m.Model != model {
@@ -104,42 +102,42 @@
 	return out
 }
 
-// judge finds a hold due when a test of the key has crossed.
-func (s *State) judge(k evidence.Key, r table.Route, limits [signals]float64, known Env) (effects []event.Effect, changed bool) {
+// evaluate holds the version when a test of the key has crossed its threshold.
+func (s *State) evaluate(k evidence.Key, r table.Route, limits [signalCount]float64, env Env) (effects []event.Effect, changed bool) {
 	t := s.tests[k]
-	if t == nil || s.Holds(known.Tables).Held(k.Version, k.Organisation) {
+	if t == nil || s.Holds(env.Tables).Held(k.Version, k.Organisation) {
 		return nil, false
 	}
 	control := s.control(k, r)
 	all := s.control(evidence.Key{Route: k.Route, Version: k.Version}, r)
-	besides := sharesWithAnother(known.Tables, r, Scope{k.Version, k.Organisation}, s.Holds(known.Tables))
-	for i := range signals {
-		if !t[i].Crossed(control[i], besides && all[i].N > 0, i == slowing) {
+	compared := hasControl(env.Tables, r, Scope{k.Version, k.Organisation}, s.Holds(env.Tables))
+	for i := range signalCount {
+		if !t[i].Crossed(control[i], compared && all[i].N > 0, i == signalSlow) {
 			continue
 		}
 		scope := Scope{Version: k.Version, Organisation: k.Organisation}
 		if k.Organisation == "" {
-			scope.Organisation = s.onlyOne(k, i, limits[i])
+			scope.Organisation = s.soleOrganisation(k, i, limits[i])
 		}
 		hold := &wire.Hold{
 			Version: scope.Version, Organisation: scope.Organisation,
-			Released: int64(known.Tables.Versions[k.Version].Released),
-			Signal:   i.String(), Route: k.Route, Seen: t[i].since.N, Bad: t[i].since.Bad, Limit: limits[i], Judge: known.Self, Offset: -1,
+			Released: int64(env.Tables.Versions[k.Version].Released),
+			Signal:   i.String(), Route: k.Route, Seen: t[i].sinceReset.N, Bad: t[i].sinceReset.Bad, Limit: limits[i], Judge: env.Self, Offset: -1,
 		}
-		return s.find(scope, hold, known)
+		return s.hold(scope, hold, env)
 	}
 	return nil, false
 }
 
-// onlyOne names the organisation that alone sees the version go wrong, or "".
-func (s *State) onlyOne(all evidence.Key, i signal, limit float64) string {
-	worst, most := "", threshold/2
+// soleOrganisation returns the only organisation for which the version goes wrong, or "".
+func (s *State) soleOrganisation(all evidence.Key, i signal, limit float64) string {
+	worst, highest := "", threshold/2
 	for k, t := range s.tests {
 		if k.Route != all.Route || k.Version != all.Version || k.Organisation == "" {
 			continue
 		}
-		if e := t[i].evidence(); e > most || e == most && k.Organisation < worst {
-			worst, most = k.Organisation, e
+		if e := t[i].statistic(); e > highest || e == highest && k.Organisation < worst {
+			worst, highest = k.Organisation, e
 		}
 	}
 	if worst == "" {
@@ -148,70 +146,69 @@
 	own := all
 	own.Organisation = worst
 	t := &s.tests[own][i]
-	rest := s.tests[all][i].total.minus(t.wholeAt).minus(t.since)
-	if rest.N >= onlyOneLeast && rest.rate() <= limit {
+	rest := s.tests[all][i].total.minus(t.overallAtStart).minus(t.sinceReset)
+	if rest.N >= minOtherOutcomes && rest.rate() <= limit {
 		return worst
 	}
 	return ""
 }
 
-// onlyOneLeast is how many outcomes of other organisations must speak for the
-// version before it is held for one only.
-const onlyOneLeast = 30
+// minOtherOutcomes is how many outcomes of other organisations must be within the limit before a
+// version is held for one organisation only.
+const minOtherOutcomes = 30
 
-// find makes a hold pending. The last version that a route can still serve is
-// not held: that would refuse everything, so operators are told instead.
-func (s *State) find(scope Scope, h *wire.Hold, known Env) (effects []event.Effect, changed bool) {
-	s.reset(scope)
-	if !replaceable(scope, known.Tables, s.Holds(known.Tables)) {
-		if told, ok := s.reported[scope]; ok && told == h.GetReleased() {
+// hold makes a hold pending. The last version that can serve a route is not held, since that would
+// refuse all its requests; operators are alerted instead.
+func (s *State) hold(scope Scope, h *wire.Hold, env Env) (effects []event.Effect, changed bool) {
+	s.resetTests(scope)
+	if !replaceable(scope, env.Tables, s.Holds(env.Tables)) {
+		if release, ok := s.alerted[scope]; ok && release == h.GetReleased() {
 			return nil, false
 		}
-		if len(s.reported) >= maxHolds {
-			clear(s.reported)
+		if len(s.alerted) >= maxHolds {
+			clear(s.alerted)
 		}
-		s.reported[scope] = h.GetReleased()
-		return []event.Effect{report("Version is bad but the last one of a route", h)}, false
+		s.alerted[scope] = h.GetReleased()
+		return []event.Effect{holdReport("Version is bad but the last one of a route", h)}, false
 	}
 	if len(s.pending) >= maxHolds {
 		return nil, false
 	}
-	s.pending[scope] = &pending{hold: h, dueAt: known.Now}
-	s.current = nil
-	effects, _ = s.tick(known)
+	s.pending[scope] = &pending{hold: h, dueAt: env.Now}
+	s.cached = nil
+	effects, _ = s.tick(env)
 	return effects, true
 }
 
-// replaceable reports whether every route that gives work to the version has
-// another one to give it to.
+// replaceable reports whether every route that sends work to the version has an alternative.
 func replaceable(scope Scope, t *table.Tables, holds *Holds) bool {
 	if t == nil {
 		return true
 	}
 	for _, r := range t.Routes {
-		if r.Allows(scope.Version) && !anotherOf(t, r, scope, holds) {
+		if r.Allows(scope.Version) && !hasAlternative(t, r, scope, holds) {
 			return false
 		}
 	}
 	return true
 }
 
-func anotherOf(t *table.Tables, r table.Route, scope Scope, holds *Holds) bool {
-	return slices.ContainsFunc(r.Models, func(m table.RouteModel) bool { return anotherIn(t, m, r.QualityTarget, scope, holds) })
+func hasAlternative(t *table.Tables, r table.Route, scope Scope, holds *Holds) bool {
+	return slices.ContainsFunc(r.Models, func(m table.RouteModel) bool { return modelHasAlternative(t, m, r.QualityTarget, scope, holds) })
 }
 
-// sharesWithAnother reports whether another version of the same model gets work
-// of the route, so that there is something to compare with.
-func sharesWithAnother(t *table.Tables, r table.Route, scope Scope, holds *Holds) bool {
+// hasControl reports whether another version of the same model gets work of the route, so that there
+// is something to compare with.
+func hasControl(t *table.Tables, r table.Route, scope Scope, holds *Holds) bool {
 	model, _, _ := table.SplitVersion(scope.Version)
 	return slices.ContainsFunc(r.Models, func(m table.RouteModel) bool {
-		return m.Model == model && anotherIn(t, m, 0, scope, holds)
+		return m.Model == model && modelHasAlternative(t, m, 0, scope, holds)
 	})
 }
 
-// anotherIn reports whether a model has another version in use whose quality
-// meets a target by the operators' word.
-func anotherIn(t *table.Tables, m table.RouteModel, target float64, scope Scope, holds *Holds) bool {
+// modelHasAlternative reports whether a model has another version in use whose configured quality
+// meets the target.
+func modelHasAlternative(t *table.Tables, m table.RouteModel, target float64, scope Scope, holds *Holds) bool {
 	for number, share := range m.Shares {
 		other := table.VersionName(m.Model, number)
 		if other == scope.Version || share == 0 || t.Versions[other].Withdrawn || t.Versions[other].Quality < target {
--- a/rollout/state.go
+++ b/rollout/state.go
@@ -14,39 +14,37 @@
 )
 
 const (
-	// maxTests bounds the tests; above it a new organisation gets none of its
-	// own, while the test over all organisations goes on.
+	// maxTests bounds the tests. Above it new organisations get no tests of their own; the test
+	// over all organisations continues.
 	maxTests = 8192
-	// maxHolds bounds the holds kept; further ones are ignored.
+	// maxHolds bounds the stored holds; further ones are ignored.
 	maxHolds = 4096
-	// stepIn is how much later each next judge appends a hold that it does not
-	// see on the log.
-	stepIn = 2 * clock.Second
-	// retryEvery is the pause before the same judge appends again.
-	retryEvery = 2 * clock.Second
-	// renewEvery is how long a hold stands on the log before it is appended
-	// again, well within any retention.
-	renewEvery = clock.Hour
-	// renewAgain is the pause before it is tried again when the log did not show
-	// it.
-	renewAgain = 10 * clock.Second
+	// takeoverDelay is how much later each next judge appends a hold that is not yet on the log.
+	takeoverDelay = 2 * clock.Second
+	// retryInterval is the delay before the same judge appends again.
+	retryInterval = 2 * clock.Second
+	// renewInterval is the age at which a hold is appended to the log again, well within any
+	// retention period.
+	renewInterval = clock.Hour
+	// renewRetryInterval is the delay before a renewal is retried when the log did not show it.
+	renewRetryInterval = 10 * clock.Second
 )
 
 // signal is a kind of evidence.
 type signal int
 
 const (
-	failing signal = iota
-	rating
-	slowing
-	signals
+	signalErrors signal = iota
+	signalRatings
+	signalSlow
+	signalCount
 )
 
 func (s signal) String() string {
 	return [...]string{"errors", "ratings", "slow"}[s]
 }
 
-// Env is what the reducer may look at beside its own state.
+// Env is the reducer's input besides events and its own state.
 type Env struct {
 	Self   string
 	Now    clock.Millis
@@ -54,15 +52,14 @@
 	VMs    []provider.VM
 }
 
-type tests [signals]Test
+type tests [signalCount]Test
 
-// pending is a hold that this process found due and does not yet see on the
-// log.
+// pending is a hold that this process decided on and has not yet read from the log.
 type pending struct {
-	hold    *wire.Hold
-	dueAt   clock.Millis
-	triedAt clock.Millis
-	tried   bool
+	hold        *wire.Hold
+	dueAt       clock.Millis
+	attemptedAt clock.Millis
+	attempted   bool
 }
 
 type logged struct {
@@ -72,41 +69,38 @@
 
 // State reduces evidence to holds, and the hold stream to the holds in force.
 type State struct {
-	// tests has an entry for each key and one for each route and version over
-	// all organisations, whose organisation is empty.
+	// tests has an entry for each key and, with an empty organisation, one for each route and
+	// version over all organisations.
 	tests map[evidence.Key]*tests
-	// logged holds what the log says, the highest release by scope.
+	// logged holds the holds on the log, the highest release of each scope.
 	logged  map[Scope]logged
 	pending map[Scope]*pending
-	// reported holds the release at which operators were last told of a version
-	// that could not be held; it is emptied at maxHolds, so that they may be told
-	// again.
-	reported map[Scope]int64
-	// current is the set in force under currentFor; nil when it must be made
-	// anew.
-	current    *Holds
-	currentFor *table.Tables
+	// alerted holds the release at which operators were last alerted to a version that could not
+	// be held. It is cleared at maxHolds, after which alerts may repeat.
+	alerted map[Scope]int64
+	// cached is the set in force under cachedFor; nil when it must be recomputed.
+	cached    *Holds
+	cachedFor *table.Tables
 }
 
-// NewState returns the state of a process that has seen nothing.
+// NewState returns a state without evidence or holds.
 func NewState() State {
 	return State{
-		tests:    make(map[evidence.Key]*tests),
-		logged:   make(map[Scope]logged),
-		pending:  make(map[Scope]*pending),
-		reported: make(map[Scope]int64),
+		tests:   make(map[evidence.Key]*tests),
+		logged:  make(map[Scope]logged),
+		pending: make(map[Scope]*pending),
+		alerted: make(map[Scope]int64),
 	}
 }
 
-// Holds returns the holds in force under the tables, in log order: one that
-// would take the last version of a route, given those before it, is not. Two
-// judges may find both versions of a model bad at once; without that rule the
-// two holds together would refuse the whole route. What this process found due
-// itself comes last and counts before the log has it, so that a log outage does
-// not keep a bad version in use here.
+// Holds returns the holds in force under the tables. They are applied in log order, and one that
+// would remove the last version of a route, given those before it, is not in force. Two judges may
+// find both versions of a model bad at once; without that rule the two holds together would refuse
+// the whole route. Pending holds of this process come last and apply before they are on the log, so
+// that a log outage does not keep a bad version in use here.
 func (s *State) Holds(t *table.Tables) *Holds {
-	if s.current != nil && s.currentFor == t {
-		return s.current
+	if s.cached != nil && s.cachedFor == t {
+		return s.cached
 	}
 	h := NewHolds()
 	for _, scope := range s.inLogOrder() {
@@ -119,7 +113,7 @@
 			h.holds[scope] = p.hold
 		}
 	}
-	s.current, s.currentFor = h, t
+	s.cached, s.cachedFor = h, t
 	return h
 }
 
@@ -129,35 +123,36 @@
 	return scopes
 }
 
-// inForce reports whether the tables have not released the version since. Log
-// offsets of two streams have no order, so the release number decides.
+// inForce reports whether the tables have not released the version since the hold. Offsets of two
+// log streams cannot be compared, so the release number decides.
 func inForce(t *table.Tables, scope Scope, h *wire.Hold) bool {
 	return t == nil || h.GetReleased() >= int64(t.Versions[scope.Version].Released)
 }
 
-// Reduce takes an event and the evidence it brought.
-func (s *State) Reduce(e event.Event, deltas []evidence.Delta, known Env) (effects []event.Effect, changed bool) {
+// Reduce applies an event and the evidence that it carried. Changed reports whether the holds in
+// force may have changed.
+func (s *State) Reduce(e event.Event, deltas []evidence.Delta, env Env) (effects []event.Effect, changed bool) {
 	switch e := e.(type) {
 	case event.LogRead:
 		if e.Stream == provider.HoldStream {
-			effects, changed = s.read(e, known)
+			effects, changed = s.readRecords(e, env)
 		}
 	case event.DigestReceived:
-		changed = s.hear(e.Digest.GetHolds(), known)
+		changed = s.receive(e.Digest.GetHolds(), env)
 	case event.AppendDone:
-		s.appended(e, known)
+		s.appendDone(e, env)
 	case event.Tick:
-		return s.tick(known)
+		return s.tick(env)
 	}
 	for _, d := range deltas {
-		more, due := s.take(d, known)
+		more, found := s.addDelta(d, env)
 		effects = append(effects, more...)
-		changed = changed || due
+		changed = changed || found
 	}
 	return effects, changed
 }
 
-func (s *State) read(e event.LogRead, known Env) (effects []event.Effect, changed bool) {
+func (s *State) readRecords(e event.LogRead, env Env) (effects []event.Effect, changed bool) {
 	for _, r := range e.Page.Records {
 		h, err := Decode(r.Data)
 		if err != nil {
@@ -165,34 +160,33 @@
 			continue
 		}
 		h.Offset = r.Offset
-		fresh := s.log(h, known)
-		changed = changed || fresh
-		if fresh {
-			effects = append(effects, report("Version held", h))
+		isNew := s.addLogged(h, env)
+		changed = changed || isNew
+		if isNew {
+			effects = append(effects, holdReport("Version held", h))
 		}
 	}
 	return effects, changed
 }
 
-// hear takes holds that a peer knows from the log, so that processes which read
-// it seldom, or can't, know them too. One already known is left alone: hearing
-// of it again says nothing of whether the log still has it.
-func (s *State) hear(holds []*wire.Hold, known Env) (changed bool) {
+// receive applies holds that a peer has read from the log, for processes that read the log rarely or
+// cannot. Those already known are left unchanged: a peer's message does not show that the log still has them.
+func (s *State) receive(holds []*wire.Hold, env Env) (changed bool) {
 	for _, h := range holds[:min(len(holds), MaxDigestHolds)] {
 		old, seen := s.logged[scopeOf(h)]
 		if _, _, ok := table.SplitVersion(h.GetVersion()); !ok || h.GetOffset() < 0 {
 			continue
 		}
 		if !seen || old.hold.GetReleased() < h.GetReleased() {
-			changed = s.log(proto.Clone(h).(*wire.Hold), known) || changed
+			changed = s.addLogged(proto.Clone(h).(*wire.Hold), env) || changed
 		}
 	}
 	return changed
 }
 
-// log takes a hold from the log and reports whether it is a new one. A second
-// record of the same hold, from another judge or a retry, changes nothing.
-func (s *State) log(h *wire.Hold, known Env) (fresh bool) {
+// addLogged stores a hold from the log and reports whether it is new. A second record of the same
+// hold, from another judge or a retry, keeps the offset of the first.
+func (s *State) addLogged(h *wire.Hold, env Env) (isNew bool) {
 	scope := scopeOf(h)
 	old, seen := s.logged[scope]
 	if seen && old.hold.GetReleased() > h.GetReleased() {
@@ -201,20 +195,20 @@
 	if !seen && len(s.logged) >= maxHolds {
 		return false
 	}
-	fresh = !seen || old.hold.GetReleased() < h.GetReleased()
-	if !fresh {
+	isNew = !seen || old.hold.GetReleased() < h.GetReleased()
+	if !isNew {
 		h.Offset = old.hold.GetOffset()
 	}
-	s.logged[scope] = logged{hold: h, readAt: known.Now}
+	s.logged[scope] = logged{hold: h, readAt: env.Now}
 	delete(s.pending, scope)
-	s.current = nil
-	s.reset(scope)
-	return fresh
+	s.cached = nil
+	s.resetTests(scope)
+	return isNew
 }
 
-// reset begins the tests of a held scope anew, so that they know nothing of the
-// time before when the version is released.
-func (s *State) reset(scope Scope) {
+// resetTests restarts the tests of a held scope, so that evidence from before the hold does not
+// count once the version is released again.
+func (s *State) resetTests(scope Scope) {
 	for k, t := range s.tests {
 		if k.Version != scope.Version || scope.Organisation != "" && k.Organisation != scope.Organisation && k.Organisation != "" {
 			continue
@@ -225,13 +219,13 @@
 	}
 }
 
-func (s *State) appended(e event.AppendDone, known Env) {
+func (s *State) appendDone(e event.AppendDone, env Env) {
 	if e.Stream != provider.HoldStream || e.Err == nil {
 		return
 	}
 	for scope, p := range s.pending {
 		if scope.ID(p.hold.GetReleased()) == e.ID {
-			p.triedAt = known.Now
+			p.attemptedAt = env.Now
 		}
 	}
 }
--- a/rollout/test.go
+++ b/rollout/test.go
@@ -2,20 +2,20 @@
 
 import "math"
 
-// alpha bounds the chance of a false hold from any one start of the test, and
-// 1/alpha the mean number of reports between two of them, while the version's
-// true rate is at its limit. Below the limit both are better by far.
+// alpha is an upper bound on the probability of a false hold from any one start of the test, and
+// 1/alpha a lower bound on the mean number of reports between two false holds, while the version's
+// true rate is at its limit. Below the limit both are far better.
 const alpha = 1e-6
 
-// alternatives are the rates against which the limit is weighed, as parts of
-// the way from the limit to 1.
+// alternatives are the rates of the alternative hypotheses, as fractions of the distance from the
+// limit to 1.
 var alternatives = [...]float64{0.04, 0.12, 0.35, 0.75}
 
 // threshold is the log-likelihood ratio at which a version is held.
 var threshold = math.Log(float64(len(alternatives)) / alpha)
 
-// Sample counts n outcomes, of which bad went wrong. Bad may have a fraction:
-// for scores between 0 and 1 it sums what lacks to 1.
+// Sample counts n outcomes, of which bad went wrong. Bad may be fractional: for scores between 0 and
+// 1 it sums their differences from 1.
 type Sample struct {
 	N   float64
 	Bad float64
@@ -31,110 +31,109 @@
 	return s.Bad / s.N
 }
 
-// Test is a one-sided sequential test of a rate against a limit that may be
-// looked at after every report. For each alternative it keeps the sum of the
-// log-likelihood ratios, begun anew whenever the sum falls below zero, so that
-// a long good run does not hide a version that turns bad late (CUSUM).
+// Test is a one-sided sequential test of a rate against a limit that may be evaluated after every
+// report. For each alternative it keeps the sum of the log-likelihood ratios, which restarts at zero
+// whenever it falls below, so that a long good run does not hide a version that turns bad late
+// (CUSUM).
 //
-// For every rate up to the limit each factor has a mean of at most 1, also for
-// bounded scores by the inequality of the means, so that the product from any
-// start is a supermartingale and passes 1/alpha with a chance of at most alpha
-// (Ville), whenever and however often one looks.
+// For every rate up to the limit each factor has a mean of at most 1, also for bounded scores by the
+// inequality of the means. The product from any start is thus a supermartingale and passes 1/alpha
+// with a probability of at most alpha (Ville), whenever and however often it is evaluated.
 type Test struct {
 	// sums are never negative.
 	sums [len(alternatives)]float64
-	// since sums the samples since all sums were last zero; total sums all.
-	since Sample
-	total Sample
-	// startedAt is the control's total when since began, wholeAt that of the
+	// sinceReset sums the samples since all sums were last zero; total sums all.
+	sinceReset Sample
+	total      Sample
+	// controlAtStart is the control's total when sinceReset started, overallAtStart that of the
 	// same version over all organisations.
-	startedAt Sample
-	wholeAt   Sample
+	controlAtStart Sample
+	overallAtStart Sample
 }
 
-// Add takes a sample in. Control is the total of the versions compared with,
-// whole that of the same version over all organisations without this sample.
-func (t *Test) Add(s Sample, limit float64, control, whole Sample) {
+// Add adds a sample. Control is the total of the versions to compare with, overall that of the same
+// version over all organisations without this sample.
+func (t *Test) Add(s Sample, limit float64, control, overall Sample) {
 	t.total = t.total.plus(s)
-	if t.quiet() {
-		t.since = Sample{}
-		t.startedAt = control
-		t.wholeAt = whole
+	if t.atZero() {
+		t.sinceReset = Sample{}
+		t.controlAtStart = control
+		t.overallAtStart = overall
 	}
-	t.since = t.since.plus(s)
-	for i, part := range alternatives {
-		rate := limit + (1-limit)*part
+	t.sinceReset = t.sinceReset.plus(s)
+	for i, fraction := range alternatives {
+		rate := limit + (1-limit)*fraction
 		step := s.Bad*math.Log(rate/limit) + (s.N-s.Bad)*math.Log((1-rate)/(1-limit))
 		t.sums[i] = max(t.sums[i]+step, 0)
 	}
 }
 
-func (t *Test) quiet() bool { return t.sums == [len(alternatives)]float64{} }
+func (t *Test) atZero() bool { return t.sums == [len(alternatives)]float64{} }
 
-// evidence returns the largest sum.
-func (t *Test) evidence() float64 {
-	most := 0.0
+// statistic returns the largest sum.
+func (t *Test) statistic() float64 {
+	largest := 0.0
 	for _, s := range t.sums {
-		most = max(most, s)
+		largest = max(largest, s)
 	}
-	return most
+	return largest
 }
 
-// Crossed reports whether the version is to be held: its evidence passes the
-// threshold, and in the same span it did worse than the versions beside it, which
-// had enough requests to tell. That second part keeps a common cause, such as an
-// overload or a rater gone wrong, from holding whichever version is new.
-// Compared says that versions to compare with are in use at all. With relative set there must be such versions: lateness alone, for one, may
-// as well be the load's fault.
+// Crossed reports whether the version is to be held: the statistic has reached the threshold, and
+// over the same time the version did worse than the control, which had enough requests to show a
+// difference. The second condition prevents a common cause, such as an overload or a faulty rater,
+// from holding whichever version is new. Compared reports whether versions to compare with are in
+// use at all. A relative test requires them, since lateness, for example, may equally be caused by
+// load.
 func (t *Test) Crossed(control Sample, compared, relative bool) bool {
-	if t.evidence() < threshold {
+	if t.statistic() < threshold {
 		return false
 	}
-	beside := control.minus(t.startedAt)
+	window := control.minus(t.controlAtStart)
 	if relative {
-		return worse(t.since, beside) >= commonWorse
+		return gStatistic(t.sinceReset, window) >= holdG
 	}
 	if !compared {
 		return true
 	}
-	if beside.N*t.since.rate() < commonLeast {
-		return t.evidence() >= patience*threshold
+	if window.N*t.sinceReset.rate() < minExpectedFailures {
+		return t.statistic() >= unconfirmedFactor*threshold
 	}
-	return worse(t.since, beside) >= commonWorse
+	return gStatistic(t.sinceReset, window) >= holdG
 }
 
-// Suspicious reports whether the evidence is half of what holds a version, and in the same
-// span it did worse than the versions beside it by a G statistic that one look passes by
-// chance in 1 of 70 cases. It is no verdict, but a reason not to give the version more.
+// Suspicious reports whether the statistic has reached half of the threshold, and over the same time
+// the version did worse than the control by a G statistic that one evaluation exceeds by chance in 1
+// of 70 cases. This is no verdict, but a reason not to give the version more traffic.
 func (t *Test) Suspicious(control Sample) bool {
-	return t.evidence() >= threshold/2 && worse(t.since, control.minus(t.startedAt)) >= leaningWorse
+	return t.statistic() >= threshold/2 && gStatistic(t.sinceReset, control.minus(t.controlAtStart)) >= suspicionG
 }
 
 const (
-	// leaningWorse is the G statistic of Leans.
-	leaningWorse = 6
-	// commonLeast is how much must have gone wrong beside the version by then if
-	// the cause were a common one.
-	commonLeast = 10
-	// patience is how many times the threshold's evidence is waited for while
-	// the versions beside it had too few requests to tell.
-	patience = 20
-	// commonWorse is the G statistic by which the version must then be worse; one
-	// look passes it by chance in 1 of 260,000 cases, which leaves room for many
-	// looks by many processes.
-	commonWorse = 20
+	// suspicionG is the minimum G statistic of Suspicious.
+	suspicionG = 6
+	// minExpectedFailures is how many outcomes of the control would have gone wrong by then if the
+	// cause were a common one; with fewer the control is too small.
+	minExpectedFailures = 10
+	// unconfirmedFactor is the multiple of the threshold that the statistic must reach while the
+	// control is too small.
+	unconfirmedFactor = 20
+	// holdG is the minimum G statistic by which a held version must be worse than the control. One
+	// evaluation exceeds it by chance in 1 of 260,000 cases, which allows for many evaluations by
+	// many processes.
+	holdG = 20
 )
 
-// worse is the G statistic of two rates, 0 when a's is not the higher one.
-func worse(a, b Sample) float64 {
+// gStatistic returns the G statistic of two rates, or 0 when a's is not the higher one.
+func gStatistic(a, b Sample) float64 {
 	if b.N == 0 || a.rate() <= b.rate() {
 		return 0
 	}
 	both := a.plus(b).rate()
-	return 2 * (a.likelihood(a.rate()) + b.likelihood(b.rate()) - a.likelihood(both) - b.likelihood(both))
+	return 2 * (a.logLikelihood(a.rate()) + b.logLikelihood(b.rate()) - a.logLikelihood(both) - b.logLikelihood(both))
 }
 
-func (s Sample) likelihood(rate float64) float64 {
+func (s Sample) logLikelihood(rate float64) float64 {
 	return xlogy(s.Bad, rate) + xlogy(s.N-s.Bad, 1-rate)
 }
 
@@ -145,7 +144,7 @@
 	return x * math.Log(y)
 }
 
-// Reset begins the test anew and keeps the total.
+// Reset restarts the test and keeps the total.
 func (t *Test) Reset() {
 	t.sums = [len(alternatives)]float64{}
 }
--- a/rollout/turn.go
+++ b/rollout/turn.go
@@ -12,62 +12,63 @@
 	"github.com/parsleydeal/parsleydeal/provider"
 )
 
-// tick appends pending holds when it is this process's turn, and renews logged
-// ones before the log drops them.
-func (s *State) tick(known Env) (effects []event.Effect, changed bool) {
-	if known.Tables == nil {
+// tick appends pending holds when it is this process's turn, and renews logged ones before the log's
+// retention ends.
+func (s *State) tick(env Env) (effects []event.Effect, changed bool) {
+	if env.Tables == nil {
 		return nil, false
 	}
 	for _, scope := range sortedScopes(s.pending) {
 		p := s.pending[scope]
-		if !inForce(known.Tables, scope, p.hold) {
+		if !inForce(env.Tables, scope, p.hold) {
 			delete(s.pending, scope)
-			s.current = nil
+			s.cached = nil
 			changed = true
 			continue
 		}
-		place := turn(known, scope.Version)
-		again := retryEvery * clock.Millis(1+place)
-		if known.Now < p.dueAt+stepIn*clock.Millis(place) || p.tried && known.Now < p.triedAt+again {
+		rank := judgeRank(env, scope.Version)
+		retryDelay := retryInterval * clock.Millis(1+rank)
+		if env.Now < p.dueAt+takeoverDelay*clock.Millis(rank) || p.attempted && env.Now < p.attemptedAt+retryDelay {
 			continue
 		}
-		p.tried = true
-		p.triedAt = known.Now
-		effects = append(effects, appendOf(scope, p.hold))
+		p.attempted = true
+		p.attemptedAt = env.Now
+		effects = append(effects, appendEffect(scope, p.hold))
 	}
-	return append(effects, s.renew(known)...), changed
+	return append(effects, s.renew(env)...), changed
 }
 
-func (s *State) renew(known Env) (effects []event.Effect) {
+func (s *State) renew(env Env) (effects []event.Effect) {
 	for _, scope := range sortedScopes(s.logged) {
 		l := s.logged[scope]
-		if !inForce(known.Tables, scope, l.hold) {
+		if !inForce(env.Tables, scope, l.hold) {
 			delete(s.logged, scope)
-			s.current = nil
+			s.cached = nil
 			continue
 		}
-		place := turn(known, scope.Version)
-		wait := renewEvery + stepIn*clock.Millis(place)
-		if known.Now-l.readAt < wait || place >= evidence.JudgeCount || !s.Holds(known.Tables).has(scope) {
+		rank := judgeRank(env, scope.Version)
+		wait := renewInterval + takeoverDelay*clock.Millis(rank)
+		if env.Now-l.readAt < wait || rank >= evidence.JudgeCount || !s.Holds(env.Tables).has(scope) {
 			continue
 		}
-		l.readAt = known.Now - wait + renewAgain
+		l.readAt = env.Now - wait + renewRetryInterval
 		s.logged[scope] = l
-		effects = append(effects, appendOf(scope, l.hold))
+		effects = append(effects, appendEffect(scope, l.hold))
 	}
 	return effects
 }
 
-// turn is this process's place among the judges of a version.
-func turn(known Env, version string) int {
-	judges := evidence.Judges(known.VMs, version)
-	if i := slices.Index(judges, known.Self); i >= 0 {
+// judgeRank returns this process's position among the judges of a version, or their number if it is
+// none of them.
+func judgeRank(env Env, version string) int {
+	judges := evidence.Judges(env.VMs, version)
+	if i := slices.Index(judges, env.Self); i >= 0 {
 		return i
 	}
 	return len(judges)
 }
 
-func appendOf(scope Scope, h *wire.Hold) event.Effect {
+func appendEffect(scope Scope, h *wire.Hold) event.Effect {
 	data, err := Encode(h)
 	if err != nil {
 		return event.Report{Message: "Hold not encoded", Fields: []any{"reason", err}}
@@ -75,7 +76,7 @@
 	return event.Append{Stream: provider.HoldStream, ID: scope.ID(h.GetReleased()), Data: data}
 }
 
-func report(message string, h *wire.Hold) event.Report {
+func holdReport(message string, h *wire.Hold) event.Report {
 	return event.Report{Message: message, Fields: []any{
 		"version", h.GetVersion(), "organisation", h.GetOrganisation(), "released", h.GetReleased(),
 		"signal", h.GetSignal(), "route", h.GetRoute(), "seen", h.GetSeen(), "bad", h.GetBad(), "limit", h.GetLimit(), "judge", h.GetJudge(),
