--- a/cascade/cascade_test.go
+++ b/cascade/cascade_test.go
@@ -9,65 +9,65 @@
 	"pgregory.net/rapid"
 )
 
-const aim = 2000 * clock.Millis(1)
+const latencyTarget = 2000 * clock.Millis(1)
 
-func drops(confidence int, first, left clock.Millis) bool {
-	return NewEscalator(decision.Ways{}).ShouldEscalate(Answer{Confidence: confidence, Remaining: left}, LargerModel{FirstByte: first, QueueWait: first})
+func escalates(confidence int, firstByte, remaining clock.Millis) bool {
+	return NewEscalator(decision.Ways{}).ShouldEscalate(Answer{Confidence: confidence, Remaining: remaining}, LargerModel{FirstByte: firstByte, QueueWait: firstByte})
 }
 
-// Endpoints are overloaded, and the larger model's first byte takes as long as a
-// request has left. Small answers are handed on unless they are hopeless; as the load
-// falls more is asked for again, and never less, and a better answer is never dropped
-// where a worse one is kept.
-func TestLargerModelIsAskedLessUnderLoad(t *testing.T) {
+// Endpoints are overloaded, and the larger model's first byte takes all the remaining time. Answers
+// of the small model must be delivered unless they are hopeless. A lower load must never escalate
+// less, and a better answer must never be dropped where a worse one is delivered.
+func TestFewerAnswersAreEscalatedUnderLoad(t *testing.T) {
 	is := is.New(t)
-	is.True(drops(50, 200, aim))
-	is.True(!drops(70, 200, aim))
-	is.True(!drops(40, aim, aim))
-	is.True(drops(0, aim*8/10, aim))
-	is.True(!drops(10, 100, -1))
+	is.True(escalates(50, 200, latencyTarget))
+	is.True(!escalates(70, 200, latencyTarget))
+	is.True(!escalates(40, latencyTarget, latencyTarget))
+	is.True(escalates(0, latencyTarget*8/10, latencyTarget))
+	is.True(!escalates(10, 100, -1))
 	rapid.Check(t, func(t *rapid.T) {
 		confidence := rapid.IntRange(0, 100).Draw(t, "confidence")
 		better := rapid.IntRange(confidence, 100).Draw(t, "better")
-		calm := clock.Millis(rapid.IntRange(0, 5000).Draw(t, "calm"))
-		busy := calm + clock.Millis(rapid.IntRange(0, 5000).Draw(t, "busy"))
-		if drops(confidence, busy, aim) && !drops(confidence, calm, aim) {
-			t.Fatalf("an answer of %d is dropped when the first byte takes %s, and kept at %s", confidence, busy, calm)
+		shorter := clock.Millis(rapid.IntRange(0, 5000).Draw(t, "shorter"))
+		longer := shorter + clock.Millis(rapid.IntRange(0, 5000).Draw(t, "longer"))
+		if escalates(confidence, longer, latencyTarget) && !escalates(confidence, shorter, latencyTarget) {
+			t.Fatalf("an answer of %d is dropped when the first byte takes %s, and kept at %s", confidence, longer, shorter)
 		}
-		if drops(better, calm, aim) && !drops(confidence, calm, aim) {
-			t.Fatalf("an answer of %d is dropped at %s, and one of %d kept", better, calm, confidence)
+		if escalates(better, shorter, latencyTarget) && !escalates(confidence, shorter, latencyTarget) {
+			t.Fatalf("an answer of %d is dropped at %s, and one of %d kept", better, shorter, confidence)
 		}
 	})
 }
 
-// A model says nothing of its answer. It is handed on: nothing speaks against it.
-func TestAnswersWithoutAnOpinionAreKept(t *testing.T) {
+// A model reports no confidence in its answer. Without evidence against the answer it must be
+// delivered.
+func TestAnswersWithoutConfidenceAreKept(t *testing.T) {
 	is := is.New(t)
-	is.True(!drops(-1, 100, aim))
+	is.True(!escalates(-1, 100, latencyTarget))
 }
 
-// The time to be of full use has passed already. The larger model's answer would be
-// late too, and worth no more than the one at hand unless that is poor.
+// The latency target has passed already. The larger model's answer would be late too, and is worth
+// no more than the one at hand unless that is poor.
 func TestLateAnswersAreDroppedOnlyWhenPoor(t *testing.T) {
 	is := is.New(t)
-	is.True(!drops(60, 500, 0))
+	is.True(!escalates(60, 500, 0))
 }
 
-// Endpoints are busy but nobody waits for the larger model. Charged for its time all the
-// same, poor answers are kept for the sake of requests that would be in time anyway.
-func TestLargerModelIsChargedAsFarAsItIsWaitedFor(t *testing.T) {
+// Endpoints are busy but nothing waits for the larger model. If its time were charged all the same,
+// poor answers would be delivered for the sake of requests that are in time anyway.
+func TestLargerModelIsChargedByItsQueueWait(t *testing.T) {
 	is := is.New(t)
-	j := NewEscalator(decision.Ways{})
-	answer := Answer{Confidence: 49, Remaining: aim}
+	e := NewEscalator(decision.Ways{})
+	answer := Answer{Confidence: 49, Remaining: latencyTarget}
 	busy, queued := LargerModel{FirstByte: 900, QueueWait: 50}, LargerModel{FirstByte: 900, QueueWait: 700}
-	is.True(!j.ShouldEscalate(answer, busy)) // nothing is known yet
+	is.True(!e.ShouldEscalate(answer, busy)) // pressure starts at 1
 	for range 100 {
-		j.ShouldEscalate(answer, busy)
+		e.ShouldEscalate(answer, busy)
 	}
-	is.True(j.ShouldEscalate(answer, busy))
+	is.True(e.ShouldEscalate(answer, busy))
 	for range 100 {
-		j.ShouldEscalate(answer, queued)
+		e.ShouldEscalate(answer, queued)
 	}
-	is.True(!j.ShouldEscalate(answer, queued))
-	is.True(!j.ShouldEscalate(answer, busy))
+	is.True(!e.ShouldEscalate(answer, queued))
+	is.True(!e.ShouldEscalate(answer, busy))
 }
