--- a/cascade/cascade_test.go
+++ b/cascade/cascade_test.go
@@ -31,10 +31,10 @@
 		shorter := clock.Millis(rapid.IntRange(0, 5000).Draw(t, "shorter"))
 		longer := shorter + clock.Millis(rapid.IntRange(0, 5000).Draw(t, "longer"))
 		if escalates(confidence, longer, latencyTarget) && !escalates(confidence, shorter, latencyTarget) {
-			t.Fatalf("an answer of %d is dropped when the first byte takes %s, and kept at %s", confidence, longer, shorter)
+			t.Fatalf("an answer of %d is dropped when the first byte takes %s, and delivered at %s", confidence, longer, shorter)
 		}
 		if escalates(better, shorter, latencyTarget) && !escalates(confidence, shorter, latencyTarget) {
-			t.Fatalf("an answer of %d is dropped at %s, and one of %d kept", better, shorter, confidence)
+			t.Fatalf("an answer of %d is dropped at %s, and one of %d is delivered", better, shorter, confidence)
 		}
 	})
 }
--- a/rollout/judge.go
+++ b/rollout/judge.go
@@ -197,8 +197,8 @@
 	return slices.ContainsFunc(r.Models, func(m table.RouteModel) bool { return modelHasAlternative(t, m, r.QualityTarget, scope, holds) })
 }
 
-// hasControl reports whether another version of the same model gets work of the route, so that there
-// is something to compare with.
+// hasControl reports whether another version of the same model gets work of the route, so that
+// there is something to compare with.
 func hasControl(t *table.Tables, r table.Route, scope Scope, holds *Holds) bool {
 	model, _, _ := table.SplitVersion(scope.Version)
 	return slices.ContainsFunc(r.Models, func(m table.RouteModel) bool {
--- a/rollout/state.go
+++ b/rollout/state.go
@@ -169,8 +169,9 @@
 	return effects, changed
 }
 
-// receive applies holds that a peer has read from the log, for processes that read the log rarely or
-// cannot. Those already known are left unchanged: a peer's message does not show that the log still has them.
+// receive applies holds that a peer has read from the log, for processes that read the log rarely
+// or cannot. Those already known are left unchanged: a peer's message does not show that the log
+// still has them.
 func (s *State) receive(holds []*wire.Hold, env Env) (changed bool) {
 	for _, h := range holds[:min(len(holds), MaxDigestHolds)] {
 		old, seen := s.logged[scopeOf(h)]
--- a/rollout/state_test.go
+++ b/rollout/state_test.go
@@ -58,8 +58,8 @@
 
 // A version fails half of its requests. The first judge appends a hold to the log; every other
 // process reads it and gives the version no new work. A lost reply makes the record appear twice,
-// which must change nothing. The operators then publish a higher release, which must end the hold for
-// good, even when the first record is read again.
+// which must change nothing. The operators then publish a higher release, which must end the hold
+// for good, even when the first record is read again.
 func TestHoldFromEvidenceToRelease(t *testing.T) {
 	is := is.New(t)
 	first, _ := judges()
@@ -127,8 +127,8 @@
 	is.True(!s.Holds(tables(0)).Held("m@2", "good"))
 }
 
-// Engines of both versions fail together, for example because of a network switch. Holding whichever
-// version happens to be new would stop a good roll-out.
+// Engines of both versions fail together, for example because of a network switch. Holding
+// whichever version happens to be new would stop a good roll-out.
 func TestCommonCauseHoldsNothing(t *testing.T) {
 	is := is.New(t)
 	s := NewState()
@@ -181,8 +181,8 @@
 	is.True(s.Holds(tables(0)).Held("m@2", "o"))
 }
 
-// The log retains records for a limited time, and processes that start later do not read older ones.
-// A hold in force must be appended again before.
+// The log retains records for a limited time, and processes that start later do not read older
+// ones. A hold in force must be appended again before its record is removed.
 func TestHoldIsRenewedBeforeRetentionEnds(t *testing.T) {
 	is := is.New(t)
 	first, _ := judges()
@@ -208,8 +208,8 @@
 	is.True(other.Holds(tables(0)).Held("m@2", "o"))
 }
 
-// Two judges find one version bad each at the same time, and both holds reach the log. Together they
-// would refuse the whole route. Every process must ignore the later one, in whatever order it
+// Two judges find one version bad each at the same time, and both holds reach the log. Together
+// they would refuse the whole route. Every process must ignore the later one, in whatever order it
 // received them.
 func TestRacingHoldsLeaveOneVersion(t *testing.T) {
 	is := is.New(t)
--- a/rollout/test.go
+++ b/rollout/test.go
@@ -14,8 +14,8 @@
 // threshold is the log-likelihood ratio at which a version is held.
 var threshold = math.Log(float64(len(alternatives)) / alpha)
 
-// Sample counts n outcomes, of which bad went wrong. Bad may be fractional: for scores between 0 and
-// 1 it sums their differences from 1.
+// Sample counts n outcomes, of which bad went wrong. Bad may be fractional: for scores between 0
+// and 1 it sums their differences from 1.
 type Sample struct {
 	N   float64
 	Bad float64
@@ -32,13 +32,13 @@
 }
 
 // Test is a one-sided sequential test of a rate against a limit that may be evaluated after every
-// report. For each alternative it keeps the sum of the log-likelihood ratios, which restarts at zero
-// whenever it falls below, so that a long good run does not hide a version that turns bad late
+// report. For each alternative it keeps the sum of the log-likelihood ratios, which restarts at
+// zero whenever it falls below, so that a long good run does not hide a version that turns bad late
 // (CUSUM).
 //
-// For every rate up to the limit each factor has a mean of at most 1, also for bounded scores by the
-// inequality of the means. The product from any start is thus a supermartingale and passes 1/alpha
-// with a probability of at most alpha (Ville), whenever and however often it is evaluated.
+// For every rate up to the limit each factor has a mean of at most 1, also for bounded scores by
+// the inequality of the means. The product from any start is thus a supermartingale and passes
+// 1/alpha with a probability of at most alpha (Ville), whenever and however often it is evaluated.
 type Test struct {
 	// sums are never negative.
 	sums [len(alternatives)]float64
@@ -102,9 +102,9 @@
 	return gStatistic(t.sinceReset, window) >= holdG
 }
 
-// Suspicious reports whether the statistic has reached half of the threshold, and over the same time
-// the version did worse than the control by a G statistic that one evaluation exceeds by chance in 1
-// of 70 cases. This is no verdict, but a reason not to give the version more traffic.
+// Suspicious reports whether the statistic has reached half of the threshold, and over the same
+// time the version did worse than the control by a G statistic that one evaluation exceeds by
+// chance in 1 of 70 cases. This is no verdict, but a reason not to give the version more traffic.
 func (t *Test) Suspicious(control Sample) bool {
 	return t.statistic() >= threshold/2 && gStatistic(t.sinceReset, control.minus(t.controlAtStart)) >= suspicionG
 }
--- a/rollout/turn.go
+++ b/rollout/turn.go
@@ -12,8 +12,8 @@
 	"github.com/parsleydeal/parsleydeal/provider"
 )
 
-// tick appends pending holds when it is this process's turn, and renews logged ones before the log's
-// retention ends.
+// tick appends pending holds when it is this process's turn, and renews logged ones before the
+// log's retention ends.
 func (s *State) tick(env Env) (effects []event.Effect, changed bool) {
 	if env.Tables == nil {
 		return nil, false
--- a/upgrade/evidence.go
+++ b/upgrade/evidence.go
@@ -19,7 +19,7 @@
 	// Ended counts answers that ended, Bad those of them that failed.
 	Ended int64
 	Bad   int64
-	// Timed counts answers whose pace could be measured, Slow those of them that exceeded
+	// Timed counts answers whose latency could be measured, Slow those of them that exceeded
 	// each of SlowThresholds.
 	Timed int64
 	Slow  [len(SlowThresholds)]int64
--- a/upgrade/upgrade_test.go
+++ b/upgrade/upgrade_test.go
@@ -71,7 +71,7 @@
 		}
 		u.AddCounts("a", Counts{{Route: "r", Target: true}: target, {Route: "r"}: old})
 		if u.Judge(clock.Millis(i), 1) {
-			t.Fatalf("%s after %+v beside %+v", u.Reason(), target, old)
+			t.Fatalf("%s after %+v; old version: %+v", u.Reason(), target, old)
 		}
 	}
 }
@@ -152,8 +152,8 @@
 }
 
 // afterHalf feeds answers of a new version over half of an upgrade's duration, or until the
-// verdict, of which slow[i] percent exceed threshold i. For each of them there are eight answers of the old
-// version, of which slowOld[i] percent exceed threshold i.
+// verdict, of which slow[i] percent exceed threshold i. For each of them there are eight answers of
+// the old version, of which slowOld[i] percent exceed threshold i.
 func afterHalf(seed uint64, answers int, slowOld [3]int, slow ...int) (u *Upgrade) {
 	const half = 10000
 	u = New(Order{Service: "s", Target: "v2", Duration: 2 * half}, 0)
@@ -211,8 +211,8 @@
 	}
 }
 
-// withDelayedAnswers feeds equally many timed and dropped answers of a new version, and ten times as
-// many of an old one. It returns the upgrade after a judgement at half of its duration.
+// withDelayedAnswers feeds equally many timed and dropped answers of a new version, and ten times
+// as many of an old one. It returns the upgrade after a judgement at half of its duration.
 func withDelayedAnswers(answers int64, slow, delayedSlow func(n int64) [len(SlowThresholds)]int64) *Upgrade {
 	u := New(Order{Service: "s", Target: "v2", Duration: 20000}, 0)
 	for i := range answers + 1 {
