--- a/relay/plan.go
+++ b/relay/plan.go
@@ -17,7 +17,7 @@
 		return plan{}
 	}
 	models := x.route.Models
-	if x.req.HasAfter || len(models) == 1 {
+	if x.req.Resumes || len(models) == 1 {
 		return plan{models: models[len(models)-1:]}
 	}
 	return plan{models: []string{models[0], models[len(models)-1]}}
