--- a/relay/server.go
+++ b/relay/server.go
@@ -98,9 +98,9 @@
 
 // TrafficCounts returns the outcomes counted since the start, the requests in flight by version,
 // and the sessions pinned to an old version.
-func (s *Server) TrafficCounts() site.Counted {
+func (s *Server) TrafficCounts() site.TrafficCounts {
 	c := s.counts.snapshot()
-	c.Kept = s.sessions.pinned(s.cfg.View(), s.cfg.Clock.Now())
+	c.KeptSessions = s.sessions.pinned(s.cfg.View(), s.cfg.Clock.Now())
 	return c
 }
 
