--- a/relay/run.go
+++ b/relay/run.go
@@ -144,7 +144,7 @@
 	version := rule.Version(catalog.Fraction(x.session), s.sessions.version(x.session, x.service, now, x.view))
 	return placement.Query{
 		Service: x.service, Version: version, Rule: rule, Zone: s.cfg.Zone, Avoid: x.tried, Model: p.model(),
-		Parts: x.req.Parts, Bytes: len(x.req.body), Bounds: s.bounds(x.view, x.service), AllTold: x.view.AllTold(), Patience: x.patience(now), Now: now,
+		Parts: x.req.Parts, Bytes: len(x.req.body), Bounds: s.bounds(x.view, x.service), AllTold: x.view.FullMesh(), Patience: x.patience(now), Now: now,
 	}
 }
 
--- a/relay/run_test.go
+++ b/relay/run_test.go
@@ -29,8 +29,8 @@
 	s := site.NewState(site.Self{Name: "e"}, 0)
 	config := &catalog.Config{Version: 1, Routes: []*catalog.Route{route}, Services: map[string]catalog.Service{"app": {Name: "app"}}}
 	site.Reduce(s, site.VerdictsRead{Now: 1})
-	site.Reduce(s, site.OperatorRead{Now: 1, Whole: true, News: site.OperatorNews{Config: config.Index()}})
-	site.Reduce(s, site.EndpointsRead{Now: 1, Whole: true, Changes: changes})
+	site.Reduce(s, site.OperatorRead{Now: 1, Full: true, Update: site.OperatorUpdate{Config: config.Index()}})
+	site.Reduce(s, site.EndpointsRead{Now: 1, Full: true, Changes: changes})
 	return s.View()
 }
 
--- a/relay/server.go
+++ b/relay/server.go
@@ -94,9 +94,9 @@
 func (s *Server) Active() int64 { return s.active.Load() }
 
 // Counted returns what traffic has counted since the start.
-func (s *Server) Counted() site.Counted {
+func (s *Server) Counted() site.TrafficCounts {
 	c := s.tally.counted()
-	c.Kept = s.sessions.kept(s.cfg.View(), s.cfg.Clock.Now())
+	c.KeptSessions = s.sessions.kept(s.cfg.View(), s.cfg.Clock.Now())
 	return c
 }
 
