--- a/site/acting_test.go
+++ b/site/acting_test.go
@@ -10,59 +10,59 @@
 	"pgregory.net/rapid"
 )
 
-// A zone loses its power with all its entries. The readers of the store and the judges
-// of upgrades were the first by name, which stand in one zone: until the others had
-// noticed, nobody read what operators published. Now each of the first ones stands in a
-// zone of its own, and those of the other zones go on at once.
+// Guards against a power failure in one zone stopping all store reads and upgrade verdicts: if
+// the delegates were simply the first entries by name, all of them could be in one zone, and
+// operators' changes would go unread until the other zones noticed. Delegates are spread over the
+// zones, so the remaining ones continue at once.
 func TestZoneOutageLeavesReadersAndJudges(t *testing.T) {
 	is := is.New(t)
-	const zones, each = 6, 60 // a site of 360 entries
-	lost := "zone-0"
-	is.Equal(len(actingOf(zones, each, "zone-5", "")), zones*each)
-	before := actingOf(zones, each, "zone-5", "")[:judges]
-	left := 0
-	for _, name := range before[:readers] {
-		if zoneOf(name) != lost {
-			left++
+	const zones, perZone = 6, 60 // a site of 360 entries
+	failed := "zone-0"
+	is.Equal(len(delegatesOf(zones, perZone, "zone-5", "")), zones*perZone)
+	before := delegatesOf(zones, perZone, "zone-5", "")[:judgeCount]
+	remaining := 0
+	for _, name := range before[:readerCount] {
+		if zoneOf(name) != failed {
+			remaining++
 		}
 	}
-	is.True(left >= 1)
-	after := actingOf(zones, each, "zone-5", lost)
+	is.True(remaining >= 1)
+	after := delegatesOf(zones, perZone, "zone-5", failed)
 	for _, name := range before {
-		if zoneOf(name) != lost {
-			is.True(name == after[0] || name == after[1]) // it goes on, and moves up
+		if zoneOf(name) != failed {
+			is.True(name == after[0] || name == after[1]) // still a delegate, now of rank 0 or 1
 		}
 	}
 }
 
-// Whatever entries there are, all of them agree on who acts, and the first ones stand in
-// as many zones as there are.
+// All entries compute the same list of delegates, and the first ones are in as many zones as
+// there are.
 func TestEntriesAgreeOnDelegates(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		zones, each := rapid.IntRange(1, 8).Draw(t, "zones"), rapid.IntRange(1, 9).Draw(t, "each")
-		a := actingOf(zones, each, "zone-0", "")
-		b := actingOf(zones, each, fmt.Sprint("zone-", zones-1), "")
+		zones, perZone := rapid.IntRange(1, 8).Draw(t, "zones"), rapid.IntRange(1, 9).Draw(t, "each")
+		a := delegatesOf(zones, perZone, "zone-0", "")
+		b := delegatesOf(zones, perZone, fmt.Sprint("zone-", zones-1), "")
 		if fmt.Sprint(a) != fmt.Sprint(b) {
-			t.Fatalf("%v and %v", a, b)
+			t.Fatalf("entries disagree: %v and %v", a, b)
 		}
 		seen := make(map[string]bool)
 		for _, name := range a[:zones] {
 			seen[zoneOf(name)] = true
 		}
 		if len(seen) != zones {
-			t.Fatalf("the first %d stand in %d zones", zones, len(seen))
+			t.Fatalf("the first %d delegates are in %d zones", zones, len(seen))
 		}
 	})
 }
 
-// actingOf is the order of entries at the first entry of a zone, two seconds after all
-// of one zone fell silent.
-func actingOf(zones, each int, at, silent string) []string {
+// delegatesOf returns the delegates as seen by the first entry of zone at, two seconds after the
+// last report from the entries of zone silent.
+func delegatesOf(zones, perZone int, at, silent string) []string {
 	name := func(z, i int) string { return fmt.Sprintf("entry-zone-%d-%02d", z, i) }
 	s := NewState(Self{Name: "entry-" + at + "-00", Process: "p", Zone: at}, 0)
 	for _, now := range []clock.Millis{1000, 3000} {
 		for z := range zones {
-			for i := range each {
+			for i := range perZone {
 				zone := fmt.Sprint("zone-", z)
 				if zone == silent && now > 1000 {
 					continue
@@ -72,7 +72,7 @@
 		}
 	}
 	Reduce(s, Tick{Now: 3100})
-	return s.acting()
+	return s.delegates()
 }
 
 func zoneOf(name string) string { return name[len("entry-") : len("entry-")+len("zone-0")] }
--- a/site/calls_test.go
+++ b/site/calls_test.go
@@ -13,8 +13,8 @@
 	"github.com/parsleydeal/parsleydeal/upgrade"
 )
 
-// behind makes the state of an entry that has so many others before it by name.
-func behind(before int) *State {
+// stateWithPeers returns the state of an entry with the given number of peers before it by name.
+func stateWithPeers(before int) *State {
 	s := NewState(Self{Name: "entry-m", Process: "entry-m/1", Zone: "a"}, 0)
 	Reduce(s, VerdictsRead{Now: 10})
 	Reduce(s, EndpointsRead{Now: 10, SentAt: 9, Full: true})
@@ -26,17 +26,17 @@
 	return s
 }
 
-// An upgrade ends at a site of 68 entries. Each of them read the status stream until it
-// found the verdict there, and those that the store turned away went on trying: a fifth
-// of a day's calls. Those that may have to write it read; the others hear that it
-// stands.
+// Guards against every entry of a large site polling the status stream until it finds the verdict
+// of an upgrade, and retrying when the store rejects the call; with 68 entries that was a fifth
+// of a day's calls. Only entries that may have to write the verdict read the stream; the others
+// receive the verdict from their peers.
 func TestOnlyJudgesReadVerdicts(t *testing.T) {
 	is := is.New(t)
 	for _, x := range []struct {
 		before int
 		reads  bool
 	}{{0, true}, {2, true}, {3, false}, {60, false}} {
-		s := behind(x.before)
+		s := stateWithPeers(x.before)
 		s.upgrades["pool"] = upgrade.New(upgrade.Order{Service: "pool", Target: "v2", Span: 24 * clock.Second, Number: 7}, 20)
 		from := "entry-z"
 		report := func(agreed bool) *wire.EntryReport {
@@ -45,20 +45,20 @@
 			}}}
 		}
 		Reduce(s, ReportReceived{Now: 30, Report: report(false)})
-		is.True(s.View().moving())
+		is.True(s.View().hasActiveUpgrade())
 		is.Equal(s.View().wants(StatusStream, 30), x.reads)
 		Reduce(s, ReportReceived{Now: 40, Report: report(true)})
-		is.True(!s.View().moving())
+		is.True(!s.View().hasActiveUpgrade())
 		is.True(!s.View().wants(StatusStream, 40))
 	}
 }
 
-// All entries of a site start in the same moment. Until each had heard those before it
-// by name it took itself for the first, and read the store for all.
+// Guards against every entry reading the store when all entries of a site start at once: an entry
+// that has received no report yet must not assume that it is the first by name.
 func TestSimultaneousStartDefersReading(t *testing.T) {
 	is := is.New(t)
-	s := behind(0)
-	is.True(s.reader()) // nobody else is known
+	s := stateWithPeers(0)
+	is.True(s.reader()) // no other entry is known
 	addresses := map[string]string{"entry-m": "m"}
 	for i := range 20 {
 		name := fmt.Sprintf("entry-a%02d", i)
@@ -67,20 +67,19 @@
 	Reduce(s, EntriesRead{Now: 100, Addresses: addresses})
 	is.True(!s.reader())
 	is.True(!s.View().wants(OperatorStream, 101))
-	// They are not heard: their machines are gone, and only their addresses are left.
-	reads := clock.Millis(0)
-	for now := clock.Millis(200); now < 3000 && reads == 0; now += 100 {
+	// No reports arrive: the VMs of these entries are gone and only their registrations are left.
+	readAt := clock.Millis(0)
+	for now := clock.Millis(200); now < 3000 && readAt == 0; now += 100 {
 		Reduce(s, Tick{Now: now})
 		if s.View().wants(OperatorStream, now) {
-			reads = now
+			readAt = now
 		}
 	}
-	is.True(reads > 0 && reads <= 100+peerLive+100)
+	is.True(readAt > 0 && readAt <= 100+peerTimeout+100)
 }
 
-// The store turns some entries away and serves the others, from which these hear of all
-// changes. An entry that was turned away tried on with each of its reads more than once
-// a second.
+// Guards against an entry that the store rejects retrying each of its reads more than once a
+// second, although the store serves its peers, which send it all changes.
 func TestEntryRejectedByStoreBacksOff(t *testing.T) {
 	is := is.New(t)
 	f := &flakyStore{calls: make(map[Stream]int)}
@@ -97,8 +96,8 @@
 	}()
 	time.Sleep(time.Second)
 	f.fails.Store(true)
-	begun := f.total()
-	time.Sleep(7 * time.Second) // what was known is too old after 3.5 s
-	t.Logf("%d calls in 7 s", f.total()-begun)
-	is.True(f.total()-begun <= 6)
+	callsBefore := f.total()
+	time.Sleep(7 * time.Second) // the state is too old after 3.5 s
+	t.Logf("%d calls in 7 s", f.total()-callsBefore)
+	is.True(f.total()-callsBefore <= 6)
 }
--- a/site/event.go
+++ b/site/event.go
@@ -7,42 +7,43 @@
 	"github.com/parsleydeal/parsleydeal/upgrade"
 )
 
-// Event is something that the state learns of.
+// Event is an input of the reducer.
 type Event interface{ event() }
 
-// Tick tells the time.
+// Tick reports the current time.
 type Tick struct{ Now clock.Millis }
 
-// OperatorRead is an answer of the operators' stream. Whole answers list all
-// that is in force.
+// OperatorRead is the result of a read of the operators' stream. A full result lists everything
+// in force.
 type OperatorRead struct {
 	Now clock.Millis
-	// SentAt is when the read was sent: what it says was true then or later.
+	// SentAt is when the read was sent: the result reflects the stream at that time or later.
 	SentAt clock.Millis
 	Full   bool
 	Update OperatorUpdate
-	// Records are what News was made of; From and Next are the offsets between
-	// which they are complete.
+	// Records are the records that Update was decoded from. They are complete between the offsets
+	// From and Next.
 	Records []Record
 	From    int64
 	Next    int64
 }
 
-// StoreFailed tells that the store did not answer.
+// StoreFailed reports that a call to the store failed.
 type StoreFailed struct{ Now clock.Millis }
 
-// EndpointsRead is an answer of the endpoints' stream.
+// EndpointsRead is the result of a read of the endpoints' stream. A full result lists all
+// endpoints.
 type EndpointsRead struct {
 	Now clock.Millis
 	// SentAt is when the read was sent.
 	SentAt  clock.Millis
 	Full    bool
 	Changes []fleet.Change
-	// Records are what Changes was made of.
+	// Records are the records that Changes was decoded from.
 	Records []Record
 }
 
-// VerdictsRead is an answer of the status stream.
+// VerdictsRead is the result of a read of the status stream.
 type VerdictsRead struct {
 	Now      clock.Millis
 	Verdicts []Verdict
@@ -50,36 +51,37 @@
 	Next int64
 }
 
-// EntriesRead lists the addresses of the entries by name.
+// EntriesRead lists the addresses of the registered entries by name.
 type EntriesRead struct {
 	Now       clock.Millis
 	Addresses map[string]string
 }
 
-// ReportReceived is a report of another entry.
+// ReportReceived is a report from another entry.
 type ReportReceived struct {
 	Now    clock.Millis
 	Report *wire.EntryReport
-	// Update and Changes are what the report's records say.
+	// Update and Changes are decoded from the report's records.
 	Update  OperatorUpdate
 	Changes []fleet.Change
 }
 
-// TrafficCounts is what this process's traffic has counted since it started.
+// TrafficCounts is what this process has counted in its traffic since it started.
 type TrafficCounts struct {
 	Now    clock.Millis
 	Counts map[string]upgrade.Counts
-	// Running is the number of requests under way by service and version.
+	// Running is the number of requests in progress by service and version.
 	Running map[string]map[string]int
-	// KeptSessions lists by service the sessions that stay on the old version of an
-	// upgrade although their number belongs to the new one.
+	// KeptSessions lists by service the hashes of the sessions that stay on the old version of an
+	// upgrade although their hash is in the new version's share.
 	KeptSessions map[string][]uint64
 }
 
-// Leave tells that the process was asked to stop.
+// Leave reports that the process was asked to stop.
 type Leave struct{}
 
-// WriteDone tells that a verdict was appended or found taken.
+// WriteDone reports that an append of a verdict ended. Err is ErrMoved if the stream ended at
+// another offset.
 type WriteDone struct {
 	Now     clock.Millis
 	Verdict Verdict
@@ -97,29 +99,29 @@
 func (Leave) event()          {}
 func (StoreFailed) event()    {}
 
-// Effect is something that the state asks for.
+// Effect is an action that the reducer requests.
 type Effect interface{ effect() }
 
-// Publish asks for a new view.
+// Publish publishes a new view.
 type Publish struct{}
 
-// Write asks to append a verdict, if the status stream still ends at an offset.
+// Write appends a verdict if the status stream still ends at offset At.
 type Write struct {
 	Verdict Verdict
 	At      int64
 }
 
-// LogLine asks for a log line.
+// LogLine writes a log line.
 type LogLine struct {
 	Message string
 	Fields  []any
 	Warn    bool
 }
 
-// SendReport asks to send a report to the other entries, or to one address.
+// SendReport sends a report to all other entries, or to one address.
 type SendReport struct {
 	Report *wire.EntryReport
-	// To is empty for all others.
+	// To is the recipient's address; empty for all other entries.
 	To string
 }
 
--- a/site/feed.go
+++ b/site/feed.go
@@ -9,62 +9,60 @@
 	"github.com/parsleydeal/parsleydeal/provider"
 )
 
-// Spans of the feeds. Every call to the store is paid for, so each feed is read
-// as seldom as the bound that rests on it allows.
+// Intervals of the feeds. Every call to the store is billed, so each feed is read as rarely as
+// the deadline that depends on it allows.
 const (
-	// operatorWait is how long a read of the operators' stream waits. Its answer
-	// confirms the configuration as of the moment it was sent, so the age of that
-	// is at most twice the wait, less than a third of the 5 s for which a key that
-	// was taken away may still be used.
+	// operatorWait is the long-poll timeout of the operators' stream. A result confirms the
+	// configuration as of the time the read was sent, so a confirmation is at most twice this
+	// old, less than a third of the 5 s for which a revoked key may still be used.
 	operatorWait = 800 * clock.Millis(1)
-	// endpointPause lies between two reads of the endpoints' stream, on which
-	// something is written all the time. An endpoint that leaves is known after
-	// the pause, half of the 2 s in which it must get no new work any more.
+	// endpointPause is the pause between two reads of the endpoints' stream, which changes all
+	// the time. An endpoint that leaves is noticed within this pause, less than half of the 2 s
+	// after which it must get no new work.
 	endpointPause = 800 * clock.Millis(1)
-	// statusWait is how long a read of the status stream waits while an upgrade
-	// is under way.
+	// statusWait is the long-poll timeout of the status stream while an upgrade is in progress.
 	statusWait = 3 * clock.Second
-	// answerSlack is how much longer than its wait an answer may take. A
-	// connection may fall silent for good, and only this bound shows it.
-	answerSlack = 1200 * clock.Millis(1)
-	// lookEvery is the span between two looks at whether a stream is to be read.
-	lookEvery = 50 * clock.Millis(1)
-	// retryPause and retryMost bound the pause after a failed read.
-	retryPause = 150 * clock.Millis(1)
-	retryMost  = 600 * clock.Millis(1)
-	// othersPause is that pause where other entries try the store too, whose next
-	// report, a second later at most, tells when it is back; or where it turns this
-	// entry away and serves those from which it hears all changes.
-	othersPause = 2 * clock.Second
-	// leadPause is that pause while the operators' stream fails as well, whose feed
-	// goes on trying for all of this process. It ends as soon as that one is read; in
-	// case only some streams fail it ends by itself.
-	leadPause = 4 * clock.Second
-	// registerEvery is the span between two looks at the registered entries.
-	// Entries that start make themselves heard, so this only finds those whose
-	// datagrams do not arrive.
-	registerEvery = 45 * clock.Second
+	// readSlack is how much longer than its long-poll timeout a read may take. A connection may
+	// go silent for good, which only this limit detects.
+	readSlack = 1200 * clock.Millis(1)
+	// pollInterval is the interval at which a feed checks whether its stream has to be read.
+	pollInterval = 50 * clock.Millis(1)
+	// retryDelay is the delay after the first failed read. It grows by the same amount with each
+	// further failure, up to maxRetryDelay.
+	retryDelay    = 150 * clock.Millis(1)
+	maxRetryDelay = 600 * clock.Millis(1)
+	// peerRetryDelay is the minimum delay when the store fails all entries and peers probe it,
+	// whose next report, at most a second later, shows that the store is back; and when the store
+	// rejects this entry but serves the peers that send it all changes.
+	peerRetryDelay = 2 * clock.Second
+	// operatorFailingDelay is the minimum delay for the other streams while the operators' stream
+	// fails, whose feed keeps probing on behalf of the whole process. The delay ends as soon as
+	// that stream is read; it is limited in case only some streams fail.
+	operatorFailingDelay = 4 * clock.Second
+	// registerInterval is the interval between two reads of the registered entries. Entries that
+	// start send reports, so these reads only find entries whose datagrams do not arrive.
+	registerInterval = 45 * clock.Second
 )
 
-// feed reads one stream of the store for good.
+// feed reads one stream of the store until its context ends.
 type feed struct {
 	loop   *Loop
 	stream Stream
-	// wait is how long a read waits for a record, pause the span before the next.
+	// wait is the long-poll timeout of a read, pause the delay before the next read.
 	wait  clock.Millis
 	pause clock.Millis
-	// take hands an answer to control.
-	take func(ctx context.Context, a answer)
-	// next is the offset to read from; negative before the first whole answer.
+	// handle posts the event for a result.
+	handle func(ctx context.Context, r readResult)
+	// next is the offset to read from; negative until the first full read.
 	next  int64
 	fails int
 }
 
-// answer is what one read of a stream brought.
-type answer struct {
+// readResult is the result of one read of a stream.
+type readResult struct {
 	records []Record
 	next    int64
-	whole   bool
+	full    bool
 	from    int64
 	sentAt  clock.Millis
 	now     clock.Millis
@@ -72,42 +70,42 @@
 
 func (l *Loop) feeds() []*feed {
 	return []*feed{
-		{loop: l, stream: OperatorStream, wait: operatorWait, next: -1, take: l.takeOperator},
-		{loop: l, stream: EndpointStream, wait: operatorWait, pause: endpointPause, next: -1, take: l.takeEndpoints},
-		{loop: l, stream: StatusStream, wait: statusWait, next: -1, take: l.takeStatus},
+		{loop: l, stream: OperatorStream, wait: operatorWait, next: -1, handle: l.handleOperator},
+		{loop: l, stream: EndpointStream, wait: operatorWait, pause: endpointPause, next: -1, handle: l.handleEndpoints},
+		{loop: l, stream: StatusStream, wait: statusWait, next: -1, handle: l.handleStatus},
 	}
 }
 
-func (l *Loop) takeOperator(ctx context.Context, a answer) {
-	news := OperatorUpdate{}
-	if len(a.records) > 0 {
-		news = l.cfg.Codec.Operator(a.records)
+func (l *Loop) handleOperator(ctx context.Context, r readResult) {
+	update := OperatorUpdate{}
+	if len(r.records) > 0 {
+		update = l.cfg.Codec.Operator(r.records)
 	}
-	l.post(ctx, OperatorRead{Now: a.now, SentAt: a.sentAt, Full: a.whole, Update: news, Records: a.records, From: a.from, Next: a.next})
+	l.post(ctx, OperatorRead{Now: r.now, SentAt: r.sentAt, Full: r.full, Update: update, Records: r.records, From: r.from, Next: r.next})
 }
 
-func (l *Loop) takeEndpoints(ctx context.Context, a answer) {
-	l.post(ctx, EndpointsRead{Now: a.now, SentAt: a.sentAt, Full: a.whole, Changes: l.cfg.Codec.Endpoints(a.records, a.now), Records: a.records})
+func (l *Loop) handleEndpoints(ctx context.Context, r readResult) {
+	l.post(ctx, EndpointsRead{Now: r.now, SentAt: r.sentAt, Full: r.full, Changes: l.cfg.Codec.Endpoints(r.records, r.now), Records: r.records})
 }
 
-func (l *Loop) takeStatus(ctx context.Context, a answer) {
-	l.post(ctx, VerdictsRead{Now: a.now, Verdicts: l.cfg.Codec.Verdicts(a.records), Next: a.next})
+func (l *Loop) handleStatus(ctx context.Context, r readResult) {
+	l.post(ctx, VerdictsRead{Now: r.now, Verdicts: l.cfg.Codec.Verdicts(r.records), Next: r.next})
 }
 
 func (f *feed) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		v := f.loop.View()
 		if f.next >= 0 && !v.wants(f.stream, f.loop.cfg.Clock.Now()) {
-			clock.Pause(ctx, lookEvery)
+			clock.Pause(ctx, pollInterval)
 			continue
 		}
-		f.place(v)
-		a, err := f.read(ctx)
+		f.setOffset(v)
+		r, err := f.read(ctx)
 		if ctx.Err() != nil {
 			return
 		}
 		if err != nil {
-			f.failed(ctx, err)
+			f.handleError(ctx, err)
 			continue
 		}
 		if f.fails > 0 {
@@ -115,18 +113,18 @@
 		}
 		f.fails = 0
 		if f.stream == OperatorStream {
-			f.loop.operatorFails.Store(false)
+			f.loop.operatorFailing.Store(false)
 		}
-		f.next = a.next
-		f.take(ctx, a)
+		f.next = r.next
+		f.handle(ctx, r)
 		clock.Pause(ctx, f.pause)
 	}
 }
 
-// place sets the offset to go on from. What other entries told is not read again;
-// the endpoints, on whose stream there is always something new, are read whole
-// by an entry that reads them only now and then.
-func (f *feed) place(v *View) {
+// setOffset sets the offset of the next read. Operators' records that peers have sent are not
+// read again. An entry that reads the endpoints' stream only occasionally reads it in full, since
+// the stream changes all the time.
+func (f *feed) setOffset(v *View) {
 	switch {
 	case f.next < 0:
 	case f.stream == OperatorStream:
@@ -136,21 +134,21 @@
 	}
 }
 
-func (f *feed) read(ctx context.Context) (a answer, err error) {
-	ctx, cancel := context.WithTimeout(ctx, (f.wait + answerSlack).Duration())
+func (f *feed) read(ctx context.Context) (r readResult, err error) {
+	ctx, cancel := context.WithTimeout(ctx, (f.wait + readSlack).Duration())
 	defer cancel()
-	a.sentAt, a.from = f.loop.cfg.Clock.Now(), f.next
+	r.sentAt, r.from = f.loop.cfg.Clock.Now(), f.next
 	if f.next < 0 {
-		a.whole = true
-		a.records, a.next, err = f.loop.cfg.Store.Newest(ctx, f.stream)
+		r.full = true
+		r.records, r.next, err = f.loop.cfg.Store.Newest(ctx, f.stream)
 	} else {
-		a.records, a.next, err = f.loop.cfg.Store.Read(ctx, f.stream, f.next, f.wait)
+		r.records, r.next, err = f.loop.cfg.Store.Read(ctx, f.stream, f.next, f.wait)
 	}
-	a.now = f.loop.cfg.Clock.Now()
-	return a, err
+	r.now = f.loop.cfg.Clock.Now()
+	return r, err
 }
 
-func (f *feed) failed(ctx context.Context, err error) {
+func (f *feed) handleError(ctx context.Context, err error) {
 	if errorx.IsOfType(err, provider.ErrExpired) {
 		f.loop.cfg.Log.Info("Store forgot records; the stream is read anew", "stream", f.stream, "from", f.next)
 		f.next = -1
@@ -162,38 +160,38 @@
 		f.loop.cfg.Log.Warn("Store does not answer", "stream", f.stream, "error", logbook.Text(err))
 	}
 	if f.stream == OperatorStream {
-		f.loop.operatorFails.Store(true)
+		f.loop.operatorFailing.Store(true)
 	}
-	f.loop.rest(ctx, f.stream, min(retryPause*clock.Millis(f.fails), retryMost))
+	f.loop.waitAfterFailure(ctx, f.stream, min(retryDelay*clock.Millis(f.fails), maxRetryDelay))
 }
 
-// rest pauses after a call on a stream that failed: for a span, and for longer while
-// others find out when the store is back.
-func (l *Loop) rest(ctx context.Context, s Stream, span clock.Millis) {
-	begun := l.cfg.Clock.Now()
-	for clock.Pause(ctx, min(span, lookEvery)) {
-		passed := l.cfg.Clock.Since(begun)
-		if passed >= span && passed >= l.storeRest(s) {
+// waitAfterFailure waits after a failed call on a stream: for at least the given duration, and
+// longer while another feed or another entry probes the store.
+func (l *Loop) waitAfterFailure(ctx context.Context, s Stream, delay clock.Millis) {
+	start := l.cfg.Clock.Now()
+	for clock.Pause(ctx, min(delay, pollInterval)) {
+		elapsed := l.cfg.Clock.Since(start)
+		if elapsed >= delay && elapsed >= l.minFailureDelay(s) {
 			return
 		}
 	}
 }
 
-// storeRest is the least pause after a call on a stream that failed; 0 while nobody
-// else tries.
-func (l *Loop) storeRest(s Stream) clock.Millis {
+// minFailureDelay returns the minimum delay after a failed call on a stream; 0 if nothing else
+// probes the store.
+func (l *Loop) minFailureDelay(s Stream) clock.Millis {
 	switch {
-	case s != OperatorStream && l.operatorFails.Load():
-		return leadPause
-	case l.View().leftToOthers, l.View().served:
-		return othersPause
+	case s != OperatorStream && l.operatorFailing.Load():
+		return operatorFailingDelay
+	case l.View().probedByPeers, l.View().storeServesPeers:
+		return peerRetryDelay
 	}
 	return 0
 }
 
-// register writes this entry's address to the store and reads those of the
-// others. It writes before it reads: of two entries that start at the same time
-// at least one then finds the other, and makes itself heard by it.
+// register writes this entry's address to the store and then reads the addresses of the others.
+// The write comes first: of two entries that start at the same time, at least one then finds the
+// other and sends it a report.
 func (l *Loop) register(ctx context.Context) {
 	written := false
 	for ctx.Err() == nil {
@@ -202,15 +200,15 @@
 			l.waitToRegister(ctx)
 			continue
 		}
-		l.cfg.Log.Warn("Entries could not be read", "written", written, "error", logbook.Text(err))
-		l.rest(ctx, EntryStream, clock.Second)
+		l.cfg.Log.Warn("Could not register this entry or read the others", "written", written, "error", logbook.Text(err))
+		l.waitAfterFailure(ctx, EntryStream, clock.Second)
 	}
 }
 
-// waitToRegister waits until the registered entries are to be looked at again. Those that
-// read the store for all do so, and make themselves heard by entries that nobody heard.
+// waitToRegister waits until the registered entries have to be read again. Only readers of the
+// store read them; their reports reach entries that no other entry has received a report from.
 func (l *Loop) waitToRegister(ctx context.Context) {
-	for clock.Pause(ctx, registerEvery) {
+	for clock.Pause(ctx, registerInterval) {
 		if l.View().reader {
 			return
 		}
@@ -218,7 +216,7 @@
 }
 
 func (l *Loop) registerOnce(ctx context.Context, written *bool) (err error) {
-	ctx, cancel := context.WithTimeout(ctx, (operatorWait + answerSlack).Duration())
+	ctx, cancel := context.WithTimeout(ctx, (operatorWait + readSlack).Duration())
 	defer cancel()
 	if !*written {
 		if err = l.cfg.Store.Append(ctx, EntryStream, l.cfg.Self.Name, []byte(l.cfg.Address), -1); err != nil {
--- a/site/kept_test.go
+++ b/site/kept_test.go
@@ -9,29 +9,28 @@
 	"github.com/parsleydeal/parsleydeal/upgrade"
 )
 
-// A session runs on the old version at a reader while a new one is brought in, and its
-// next request reaches another entry. The reader had told that it keeps the session, and
-// then answered how fresh its knowledge is: the answer, which says nothing of upgrades,
-// wiped out what it had told. The session changed to the new version, at each such
-// request, and the old version's requests there did not count any more.
+// Guards against a report without upgrades, such as a reply to a query, erasing the sessions and
+// request counts that the same process reported before. A session kept on the old version at one
+// entry would move to the new version when its next request reached another entry, and the old
+// version's requests at the first entry would no longer count.
 func TestReplyKeepsReportedUpgrades(t *testing.T) {
 	is := is.New(t)
-	s := movingState()
-	told := &wire.EntryReport{Name: "entry-a", Process: "a/1", Zone: "a", Upgrades: []*wire.UpgradeReport{{Service: "pool", Target: "v2", Number: 7, Old: 3, Kept: []uint64{42}}}}
-	effects := Reduce(s, ReportReceived{Now: 1000, Report: told})
-	is.True(publishes(effects)) // traffic must know of the session at once
+	s := upgradingState()
+	report := &wire.EntryReport{Name: "entry-a", Process: "a/1", Zone: "a", Upgrades: []*wire.UpgradeReport{{Service: "pool", Target: "v2", Number: 7, Old: 3, Kept: []uint64{42}}}}
+	effects := Reduce(s, ReportReceived{Now: 1000, Report: report})
+	is.True(publishes(effects)) // traffic needs the session at once
 	is.True(s.View().KeptByPeer("pool", 42))
 	Reduce(s, ReportReceived{Now: 1100, Report: &wire.EntryReport{Name: "entry-a", Process: "a/1", Zone: "a", ReplyMillis: 5}})
 	is.True(s.View().KeptByPeer("pool", 42))
-	is.Equal(s.old(s.upgrades["pool"].Order()), 3)
-	// Another start of the entry holds nothing of before.
+	is.Equal(s.oldRequests(s.upgrades["pool"].Order()), 3)
+	// A restarted process has none of the sessions or requests of the previous one.
 	Reduce(s, ReportReceived{Now: 1200, Report: &wire.EntryReport{Name: "entry-a", Process: "a/2", Zone: "a"}})
 	is.True(!s.View().KeptByPeer("pool", 42))
-	is.Equal(s.old(s.upgrades["pool"].Order()), 0)
+	is.Equal(s.oldRequests(s.upgrades["pool"].Order()), 0)
 }
 
-// movingState is that of an entry while an upgrade is under way.
-func movingState() *State {
+// upgradingState returns the state of an entry during an upgrade.
+func upgradingState() *State {
 	s := NewState(Self{Name: "entry-c", Process: "c/1", Zone: "c", Exposure: 0.15}, 0)
 	s.current["pool"] = "v1"
 	s.upgrades["pool"] = upgrade.New(upgrade.Order{Service: "pool", Target: "v2", Span: 24 * clock.Second, Number: 7}, 0)
--- a/site/loop.go
+++ b/site/loop.go
@@ -11,29 +11,27 @@
 )
 
 const (
-	// queueLength bounds the events that wait for the control goroutine.
-	queueLength = 1024
-	// tickEvery is the span between two ticks: a third of countPace, so that a
-	// report is at most that much late.
-	tickEvery = 100 * clock.Millis(1)
-	// appendTimeout bounds an append. The store's slowest answers that are of use
-	// take a quarter of a second.
+	// eventQueueSize limits the events that wait for the control goroutine.
+	eventQueueSize = 1024
+	// tickInterval is a third of countInterval, so that a report is late by at most that much.
+	tickInterval = 100 * clock.Millis(1)
+	// appendTimeout limits an append. The slowest useful responses of the store take a quarter of
+	// a second.
 	appendTimeout = 1500 * clock.Millis(1)
 )
 
-// Config is what a loop works with.
+// Config holds the dependencies of a loop.
 type Config struct {
 	Self  Self
 	Clock clock.Clock
 	Log   *log.Logger
 	Store Store
 	Codec Codec
-	// Address is where this entry receives reports.
+	// Address is the address on which this entry receives reports.
 	Address string
-	// Send sends a report to the addresses of other entries; it must not block
-	// for long.
+	// Send sends a report to the addresses of other entries. It must not block for long.
 	Send func(r *wire.EntryReport, to []string) error
-	// Counts returns what traffic has counted since the start.
+	// Counts returns what this process has counted in its traffic since it started.
 	Counts func() TrafficCounts
 }
 
@@ -43,40 +41,41 @@
 	state  *State
 	events chan Event
 	view   atomic.Pointer[View]
-	// started is closed once the process knows its site.
+	// started is closed once all streams were read.
 	started chan struct{}
-	// lost counts reports that found the queue full.
-	lost atomic.Int64
-	// operatorFails is true from a read of the operators' stream that failed to one
-	// that did not.
-	operatorFails atomic.Bool
+	// dropped counts reports that found the queue full or could not be unpacked.
+	dropped atomic.Int64
+	// operatorFailing is true from a failed read of the operators' stream to the next successful
+	// one.
+	operatorFailing atomic.Bool
 }
 
-// NewLoop makes a loop that knows nothing yet.
+// NewLoop returns a loop with an empty state. Run starts it.
 func NewLoop(cfg Config) *Loop {
-	l := &Loop{cfg: cfg, state: NewState(cfg.Self, cfg.Clock.Now()), events: make(chan Event, queueLength), started: make(chan struct{})}
+	l := &Loop{cfg: cfg, state: NewState(cfg.Self, cfg.Clock.Now()), events: make(chan Event, eventQueueSize), started: make(chan struct{})}
 	l.view.Store(l.state.View())
 	return l
 }
 
-// View returns the newest view. It never blocks.
+// View returns the newest view. It never blocks and may be called from any goroutine.
 func (l *Loop) View() *View { return l.view.Load() }
 
-// Started returns a channel that is closed once the process knows its site.
+// Started returns a channel that is closed once the configuration, the endpoints and the status
+// stream were read.
 func (l *Loop) Started() <-chan struct{} { return l.started }
 
-// Dropped counts the reports that were dropped because control was busy, or because their
-// records could not be unpacked.
-func (l *Loop) Dropped() int64 { return l.lost.Load() }
+// Dropped returns the number of reports that were dropped because the queue was full or because
+// their records could not be unpacked.
+func (l *Loop) Dropped() int64 { return l.dropped.Load() }
 
-// Leave tells the other entries that this one stops.
+// Leave reports to the other entries that this one stops.
 func (l *Loop) Leave(ctx context.Context) { l.post(ctx, Leave{}) }
 
-// Receive takes a report of another entry. One that finds the queue full is
-// dropped, since the next repeats what it said.
+// Receive queues a report from another entry. It drops and counts the report if its records cannot
+// be unpacked or the queue is full, since the next report repeats the content.
 func (l *Loop) Receive(r *wire.EntryReport) {
 	if err := unpack(r); err != nil {
-		l.lost.Add(1)
+		l.dropped.Add(1)
 		return
 	}
 	h := ReportReceived{Now: l.cfg.Clock.Now(), Report: r}
@@ -87,11 +86,11 @@
 	select {
 	case l.events <- h:
 	default:
-		l.lost.Add(1)
+		l.dropped.Add(1)
 	}
 }
 
-// Run reduces events and reads the store until the context ends.
+// Run processes events and reads the store until the context ends.
 func (l *Loop) Run(ctx context.Context) {
 	for _, f := range l.feeds() {
 		go f.run(ctx)
@@ -131,7 +130,7 @@
 	}
 }
 
-// publish hands traffic a new view.
+// publish publishes a new view to traffic.
 func (l *Loop) publish() {
 	before := l.View().Started()
 	v := l.state.View()
@@ -157,12 +156,12 @@
 	}
 }
 
-// send sends a report, its records packed.
+// send sends a report with its records packed.
 func (l *Loop) send(f SendReport) {
 	f.Report.Address = l.cfg.Address
 	to := []string{f.To}
 	if f.To == "" {
-		to = l.others()
+		to = l.peerAddresses()
 	}
 	reports, err := pack(f.Report, len(to))
 	for _, r := range reports {
@@ -175,8 +174,8 @@
 	}
 }
 
-// others returns the addresses of the other entries.
-func (l *Loop) others() (to []string) {
+// peerAddresses returns the addresses of the other entries.
+func (l *Loop) peerAddresses() (to []string) {
 	for name, address := range l.View().addresses {
 		if name != l.cfg.Self.Name {
 			to = append(to, address)
@@ -194,8 +193,8 @@
 }
 
 func (l *Loop) tick(ctx context.Context) {
-	for clock.Pause(ctx, tickEvery) {
-		if l.View().moving() {
+	for clock.Pause(ctx, tickInterval) {
+		if l.View().hasActiveUpgrade() {
 			c := l.cfg.Counts()
 			c.Now = l.cfg.Clock.Now()
 			l.post(ctx, c)
--- a/site/news.go
+++ b/site/news.go
@@ -1,7 +1,6 @@
-// Package site keeps what a process believes of its site: the configuration in
-// force, the endpoints, the upgrades under way and the other entries. One
-// goroutine reduces all events into this state and publishes views of it, which
-// traffic reads without locks.
+// Package site holds a process's state of its site: the configuration in force, the endpoints,
+// the upgrades in progress and the other entries. One goroutine reduces all events into this
+// state and publishes views of it, which traffic reads without locks.
 package site
 
 import (
@@ -17,30 +16,30 @@
 // Errors is the namespace of this package's errors.
 var Errors = errorx.NewNamespace("site")
 
-// ErrMoved marks a conditional append to a stream that ends elsewhere.
+// ErrMoved is returned by a conditional append if the stream does not end at the expected offset.
 var ErrMoved = Errors.NewType("moved")
 
-// Stream names a stream of the store.
+// Stream identifies a stream of the store.
 type Stream int
 
-// The streams.
+// The streams of the store.
 const (
 	// OperatorStream holds what operators publish.
 	OperatorStream Stream = iota
-	// EndpointStream holds the endpoints' announcements.
+	// EndpointStream holds the endpoints' registrations.
 	EndpointStream
-	// StatusStream holds the states of upgrades.
+	// StatusStream holds the verdicts on upgrades.
 	StatusStream
 	// EntryStream holds the entries' addresses.
 	EntryStream
 )
 
-// String names the stream for logs.
+// String returns the name of the stream for logs.
 func (s Stream) String() string {
 	return [...]string{"operator", "endpoint", "status", "entry"}[s]
 }
 
-// Record is a keyed record of a stream. One without a value drops its key.
+// Record is a keyed record of a stream. A record with an empty value deletes its key.
 type Record struct {
 	Key    string
 	Value  []byte
@@ -49,18 +48,17 @@
 
 // Store is the platform's store.
 type Store struct {
-	// Newest returns the newest record of each key, and the offset from which
-	// Read goes on.
+	// Newest returns the newest record of each key and the offset at which Read continues.
 	Newest func(ctx context.Context, s Stream) (records []Record, next int64, err error)
-	// Read returns the records from an offset on. It waits for the first one. An
-	// offset below the first kept one gives provider.ErrExpired.
+	// Read returns the records from an offset on, waiting up to wait for the first one. It
+	// returns provider.ErrExpired if the offset is below the first retained one.
 	Read func(ctx context.Context, s Stream, from int64, wait clock.Millis) (records []Record, next int64, err error)
-	// Append adds a record, with at not below 0 only while the stream ends there;
-	// ErrMoved says that it does not.
+	// Append adds a record. If at is not negative, the append is conditional and fails with
+	// ErrMoved unless the stream ends at that offset.
 	Append func(ctx context.Context, s Stream, key string, value []byte, at int64) (err error)
 }
 
-// Codec translates the records of the platform.
+// Codec translates the platform's records.
 type Codec struct {
 	Operator      func(records []Record) OperatorUpdate
 	Endpoints     func(records []Record, now clock.Millis) []fleet.Change
@@ -68,22 +66,22 @@
 	VerdictRecord func(v Verdict) (key string, value []byte)
 }
 
-// OperatorUpdate is what operators published since the last look.
+// OperatorUpdate is what operators published since the previous read.
 type OperatorUpdate struct {
-	// Config is nil when it did not change.
+	// Config is nil if it did not change.
 	Config  *catalog.Config
 	Orders  []upgrade.Order
 	Zones   []ZoneChange
 	Invalid []InvalidRecord
 }
 
-// ZoneChange takes a zone out of service or back in.
+// ZoneChange takes an availability zone out of service or back in.
 type ZoneChange struct {
 	Zone string
 	Out  bool
 }
 
-// InvalidRecord is a record that cannot be used.
+// InvalidRecord describes a record that cannot be used.
 type InvalidRecord struct {
 	Key    string
 	Offset int64
--- a/site/outage_test.go
+++ b/site/outage_test.go
@@ -17,7 +17,7 @@
 	"github.com/parsleydeal/parsleydeal/peer/wire"
 )
 
-// flakyStore is a store that fails when told to, and counts calls by stream.
+// flakyStore is a store whose calls fail on demand. It counts calls by stream.
 type flakyStore struct {
 	fails atomic.Bool
 	mu    sync.Mutex
@@ -57,7 +57,7 @@
 	}
 }
 
-// loop makes the loop of an entry that calls the store.
+// loop returns the loop of an entry that calls the store.
 func (f *flakyStore) loop(self Self) *Loop {
 	return NewLoop(Config{
 		Self: self, Clock: clock.Boot(), Log: log.New(io.Discard), Store: f.store(),
@@ -70,10 +70,10 @@
 	})
 }
 
-// All entries lost their power and start while the store is down for ten seconds.
-// Each tried it with every one of its reads, four times as often as it takes to find
-// out, and all of these calls are paid for. Now one read of each tries; the others
-// follow as soon as that one is answered.
+// Guards against each feed of a process probing a failing store on its own, for example when all
+// entries start after a power failure while the store is down: four times as many billed calls as
+// it takes to notice that the store is back. Only the operators' feed probes it; the others
+// follow as soon as it succeeds.
 func TestFailingStoreIsProbedByOneFeed(t *testing.T) {
 	is := is.New(t)
 	f := &flakyStore{calls: make(map[Stream]int)}
@@ -84,7 +84,7 @@
 	go l.Run(ctx)
 	time.Sleep(2 * time.Second)
 	t.Logf("%d calls in 2 s", f.total())
-	is.True(f.total() <= 10) // each read for itself made 17
+	is.True(f.total() <= 10) // 17 with each feed probing on its own
 	is.True(f.total() >= 5)
 	f.fails.Store(false)
 	time.Sleep(time.Second)
--- a/site/pack.go
+++ b/site/pack.go
@@ -9,48 +9,47 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// News of the store goes to all entries packed, since endpoints' announcements and
-// routes repeat the same words, and in as many reports as it takes. Sent as it stands, the
-// news of a move to a new version was too large for a report on a site of some seventy
-// endpoints, and each entry read all of the endpoints from the store.
+// Updates from the store are sent to all entries compressed, since the registrations of endpoints
+// and the routes repeat the same words, and split into as many reports as needed. Uncompressed,
+// the update for an upgrade on a site of some seventy endpoints did not fit into one report, so
+// that each entry read all endpoints from the store.
 
 const (
-	// mostInReport is how many records of endpoints go into one report: a few kilobytes,
-	// so that a lost datagram costs little.
-	mostInReport = 200
-	// mostPacked bounds the records in a report, in bytes: a datagram holds a little
-	// more.
-	mostPacked = 48 << 10
-	// mostNews bounds what one piece of news takes at all entries together, in bytes: a
-	// second of the link of a large VM. Larger news is only announced, and each entry
-	// reads it.
-	mostNews = 16 << 20
-	// mostUnpacked bounds what a report's records may unpack to.
-	mostUnpacked = 8 << 20
+	// maxRecordsPerReport limits the endpoint records in one report to a few kilobytes, so that a
+	// lost datagram costs little.
+	maxRecordsPerReport = 200
+	// maxPackedBytes limits the compressed records in a report. A datagram holds slightly more.
+	maxPackedBytes = 48 << 10
+	// maxUpdateBytes limits the bytes of one update summed over all recipients, to about one
+	// second of a large VM's link. Of a larger update only the offsets and the digest are sent,
+	// and each entry reads the records itself.
+	maxUpdateBytes = 16 << 20
+	// maxUnpackedBytes limits the decompressed size of a report's records.
+	maxUnpackedBytes = 8 << 20
 )
 
-// pack makes the reports that carry a report's records to so many entries; one without
-// any where there is too much of it.
-func pack(r *wire.EntryReport, to int) (out []*wire.EntryReport, err error) {
+// pack returns the reports that carry the records of r to the given number of recipients. If the
+// records are too large, it returns a single report without records.
+func pack(r *wire.EntryReport, recipients int) (out []*wire.EntryReport, err error) {
 	total := 0
 	for records := r.GetRecords(); len(records) > 0; {
 		n := len(records)
 		if Stream(records[0].GetStream()) == EndpointStream {
-			// Those of the operators' stream are of use together only.
-			n = min(n, mostInReport)
+			// Records of the operators' stream are only usable together.
+			n = min(n, maxRecordsPerReport)
 		}
 		packed, err := deflate(records[:n])
 		if err != nil {
 			return nil, err
 		}
 		records = records[n:]
-		if total += len(packed) * to; len(packed) > mostPacked || total > mostNews {
+		if total += len(packed) * recipients; len(packed) > maxPackedBytes || total > maxUpdateBytes {
 			out = nil
 			break
 		}
-		part := proto.CloneOf(r)
-		part.Records, part.Packed = nil, packed
-		out = append(out, part)
+		chunk := proto.CloneOf(r)
+		chunk.Records, chunk.Packed = nil, packed
+		out = append(out, chunk)
 	}
 	if len(out) == 0 {
 		r.Records = nil
@@ -76,20 +75,20 @@
 	return b.Bytes(), err
 }
 
-// ErrUnpack marks a report whose records cannot be unpacked.
+// ErrUnpack is returned for a report whose records cannot be unpacked.
 var ErrUnpack = Errors.NewType("packed")
 
-// unpack puts a report's packed records back.
+// unpack replaces the packed records of a report by the records themselves.
 func unpack(r *wire.EntryReport) (err error) {
 	if len(r.GetPacked()) == 0 {
 		return nil
 	}
-	data, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(r.GetPacked())), mostUnpacked+1))
+	data, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(r.GetPacked())), maxUnpackedBytes+1))
 	if err != nil {
 		return ErrUnpack.Wrap(err, "report of %s", r.GetName())
 	}
-	if len(data) > mostUnpacked {
-		return ErrUnpack.New("report of %s unpacks to more than %d bytes", r.GetName(), mostUnpacked)
+	if len(data) > maxUnpackedBytes {
+		return ErrUnpack.New("report of %s unpacks to more than %d bytes", r.GetName(), maxUnpackedBytes)
 	}
 	var records wire.StoreRecords
 	if err = proto.Unmarshal(data, &records); err != nil {
--- a/site/pack_test.go
+++ b/site/pack_test.go
@@ -10,8 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// announcements makes the news of so many endpoints, as they announce themselves.
-func announcements(n int) *wire.EntryReport {
+// registrations returns a report with the registrations of n endpoints.
+func registrations(n int) *wire.EntryReport {
 	r := &wire.EntryReport{Process: "p", Name: "n", FleetDigest: 7}
 	for i := range n {
 		value := fmt.Sprintf(`{"service":"pool-%d","address":"10.%d.64.%d:8444","zone":"anadolu-%d","version":"v2","slots":24,"state":"ready","coldRemainingMs":%d,"sequence":%d,"born":%d}`,
@@ -21,33 +21,32 @@
 	return r
 }
 
-// A new version is brought in on a site of 74 endpoints: as many new ones announce
-// themselves within a second. Their news was too large for one report, so that it was
-// announced only, and each of 68 entries read all endpoints from the store. It goes out
-// in one packed report, and a thousand endpoints' in a few, until it is too much for the
-// link of the entry that tells.
+// Guards against the update for an upgrade on a site of 74 endpoints, whose new endpoints
+// register within a second, being too large for one report, so that each of 68 entries reads all
+// endpoints from the store. One packed report carries it, a few carry a thousand endpoints, and
+// only an update too large for the sender's link is sent without records.
 func TestPackManyRegistrations(t *testing.T) {
 	is := is.New(t)
 	for _, x := range []struct{ endpoints, entries, reports int }{{74, 67, 1}, {1000, 67, 5}, {3000, 67, 15}} {
-		reports, err := pack(announcements(x.endpoints), x.entries)
+		reports, err := pack(registrations(x.endpoints), x.entries)
 		is.NoErr(err)
 		is.Equal(len(reports), x.reports)
 		records := 0
 		for _, r := range reports {
-			is.True(proto.Size(r) < 60<<10) // a datagram holds it
+			is.True(proto.Size(r) < 60<<10) // fits into a datagram
 			is.Equal(r.GetFleetDigest(), uint64(7))
 			is.NoErr(unpack(r))
 			records += len(r.GetRecords())
 		}
 		is.Equal(records, x.endpoints)
 	}
-	reports, err := pack(announcements(3000), 4000)
+	reports, err := pack(registrations(3000), 4000)
 	is.NoErr(err)
 	is.Equal(len(reports), 1)
-	is.Equal(len(reports[0].GetRecords()), 0) // announced
+	is.Equal(len(reports[0].GetRecords()), 0) // without records
 }
 
-// Whatever is packed comes out again.
+// Packing and unpacking returns the same records.
 func TestPackRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := &wire.EntryReport{Process: "p"}
@@ -61,7 +60,7 @@
 			t.Fatal(err)
 		}
 		if stream == OperatorStream && len(reports) != 1 {
-			t.Fatalf("%d reports of the operators' stream", len(reports))
+			t.Fatalf("operators' records were split into %d reports", len(reports))
 		}
 		got := &wire.StoreRecords{}
 		for _, x := range reports {
@@ -71,15 +70,15 @@
 			got.Records = append(got.Records, x.GetRecords()...)
 		}
 		if !proto.Equal(want, got) {
-			t.Fatal("other records came out")
+			t.Fatal("unpacked records differ")
 		}
 	})
 }
 
-// FuzzUnpack takes reports whose packed records are torn, forged or endless: nothing is
-// taken of these, and nothing fails.
+// FuzzUnpack unpacks truncated, forged and endless records: none of them are accepted, and
+// nothing panics.
 func FuzzUnpack(f *testing.F) {
-	good, err := deflate(announcements(3).GetRecords())
+	good, err := deflate(registrations(3).GetRecords())
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -90,7 +89,7 @@
 	f.Fuzz(func(t *testing.T, packed []byte) {
 		r := &wire.EntryReport{Process: "p", Packed: packed}
 		if err := unpack(r); err != nil && len(r.GetRecords()) > 0 {
-			t.Fatal("records of a torn report were taken")
+			t.Fatal("records of an invalid report were accepted")
 		}
 	})
 }
--- a/site/share.go
+++ b/site/share.go
@@ -5,73 +5,73 @@
 	"github.com/parsleydeal/parsleydeal/peer/wire"
 )
 
-// Each call to the store is paid for, and the calls of many entries would use up
-// what it serves. So a few entries read it and the others hear from them: news as
-// soon as it was read, and on asking how fresh what they know is. An entry that
-// hears nothing reads the store itself.
+// Each call to the store is billed, and the calls of many entries would exceed its capacity. So a
+// few entries read it on behalf of the others: they send updates as soon as they have read them
+// and reply to queries about the age of their state. An entry that receives neither reads the
+// store itself.
 
 const (
-	// readers is how many entries read the store: one may end at any time, and the
-	// others notice that only after a while.
-	readers = 2
-	// confirmWithin is how old the confirmation of the configuration may be before
-	// an entry reads the store itself. It asks once a second and an answer may be
-	// lost; a reader's own confirmation is up to 1.6 s old. What is left of the 5 s
-	// for which a key may be used after it was taken away is for the read.
-	confirmWithin = 3200 * clock.Millis(1)
-	// fleetWithin is the same for the endpoints, whose leaving an entry hears of
-	// at once.
-	fleetWithin = 3500 * clock.Millis(1)
-	// strayFor is how long an entry may know other endpoints than a reader before
-	// it reads them itself: the news may still be on its way.
-	strayFor = 300 * clock.Millis(1)
-	// never is an instant before all others.
+	// readerCount is the number of entries that read the store. There is more than one because
+	// the others notice only after a while that a reader stopped.
+	readerCount = 2
+	// maxConfirmationAge is how old the confirmation of the configuration may be before an entry
+	// reads the store itself. An entry queries the readers once a second and a reply may be lost;
+	// a reader's own confirmation is up to 1.6 s old. The rest of the 5 s for which a revoked key
+	// may be used is left for the read.
+	maxConfirmationAge = 3200 * clock.Millis(1)
+	// maxFleetAge is the same limit for the endpoints. Readers push it at once when an endpoint
+	// leaves.
+	maxFleetAge = 3500 * clock.Millis(1)
+	// divergenceTimeout is how long an entry's endpoints may differ from a reader's before the
+	// entry reads them itself: the update may still be in transit.
+	divergenceTimeout = 300 * clock.Millis(1)
+	// never is a time before all others.
 	never = -clock.Hour
 )
 
-// reader reports whether this entry reads the store for all.
-func (s *State) reader() bool { return s.rank() < readers }
+// reader reports whether this entry reads the store on behalf of all.
+func (s *State) reader() bool { return s.rank() < readerCount }
 
-// leftToOthers reports whether this entry may leave it to others to find out when a
-// store that fails all of them is back. Each call is paid for, also a refused one, and
-// trying for themselves they would call it several times a second each.
-func (s *State) leftToOthers() bool {
+// probedByPeers reports whether other entries probe a store that fails all entries, so that this
+// one need not. Each call is billed, even a refused one, and without this every entry would call
+// the store several times a second.
+func (s *State) probedByPeers() bool {
 	if !s.failing {
 		return false
 	}
-	before := 0
+	preceding := 0
 	for name, p := range s.peers {
 		switch {
-		case s.now-p.heardAt >= peerLive || p.report.GetLeaving():
+		case s.now-p.lastSeenAt >= peerTimeout || p.report.GetLeaving():
 		case p.report.GetStoreAgeMillis() == 0:
 			return false
 		case name < s.self.Name:
-			before++
+			preceding++
 		}
 	}
-	return before >= readers
+	return preceding >= readerCount
 }
 
-// othersServed reports whether the store answers entries that read it for all. One that
-// it turns away hears of all changes from these.
-func (s *State) othersServed() bool {
-	served := 0
+// storeServesPeers reports whether the store serves the entries that read it on behalf of all. An
+// entry that the store rejects receives all changes from them.
+func (s *State) storeServesPeers() bool {
+	serving := 0
 	for _, p := range s.peers {
-		if s.able(p) && p.report.GetStoreAgeMillis() == 0 {
-			served++
+		if s.eligible(p) && p.report.GetStoreAgeMillis() == 0 {
+			serving++
 		}
 	}
-	return served >= readers && !s.reader() && s.started()
+	return serving >= readerCount && !s.reader() && s.started()
 }
 
-// report is what every report says.
-func (s *State) report() *wire.EntryReport {
+// newReport returns a report with the fields that every report has.
+func (s *State) newReport() *wire.EntryReport {
 	r := &wire.EntryReport{
 		Process: s.self.Process, Name: s.self.Name, Zone: s.self.Zone, Leaving: s.leaving,
 		OperatorNext: s.operatorNext, FleetDigest: s.fleet.Snapshot().Digest(),
 	}
 	if s.failing {
-		r.StoreAgeMillis = int64(max(s.now-s.storeAt, 1))
+		r.StoreAgeMillis = int64(max(s.now-s.storeAnsweredAt, 1))
 	}
 	if s.config != nil {
 		r.Version = s.config.Version
@@ -79,9 +79,9 @@
 	return r
 }
 
-// push tells all others of news that was just read.
+// push sends records that were just read to all other entries.
 func (s *State) push(stream Stream, records []Record, from, next int64) Effect {
-	r := s.report()
+	r := s.newReport()
 	if stream == OperatorStream {
 		r.OperatorFrom, r.OperatorNext = from, next
 	}
@@ -101,20 +101,19 @@
 	return out
 }
 
-// heardNews takes news and confirmations of another entry, and answers its
-// question.
-func (s *State) heardNews(e ReportReceived) (effects []Effect) {
+// receiveUpdates applies another entry's updates and confirmations, and replies to its query.
+func (s *State) receiveUpdates(e ReportReceived) (effects []Effect) {
 	if !s.started() {
 		return nil
 	}
 	r := e.Report
-	effects = append(effects, s.heardOperator(e)...)
+	effects = append(effects, s.receiveOperatorUpdate(e)...)
 	if len(e.Changes) > 0 {
 		effects = append(effects, s.fleetChanged(s.fleet.Apply(e.Changes, false))...)
 		effects = append(effects, Publish{})
 	}
 	if r.GetReplyMillis() > 0 {
-		effects = append(effects, s.confirmed(r)...)
+		effects = append(effects, s.receiveConfirmation(r)...)
 	}
 	if r.GetAskMillis() > 0 && s.reader() {
 		effects = append(effects, s.reply(r))
@@ -122,36 +121,36 @@
 	return effects
 }
 
-// heardOperator takes what operators published by way of another entry, if
-// nothing is missing before it.
-func (s *State) heardOperator(e ReportReceived) (effects []Effect) {
+// receiveOperatorUpdate applies operators' records sent by another entry, unless there is a gap
+// before them.
+func (s *State) receiveOperatorUpdate(e ReportReceived) (effects []Effect) {
 	r := e.Report
 	if r.GetOperatorNext() <= s.operatorNext {
 		return nil
 	}
-	s.heardNext = max(s.heardNext, r.GetOperatorNext())
+	s.peerOperatorNext = max(s.peerOperatorNext, r.GetOperatorNext())
 	complete := len(recordsOn(r, OperatorStream)) > 0 && r.GetOperatorFrom() >= 0 && r.GetOperatorFrom() <= s.operatorNext
 	if complete {
-		effects = s.published(OperatorRead{Now: e.Now, Update: e.Update}, false)
+		effects = s.applyOperatorUpdate(OperatorRead{Now: e.Now, Update: e.Update}, false)
 		s.operatorNext = r.GetOperatorNext()
 	}
 	return append(effects, Publish{})
 }
 
-// reply tells an asker how fresh this entry's knowledge is. The asker counts from
-// when it asked, so that no time on the way makes it look fresher than it is.
-func (s *State) reply(asker *wire.EntryReport) Effect {
-	r := s.report()
-	r.ReplyMillis, r.ReplyTo = asker.GetAskMillis(), asker.GetProcess()
+// reply returns a reply with the age of this entry's state. The recipient counts that age from
+// when it sent the query, so that time in transit cannot make the state look newer than it is.
+func (s *State) reply(query *wire.EntryReport) Effect {
+	r := s.newReport()
+	r.ReplyMillis, r.ReplyTo = query.GetAskMillis(), query.GetProcess()
 	r.ConfirmedAgeMillis = int64(s.now - s.confirmedAt)
-	r.FleetAgeMillis = int64(s.now - s.fleetAt)
-	return SendReport{Report: r, To: asker.GetAddress()}
+	r.FleetAgeMillis = int64(s.now - s.fleetConfirmedAt)
+	return SendReport{Report: r, To: query.GetAddress()}
 }
 
-// confirmed takes a reader's answer. It confirms only what is the same here and
-// there. An answer to the process that had this address before is none: its clock
-// was another one, and the answer would look fresher than it is.
-func (s *State) confirmed(r *wire.EntryReport) (effects []Effect) {
+// receiveConfirmation applies a reader's reply. It confirms only what is the same at both
+// entries. A reply to the previous process with this address is ignored: that process had another
+// clock, and the reply would make the state look newer than it is.
+func (s *State) receiveConfirmation(r *wire.EntryReport) (effects []Effect) {
 	asked := clock.Millis(r.GetReplyMillis())
 	if r.GetReplyTo() != s.self.Process || asked > s.now {
 		return nil
@@ -161,9 +160,9 @@
 	}
 	switch {
 	case r.GetFleetDigest() == s.fleet.Snapshot().Digest():
-		s.fleetAt, s.strayAt = max(s.fleetAt, asked-clock.Millis(r.GetFleetAgeMillis())), 0
-	case s.strayAt == 0:
-		s.strayAt = s.now
+		s.fleetConfirmedAt, s.divergedAt = max(s.fleetConfirmedAt, asked-clock.Millis(r.GetFleetAgeMillis())), 0
+	case s.divergedAt == 0:
+		s.divergedAt = s.now
 	}
 	return []Effect{Publish{}}
 }
--- a/site/sharer.go
+++ b/site/sharer.go
@@ -8,35 +8,35 @@
 )
 
 const (
-	// unknownEntries is how many entries are taken to share the bounds of the site
-	// before the registered ones were read. Too many refuses a request now and then;
-	// too few overruns an endpoint in cold start.
-	unknownEntries = 8
-	// leavingShare is how much smaller the share of an entry is that leaves: it gets
-	// no new connections and only ends what it has.
-	leavingShare = 4
-	// homePart is the part of what an endpoint may get that the entries of its own
-	// zone share. Divided evenly among all, an entry could send to the endpoints of
-	// its zone less than its callers ask, and half of its requests went to other
-	// zones, where bytes are dear, while those of its own were half idle. With most of it
-	// at home an entry whose few neighbours fail finds too little elsewhere.
-	homePart = 0.5
+	// assumedEntries is how many entries are assumed to share the site's limits until the
+	// registered ones were read. With too many assumed, a request is occasionally refused; with
+	// too few, an endpoint in cold start is overloaded.
+	assumedEntries = 8
+	// leavingShareFactor divides the share of an entry that leaves: it accepts no new connections
+	// and only finishes its current ones.
+	leavingShareFactor = 4
+	// localFraction is the fraction of an endpoint's limit that the entries of its zone share.
+	// With an even division, an entry could send less to the endpoints of its own zone than its
+	// callers asked for, and half of its requests went to other zones, whose traffic is
+	// expensive, while its own endpoints were half idle. With a much larger fraction, an entry
+	// whose few local endpoints fail has too little capacity in other zones.
+	localFraction = 0.5
 )
 
-// sharer is an entry that shares the bounds of the site. Its zone is empty while
-// it was not heard.
+// sharer is an entry that shares the site's limits. Its zone is empty until a report from it
+// arrives.
 type sharer struct {
 	name string
 	zone string
 }
 
-// sharers lists the entries that share the bounds of the site, in the order of
-// their names. One that leaves hands its share to those that take its callers
-// over: at a stop in turn a single entry may have nearly all of them.
+// sharers returns the entries that share the site's limits, sorted by name. An entry that leaves
+// gives its share to those that take over its callers: during a rolling restart a single entry
+// may have nearly all of them.
 func (s *State) sharers() (all []sharer) {
 	all = []sharer{{s.self.Name, s.self.Zone}}
-	if !s.known[EntryStream] {
-		for len(all) < unknownEntries {
+	if !s.loaded[EntryStream] {
+		for len(all) < assumedEntries {
 			all = append(all, sharer{name: "unknown"})
 		}
 		return all
@@ -45,9 +45,9 @@
 		p := s.peers[name]
 		switch {
 		case name == s.self.Name, p != nil && p.report.GetLeaving():
-		case p != nil && s.now-p.heardAt < peerGone:
+		case p != nil && s.now-p.lastSeenAt < peerExpiry:
 			all = append(all, sharer{name, p.report.GetZone()})
-		case p == nil && s.now-s.startedAt < hearing:
+		case p == nil && s.now-s.startedAt < startupGrace:
 			all = append(all, sharer{name: name})
 		}
 	}
@@ -55,7 +55,7 @@
 	return all
 }
 
-// shares returns this entry's share of the bounds by the endpoints' zones.
+// shares returns this entry's share of the limits by the endpoints' zone.
 func (s *State) shares(all []sharer) map[string]placement.Share {
 	out := make(map[string]placement.Share)
 	fleet := s.fleet.Snapshot()
@@ -73,38 +73,38 @@
 	return out
 }
 
-// shareOf is this entry's share at the endpoints of one zone. An entry of a zone
-// without endpoints in use is at home in all others: its callers' requests have
-// nowhere else to go. One whose zone is not known counts in both groups, so that
-// these never share too much.
+// shareOf returns this entry's share at the endpoints of one zone. An entry in a zone without
+// usable endpoints counts as local in all other zones, since its callers' requests can go nowhere
+// else. An entry of unknown zone counts in both groups, so that the shares never exceed the
+// limit.
 func (s *State) shareOf(all []sharer, zone string, inUse map[string]bool) placement.Share {
-	atHome := func(of string) bool { return of == zone || of != "" && !inUse[of] }
-	home, away := placement.Share{Part: homePart}, placement.Share{Part: 1 - homePart}
+	isLocal := func(peerZone string) bool { return peerZone == zone || peerZone != "" && !inUse[peerZone] }
+	local, remote := placement.Share{Part: localFraction}, placement.Share{Part: 1 - localFraction}
 	for _, x := range all {
-		if atHome(x.zone) || x.zone == "" {
-			count(&home, x.name < s.self.Name)
+		if isLocal(x.zone) || x.zone == "" {
+			addEntry(&local, x.name < s.self.Name)
 		}
-		if !atHome(x.zone) {
-			count(&away, x.name < s.self.Name)
+		if !isLocal(x.zone) {
+			addEntry(&remote, x.name < s.self.Name)
 		}
 	}
-	share := away
+	share := remote
 	switch {
-	case home.Entries == 0:
+	case local.Entries == 0:
 		share.Part = 1
-	case atHome(s.self.Zone):
-		share = home
-		if away.Entries == 0 {
+	case isLocal(s.self.Zone):
+		share = local
+		if remote.Entries == 0 {
 			share.Part = 1
 		}
 	}
 	if s.leaving {
-		share.Entries *= leavingShare
+		share.Entries *= leavingShareFactor
 	}
 	return share
 }
 
-func count(s *placement.Share, before bool) {
+func addEntry(s *placement.Share, before bool) {
 	s.Entries++
 	if before {
 		s.Index++
--- a/site/state_test.go
+++ b/site/state_test.go
@@ -18,9 +18,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestScripts runs the scripts in testdata. Each command is an event at a moment
-// in milliseconds; its output is the effects that somebody outside would see.
-// The command view shows what traffic sees.
+// TestScripts runs the scripts in testdata. Each command is an event at a time in milliseconds;
+// its output is the externally visible effects. The command view shows what traffic sees.
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		s := NewState(Self{Name: "entry-b", Process: "entry-b/1", Zone: "a", Exposure: 0.2}, 0)
@@ -28,12 +27,12 @@
 			if d.Cmd == "view" {
 				return viewText(s.View(), s.now)
 			}
-			return effectsText(Reduce(s, eventOf(t, d)))
+			return effectsText(Reduce(s, parseEvent(t, d)))
 		})
 	})
 }
 
-// args are a command's arguments.
+// args holds the arguments of a command.
 type args struct {
 	t *testing.T
 	d *datadriven.TestData
@@ -62,7 +61,7 @@
 	return n
 }
 
-func eventOf(t *testing.T, d *datadriven.TestData) Event {
+func parseEvent(t *testing.T, d *datadriven.TestData) Event {
 	t.Helper()
 	a := args{t, d}
 	now := clock.Millis(a.number("at"))
@@ -72,11 +71,11 @@
 	case "failed":
 		return StoreFailed{Now: now}
 	case "operator":
-		return OperatorRead{Now: now, SentAt: clock.Millis(a.number("sent")), Full: a.has("whole"), Update: newsOf(t, d.Input), Next: a.number("next"), From: a.number("from")}
+		return OperatorRead{Now: now, SentAt: clock.Millis(a.number("sent")), Full: a.has("whole"), Update: parseUpdate(t, d.Input), Next: a.number("next"), From: a.number("from")}
 	case "endpoints":
-		return EndpointsRead{Now: now, SentAt: now, Full: a.has("whole"), Changes: changesOf(t, d.Input)}
+		return EndpointsRead{Now: now, SentAt: now, Full: a.has("whole"), Changes: parseChanges(t, d.Input)}
 	case "verdicts":
-		return VerdictsRead{Now: now, Verdicts: verdictsOf(t, d.Input), Next: a.number("next")}
+		return VerdictsRead{Now: now, Verdicts: parseVerdicts(t, d.Input), Next: a.number("next")}
 	case "entries":
 		addresses := make(map[string]string)
 		for _, name := range strings.Fields(d.Input) {
@@ -84,22 +83,22 @@
 		}
 		return EntriesRead{Now: now, Addresses: addresses}
 	case "written":
-		v := verdictsOf(t, d.Input)[0]
+		v := parseVerdicts(t, d.Input)[0]
 		if a.has("moved") {
 			return WriteDone{Now: now, Verdict: v, Err: ErrMoved.New("elsewhere")}
 		}
 		return WriteDone{Now: now, Verdict: v}
 	case "counted":
-		return countedOf(a, now)
+		return parseCounts(a, now)
 	case "heard":
-		return heardOf(a, now)
+		return parseReport(a, now)
 	}
-	t.Fatalf("no command %q", d.Cmd)
+	t.Fatalf("unknown command %q", d.Cmd)
 	return nil
 }
 
-// newsOf reads lines "config 4", "zone a out", "order pool v2 24000 7".
-func newsOf(t *testing.T, text string) (n OperatorUpdate) {
+// parseUpdate parses lines such as "config 4", "zone a out" and "order pool v2 24000 7".
+func parseUpdate(t *testing.T, text string) (n OperatorUpdate) {
 	for _, line := range lines(text) {
 		f := strings.Fields(line)
 		switch f[0] {
@@ -113,14 +112,14 @@
 			number, _ := strconv.ParseInt(f[4], 10, 64)
 			n.Orders = append(n.Orders, upgrade.Order{Service: f[1], Target: f[2], Span: clock.Millis(span), Number: number})
 		default:
-			t.Fatalf("no news %q", line)
+			t.Fatalf("unknown update %q", line)
 		}
 	}
 	return n
 }
 
-// changesOf reads lines "i-1 v1 a ready born=1 sequence=2" and "i-1 gone".
-func changesOf(t *testing.T, text string) (out []fleet.Change) {
+// parseChanges parses lines such as "i-1 v1 a ready born=1 sequence=2" and "i-1 gone".
+func parseChanges(t *testing.T, text string) (out []fleet.Change) {
 	for _, line := range lines(text) {
 		f := strings.Fields(line)
 		if f[1] == "gone" {
@@ -150,8 +149,8 @@
 
 var phases = map[string]upgrade.Phase{"running": upgrade.Running, "completed": upgrade.Completed, "rolled-back": upgrade.RolledBack}
 
-// verdictsOf reads lines "pool v2 running".
-func verdictsOf(_ *testing.T, text string) (out []Verdict) {
+// parseVerdicts parses lines such as "pool v2 running".
+func parseVerdicts(_ *testing.T, text string) (out []Verdict) {
 	for _, line := range lines(text) {
 		f := strings.Fields(line)
 		out = append(out, Verdict{Service: f[0], Target: f[1], Phase: phases[f[2]]})
@@ -159,9 +158,9 @@
 	return out
 }
 
-// countedOf takes counts of the route chat: new=ended,bad old=ended,bad and the
-// requests that run on the old version.
-func countedOf(a args, now clock.Millis) Event {
+// parseCounts parses counts of the route chat, new=ended/bad old=ended/bad, and the number of
+// requests running on the old version.
+func parseCounts(a args, now clock.Millis) Event {
 	pair := func(key string) upgrade.Count {
 		ended, bad, _ := strings.Cut(a.text(key), "/")
 		n, _ := strconv.ParseInt(ended, 10, 64)
@@ -175,7 +174,7 @@
 	}
 }
 
-func heardOf(a args, now clock.Millis) Event {
+func parseReport(a args, now clock.Millis) Event {
 	name := a.text("from")
 	r := &wire.EntryReport{
 		Process: name + "/1", Name: name, Address: "10.0.0.1:" + name, OperatorNext: a.number("next"), OperatorFrom: a.number("since"),
@@ -184,7 +183,7 @@
 	}
 	h := ReportReceived{Now: now, Report: r}
 	if a.d.Input != "" {
-		h.Update = newsOf(a.t, a.d.Input)
+		h.Update = parseUpdate(a.t, a.d.Input)
 		r.Records = []*wire.StoreRecord{{Stream: int32(OperatorStream), Key: "x"}}
 	}
 	if a.has("upgrade") {
@@ -244,15 +243,15 @@
 	return b.String()
 }
 
-// A peer's answer is to a question of the process that had this address before
-// it was restarted. Its clock was another one: taken for this one's, the answer
-// would make a configuration look confirmed seconds after the fact.
+// Guards against using a reply to the previous process with this address. That process had
+// another clock, so the reply would make a configuration look confirmed seconds after it really
+// was.
 func TestReplyToPreviousProcessIsIgnored(t *testing.T) {
 	is := is.New(t)
 	s := NewState(Self{Name: "b", Process: "b/2"}, 0)
 	Reduce(s, VerdictsRead{Now: 100})
 	Reduce(s, EndpointsRead{Now: 100, SentAt: 90})
-	Reduce(s, OperatorRead{Now: 100, SentAt: 90, Full: true, Next: 5, Update: newsOf(t, "config 1")})
+	Reduce(s, OperatorRead{Now: 100, SentAt: 90, Full: true, Next: 5, Update: parseUpdate(t, "config 1")})
 	r := &wire.EntryReport{Process: "a/1", Name: "a", OperatorNext: 5, ReplyMillis: 4000, ReplyTo: "b/1"}
 	Reduce(s, ReportReceived{Now: 5000, Report: r})
 	is.Equal(s.View().ConfirmedAt(), clock.Millis(90))
@@ -262,9 +261,9 @@
 	is.Equal(s.View().ConfirmedAt(), clock.Millis(3300))
 }
 
-// Entries are stopped in turn, and the one that is left has nearly all callers. It
-// takes the shares of those that leave; these keep a small part for what they
-// still have, so that all together stay within the bound.
+// Guards against limits being exceeded during a rolling restart, when the last entry has nearly
+// all callers. It takes over the shares of the leaving entries, which keep a small part for their
+// current requests, so that the sum stays within the limit.
 func TestLeavingEntryReleasesItsShare(t *testing.T) {
 	is := is.New(t)
 	s := NewState(Self{Name: "b", Process: "b/1"}, 0)
@@ -276,14 +275,14 @@
 	is.Equal(s.View().Entries(), 2)
 	Reduce(s, ReportReceived{Now: 40, Report: &wire.EntryReport{Process: "a/2", Name: "a", Address: "x"}})
 	is.Equal(s.View().Entries(), 3)
-	Reduce(s, EndpointsRead{Now: 50, Full: true, Changes: changesOf(t, "i-1 v1 a ready")})
+	Reduce(s, EndpointsRead{Now: 50, Full: true, Changes: parseChanges(t, "i-1 v1 a ready")})
 	before := s.View().Shares()["a"].Entries
 	Reduce(s, Leave{})
 	is.Equal(s.View().Shares()["a"].Entries, 4*before)
 }
 
-// Entries of several zones share what an endpoint bears. Those of its own zone have
-// most of it, and all together never have more than the whole.
+// Entries of several zones share an endpoint's limit. Those of its own zone have most of it, and
+// the sum of all shares never exceeds the limit.
 func TestSharesStayWithinLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		names := []string{"a", "b", "c", "d", "e", "f", "g"}[:rapid.IntRange(1, 7).Draw(t, "entries")]
@@ -307,34 +306,34 @@
 			sum += s.View().Shares()["x"].In(total, "i")
 		}
 		if sum > int(total) {
-			t.Fatalf("all together may send %d, %g are allowed", sum, total)
+			t.Fatalf("the shares sum to %d, the limit is %g", sum, total)
 		}
 	})
 }
 
-// Both entries that read the store freeze. No message says so; the others notice
-// that they are not heard and read it themselves, before a configuration published
-// meanwhile is overdue.
+// Guards against operators' changes going unread when both readers of the store freeze without
+// notice. The others miss their reports and read the store themselves before a configuration
+// published meanwhile is overdue.
 func TestFrozenReadersAreReplaced(t *testing.T) {
 	is := is.New(t)
 	s := NewState(Self{Name: "c", Process: "c/1"}, 0)
 	Reduce(s, VerdictsRead{Now: 100})
 	Reduce(s, EndpointsRead{Now: 100, SentAt: 90})
-	Reduce(s, OperatorRead{Now: 100, SentAt: 90, Full: true, Next: 5, Update: newsOf(t, "config 1")})
+	Reduce(s, OperatorRead{Now: 100, SentAt: 90, Full: true, Next: 5, Update: parseUpdate(t, "config 1")})
 	for _, name := range []string{"a", "b"} {
 		Reduce(s, ReportReceived{Now: 1000, Report: &wire.EntryReport{Process: name, Name: name, Address: name, OperatorNext: 5}})
 	}
 	view := s.View()
-	published := clock.Millis(0)
-	for now := clock.Millis(1000); now <= 4000 && published == 0; now += 100 {
+	readAt := clock.Millis(0)
+	for now := clock.Millis(1000); now <= 4000 && readAt == 0; now += 100 {
 		for _, f := range Reduce(s, Tick{Now: now}) {
 			if _, ok := f.(Publish); ok {
 				view = s.View()
 			}
 		}
 		if view.wants(OperatorStream, now) && now > 1100 {
-			published = now
+			readAt = now
 		}
 	}
-	is.True(published > 0 && published <= 2700) // 1.7 s after they were last heard
+	is.True(readAt > 0 && readAt <= 2700) // 1.7 s after their last report
 }
--- a/site/tell.go
+++ b/site/tell.go
@@ -7,78 +7,79 @@
 )
 
 const (
-	// tellPace is the span between two reports to the entries that act for all,
-	// countPace that between two reports to the judges of an upgrade of what was
-	// counted.
-	tellPace  = clock.Second
-	countPace = 300 * clock.Millis(1)
-	// allPace is the span between two reports to all, for each entry there is, and
-	// allMost its bound, a third of the span after which an entry that is not heard
-	// counts as gone. Told each second, the reports of some hundred entries are most of
-	// what an entry sends.
-	allPace = 100 * clock.Millis(1)
-	allMost = 10 * clock.Second
-	// startReports is how many reports in a row an entry that starts sends to all, once it
-	// has read their addresses: one may be lost. Where many entries start at once, more of
-	// them would be most of what goes between zones.
-	startReports = 2
+	// reportInterval is the interval of reports to the first delegates, countInterval that of
+	// traffic counts sent to the judges of an upgrade.
+	reportInterval = clock.Second
+	countInterval  = 300 * clock.Millis(1)
+	// broadcastIntervalPerEntry is multiplied by the number of entries to get the interval of
+	// broadcasts. maxBroadcastInterval limits it to a third of the time after which a silent
+	// entry counts as gone. With a broadcast every second, a hundred entries' reports were most
+	// of what an entry sent.
+	broadcastIntervalPerEntry = 100 * clock.Millis(1)
+	maxBroadcastInterval      = 10 * clock.Second
+	// startupBroadcasts is the number of consecutive broadcasts of an entry that has started and
+	// read the addresses of the others: one may be lost. More of them would dominate the traffic
+	// between zones when many entries start at once.
+	startupBroadcasts = 2
 )
 
-// tell makes the report to the other entries.
-func (s *State) tell() Effect {
-	s.lastTold, s.lastToldAll = s.now, s.now
-	if s.known[EntryStream] {
-		s.startReportsSent++
+// broadcast sends a report to all other entries.
+func (s *State) broadcast() Effect {
+	s.lastReportAt, s.lastBroadcastAt = s.now, s.now
+	if s.loaded[EntryStream] {
+		s.startupBroadcastsSent++
 	}
-	return SendReport{Report: s.asking()}
+	return SendReport{Report: s.newQuery()}
 }
 
-// asking is a report that asks readers how fresh their knowledge is.
-func (s *State) asking() *wire.EntryReport {
-	r := s.report()
+// newQuery returns a report that queries the readers for the age of their state.
+func (s *State) newQuery() *wire.EntryReport {
+	r := s.newReport()
 	if !s.reader() {
 		r.AskMillis = int64(s.now)
 	}
-	r.Upgrades = s.tellUpgrades(false)
+	r.Upgrades = s.upgradeReports(false)
 	return r
 }
 
-// tellDue tells the others when it is time: all of them, or those that act for all.
-func (s *State) tellDue() (effects []Effect) {
+// sendDueReports sends the periodic report, to all other entries or to the first delegates.
+func (s *State) sendDueReports() (effects []Effect) {
 	switch {
-	case s.now-s.lastTold < tellPace:
+	case s.now-s.lastReportAt < reportInterval:
 		return nil
-	case s.tellsAll():
-		return []Effect{s.tell()}
+	case s.broadcastDue():
+		return []Effect{s.broadcast()}
 	}
-	s.lastTold = s.now
-	return s.tellFirst(s.asking())
+	s.lastReportAt = s.now
+	return s.sendToJudges(s.newQuery())
 }
 
-// tellsAll reports whether a report goes to all: those of entries that act for all,
-// that start or leave, and of any while an upgrade moves, in which all must know which
-// sessions stay where; of the others now and then, so that they are known to live.
-func (s *State) tellsAll() bool {
-	if s.rank() < judges || s.leaving || s.moving() || s.startReportsSent < startReports {
+// broadcastDue reports whether the next report goes to all entries. Judges and entries that start
+// or leave always broadcast, and so do all entries during an upgrade, when everyone must know
+// which sessions are kept where. Otherwise an entry broadcasts at a longer interval to show that
+// it is alive.
+func (s *State) broadcastDue() bool {
+	if s.rank() < judgeCount || s.leaving || s.hasActiveUpgrade() || s.startupBroadcastsSent < startupBroadcasts {
 		return true
 	}
-	pace := min(clock.Millis(len(s.addresses))*allPace, allMost)
-	return s.now-s.lastToldAll >= pace
+	interval := min(clock.Millis(len(s.addresses))*broadcastIntervalPerEntry, maxBroadcastInterval)
+	return s.now-s.lastBroadcastAt >= interval
 }
 
-// answerStart reports to an entry of the own zone that is heard for the first time. It may have
-// started after this one's last report to all, and both tell each other of their work.
-func (s *State) answerStart(r *wire.EntryReport) []Effect {
+// replyToNewEntry sends a report to an entry of the same zone after its first report. That entry
+// may have started after this one's last broadcast, and entries of a zone report their work to
+// each other.
+func (s *State) replyToNewEntry(r *wire.EntryReport) []Effect {
 	if r.GetZone() == "" || r.GetZone() != s.self.Zone || r.GetAddress() == "" {
 		return nil
 	}
-	return []Effect{SendReport{Report: s.asking(), To: r.GetAddress()}}
+	return []Effect{SendReport{Report: s.newQuery(), To: r.GetAddress()}}
 }
 
-// tellFirst sends a report to the entries that act for all.
-func (s *State) tellFirst(r *wire.EntryReport) (effects []Effect) {
-	for i, name := range s.acting() {
-		if i >= judges {
+// sendToJudges sends a report to the first delegates, which include the readers.
+func (s *State) sendToJudges(r *wire.EntryReport) (effects []Effect) {
+	for i, name := range s.delegates() {
+		if i >= judgeCount {
 			break
 		}
 		if name != s.self.Name {
@@ -88,29 +89,29 @@
 	return effects
 }
 
-// tellJudges reports what was counted to the entries that judge.
-func (s *State) tellJudges() []Effect {
-	r := s.report()
-	r.Upgrades = s.tellUpgrades(true)
-	return s.tellFirst(r)
+// sendCounts sends the traffic counts to the judges.
+func (s *State) sendCounts() []Effect {
+	r := s.newReport()
+	r.Upgrades = s.upgradeReports(true)
+	return s.sendToJudges(r)
 }
 
-func (s *State) tellUpgrades(counts bool) (out []*wire.UpgradeReport) {
+func (s *State) upgradeReports(counts bool) (out []*wire.UpgradeReport) {
 	for service, u := range s.upgrades {
-		if u.Age(s.now) <= u.Order().Span+upgradeTold {
-			out = append(out, s.tellUpgrade(service, u, counts))
+		if u.Age(s.now) <= u.Order().Span+upgradeReportTTL {
+			out = append(out, s.newUpgradeReport(service, u, counts))
 		}
 	}
 	return out
 }
 
-// upgradeTold is how long after its span an upgrade's end is told to others.
-const upgradeTold = 10 * clock.Second
+// upgradeReportTTL is how long after its duration an upgrade is still reported to others.
+const upgradeReportTTL = 10 * clock.Second
 
-func (s *State) tellUpgrade(service string, u *upgrade.Upgrade, counts bool) *wire.UpgradeReport {
+func (s *State) newUpgradeReport(service string, u *upgrade.Upgrade, counts bool) *wire.UpgradeReport {
 	o := u.Order()
 	r := &wire.UpgradeReport{
-		Service: service, Target: o.Target, Number: o.Number, AgeMillis: int64(u.Age(s.now)), Phase: int32(u.Phase()), Reason: u.Reason(), Kept: s.kept[service],
+		Service: service, Target: o.Target, Number: o.Number, AgeMillis: int64(u.Age(s.now)), Phase: int32(u.Phase()), Reason: u.Reason(), Kept: s.keptSessions[service],
 		Agreed: s.verdicts[service] == Verdict{Service: service, Target: o.Target, Phase: u.Phase()},
 	}
 	for version, n := range s.running[service] {
--- a/site/tell_test.go
+++ b/site/tell_test.go
@@ -9,32 +9,32 @@
 	"github.com/parsleydeal/parsleydeal/peer/wire"
 )
 
-// A site has 300 entries. When each told all others once a second that it lives,
-// these reports were most of what an entry sent and received. Only those that act for
-// all do so; the others tell these three each second, and all now and then.
+// Guards against broadcasts dominating the traffic of a site of 300 entries, as they did when
+// each entry sent one every second. Only delegates do so; the others send to the three first
+// delegates every second and broadcast occasionally.
 func TestMostEntriesBroadcastRarely(t *testing.T) {
 	is := is.New(t)
 	const entries, span = 300, 60 * clock.Second
 	for _, x := range []struct {
-		index    int
-		leaving  bool
-		all, few int
+		index              int
+		leaving            bool
+		broadcasts, direct int
 	}{
-		{index: 0, all: 60},
-		{index: 2, all: 60},
-		{index: 3, all: 7, few: 3 * 53},      // 2 at the start, then one in ten seconds
-		{index: 200, all: 7, few: 3 * 53},    // the same wherever it stands
-		{index: 200, leaving: true, all: 61}, // one more, at the stop
+		{index: 0, broadcasts: 60},
+		{index: 2, broadcasts: 60},
+		{index: 3, broadcasts: 7, direct: 3 * 53},   // 2 at the start, then one every 10 s
+		{index: 200, broadcasts: 7, direct: 3 * 53}, // independent of the rank
+		{index: 200, leaving: true, broadcasts: 61}, // one more when it leaves
 	} {
-		all, few := toldIn(span, entries, x.index, x.leaving)
-		t.Logf("entry %d: %d to all, %d to one", x.index, all, few)
-		is.Equal(all, x.all)
-		is.Equal(few, x.few)
+		broadcasts, direct := countReports(span, entries, x.index, x.leaving)
+		t.Logf("entry %d: %d broadcasts, %d direct reports", x.index, broadcasts, direct)
+		is.Equal(broadcasts, x.broadcasts)
+		is.Equal(direct, x.direct)
 	}
 }
 
-// toldIn counts an entry's reports to all and to single ones.
-func toldIn(span clock.Millis, entries, index int, leaving bool) (all, few int) {
+// countReports counts an entry's broadcasts and its reports to single entries.
+func countReports(span clock.Millis, entries, index int, leaving bool) (broadcasts, direct int) {
 	name := func(i int) string { return fmt.Sprintf("entry-%03d", i) }
 	s := NewState(Self{Name: name(index), Process: "p"}, 0)
 	addresses := make(map[string]string)
@@ -46,27 +46,27 @@
 		effects = append(effects, Reduce(s, Leave{})...)
 	}
 	for now := clock.Second; now <= span; now += clock.Second {
-		for i := range judges + 1 {
+		for i := range judgeCount + 1 {
 			Reduce(s, ReportReceived{Now: now, Report: &wire.EntryReport{Name: name(i), Process: name(i), Address: name(i) + ":1"}})
 		}
 		effects = append(effects, Reduce(s, Tick{Now: now})...)
 	}
 	for _, f := range effects {
 		if f, ok := f.(SendReport); ok && f.To == "" {
-			all++
+			broadcasts++
 		} else if ok {
-			few++
+			direct++
 		}
 	}
-	return all, few
+	return broadcasts, direct
 }
 
-// Two entries of a zone start one after the other. The first one has told all before the
-// second one listens, and would go on without its word on work for seconds.
+// Guards against two entries of a zone that start one after the other missing each other's work
+// for seconds: the first one's broadcast is sent before the second one listens.
 func TestEntryRepliesToNewEntryInZone(t *testing.T) {
 	is := is.New(t)
 	s := NewState(Self{Name: "entry-1", Process: "p", Zone: "a"}, 0)
-	hear := func(name, zone string) (to []string) {
+	receive := func(name, zone string) (to []string) {
 		for _, f := range Reduce(s, ReportReceived{Now: 1000, Report: &wire.EntryReport{Name: name, Process: name, Zone: zone, Address: name + ":1"}}) {
 			if f, ok := f.(SendReport); ok {
 				to = append(to, f.To)
@@ -74,18 +74,19 @@
 		}
 		return to
 	}
-	is.Equal(hear("entry-2", "a"), []string{"entry-2:1"})
-	is.Equal(len(hear("entry-2", "a")), 0) // once
-	is.Equal(len(hear("entry-3", "b")), 0)
+	is.Equal(receive("entry-2", "a"), []string{"entry-2:1"})
+	is.Equal(len(receive("entry-2", "a")), 0) // only once
+	is.Equal(len(receive("entry-3", "b")), 0)
 }
 
-// An entry's first report went out before it knew an address, and the next a second later.
-// It left the store to entries that did not know of it, and missed what these told.
+// Guards against an entry that starts sending its first report before it has any address and the
+// next one a second later: the readers it relies on would not know of it and would send it no
+// updates.
 func TestEntryBroadcastsOnceAddressesAreKnown(t *testing.T) {
 	is := is.New(t)
 	s := NewState(Self{Name: "c", Process: "p"}, 0)
 	Reduce(s, Tick{Now: 2 * clock.Second})
-	tells := func(effects []Effect) (n int) {
+	broadcasts := func(effects []Effect) (n int) {
 		for _, f := range effects {
 			if t, ok := f.(SendReport); ok && t.To == "" && t.Report.GetAskMillis() > 0 {
 				n++
@@ -94,7 +95,7 @@
 		return n
 	}
 	read := EntriesRead{Now: 2*clock.Second + 5, Addresses: map[string]string{"a": "a:1", "b": "b:1", "c": "c:1"}}
-	is.Equal(tells(Reduce(s, read)), 1)
+	is.Equal(broadcasts(Reduce(s, read)), 1)
 	read.Now += 10
-	is.Equal(tells(Reduce(s, read)), 0)
+	is.Equal(broadcasts(Reduce(s, read)), 0)
 }
--- a/site/upgrade.go
+++ b/site/upgrade.go
@@ -13,30 +13,30 @@
 )
 
 const (
-	// turn is how long each entry waits for those before it to write a verdict,
-	// so that as a rule one entry makes the call.
-	turn = 1500 * clock.Millis(1)
-	// again is the pause before an append that failed is tried once more.
-	again = clock.Second
-	// reachable is for how long the store may fail an entry that is still expected
-	// to call it.
-	reachable = clock.Second
-	// peerLive is how long an entry is not heard before others do its part. Each
-	// tells once a second. When both readers freeze, the others must know within
-	// the 2 s in which a configuration is to be in force.
-	peerLive = 1500 * clock.Millis(1)
+	// verdictDelayPerRank is how long an entry waits for each entry before it to write a verdict,
+	// so that usually only one entry makes the call.
+	verdictDelayPerRank = 1500 * clock.Millis(1)
+	// appendRetryDelay is the delay before a failed append is retried.
+	appendRetryDelay = clock.Second
+	// maxStoreAge is how long the store may fail an entry before it no longer counts as a
+	// delegate.
+	maxStoreAge = clock.Second
+	// peerTimeout is how long after its last report an entry is replaced as a delegate. Entries
+	// report once a second. When both readers freeze, the others must notice within the 2 s in
+	// which a configuration has to be in force.
+	peerTimeout = 1500 * clock.Millis(1)
 )
 
-// duty is a verdict that is due on the status stream.
-type duty struct {
+// pendingVerdict is a verdict to be written to the status stream.
+type pendingVerdict struct {
 	verdict Verdict
 	// dueAt is when this entry may write it.
 	dueAt clock.Millis
 }
 
-// ordered begins an upgrade. An order found on the first read may be an old one
-// whose verdict stands on the status stream already.
-func (s *State) ordered(o upgrade.Order, first bool) (effects []Effect) {
+// orderReceived starts an upgrade. An order found by the first read may be an old one whose
+// verdict is already on the status stream.
+func (s *State) orderReceived(o upgrade.Order, first bool) (effects []Effect) {
 	if u := s.upgrades[o.Service]; u != nil && u.Order().Number >= o.Number {
 		return nil
 	}
@@ -46,26 +46,25 @@
 		u.Set(v.Phase, "agreed before")
 	}
 	if u.Phase() == upgrade.Running {
-		s.settleVersion(o.Service)
-		s.due(Verdict{Service: o.Service, Target: o.Target, Phase: upgrade.Running})
+		s.selectVersion(o.Service)
+		s.scheduleVerdict(Verdict{Service: o.Service, Target: o.Target, Phase: upgrade.Running})
 	}
 	return []Effect{LogLine{Message: "Upgrade ordered", Fields: []any{
 		"service", o.Service, "target", o.Target, "span", o.Span, "number", o.Number, "current", s.current[o.Service], "phase", u.Phase(),
 	}}}
 }
 
-// due puts a verdict on the list of duties, at this entry's turn.
-func (s *State) due(v Verdict) {
-	s.duties[v.Service] = duty{verdict: v, dueAt: s.now + clock.Millis(s.rank())*turn}
+// scheduleVerdict schedules a verdict to be written after the delay for this entry's rank.
+func (s *State) scheduleVerdict(v Verdict) {
+	s.pendingVerdicts[v.Service] = pendingVerdict{verdict: v, dueAt: s.now + clock.Millis(s.rank())*verdictDelayPerRank}
 }
 
-// rank is the number of entries that come before this one in what one entry does
-// for all. Those registered count for a while before they are heard: of entries that
-// start together each would else do for all what one is to do, until it has heard the
-// others.
+// rank returns the number of delegates before this entry. Registered entries count for a while
+// before their first report: entries that start together would otherwise all take the first rank
+// until they received each other's reports.
 func (s *State) rank() (rank int) {
-	rank = slices.Index(s.acting(), s.self.Name)
-	if s.now-s.entriesAt >= peerLive {
+	rank = slices.Index(s.delegates(), s.self.Name)
+	if s.now-s.entriesReadAt >= peerTimeout {
 		return rank
 	}
 	for name := range s.addresses {
@@ -76,49 +75,49 @@
 	return rank
 }
 
-// able reports whether another entry can do for all what one entry does.
-func (s *State) able(p *peer) bool {
-	return s.now-p.heardAt < peerLive && !p.report.GetLeaving() && clock.Millis(p.report.GetStoreAgeMillis()) < reachable
+// eligible reports whether another entry can be a delegate.
+func (s *State) eligible(p *peer) bool {
+	return s.now-p.lastSeenAt < peerTimeout && !p.report.GetLeaving() && clock.Millis(p.report.GetStoreAgeMillis()) < maxStoreAge
 }
 
-// order is the order of the entries that can act for all, as of an instant.
-type order struct {
+// delegateOrder is the order of the delegates at a given time.
+type delegateOrder struct {
 	at    clock.Millis
 	names []string
 }
 
-// orderFor is how long an order holds unless an entry is heard to have changed: entries
-// that fall silent are noticed that much later.
-const orderFor = 100 * clock.Millis(1)
+// delegateOrderTTL is how long an order is cached unless a report changes it. A silent entry is
+// noticed later by that much.
+const delegateOrderTTL = 100 * clock.Millis(1)
 
-// acting returns the entries that can act for all, this one among them, in the order in
-// which they do: the first of each zone by name, then the second of each. A zone that is
-// lost with all its entries takes one reader of the store and one judge of upgrades with
-// it, and the others go on.
-func (s *State) acting() []string {
-	if s.order.names != nil && s.now-s.order.at < orderFor {
-		return s.order.names
+// delegates returns the entries that can act on behalf of all, including this one, in order of
+// rank: the first of each zone by name, then the second of each zone. The loss of a whole zone
+// thus takes away only one reader of the store and one judge of upgrades, and the others
+// continue.
+func (s *State) delegates() []string {
+	if s.delegateOrder.names != nil && s.now-s.delegateOrder.at < delegateOrderTTL {
+		return s.delegateOrder.names
 	}
 	zones := map[string][]string{s.self.Zone: {s.self.Name}}
 	for name, p := range s.peers {
-		if s.able(p) {
+		if s.eligible(p) {
 			zone := cmp.Or(p.report.GetZone(), s.self.Zone)
 			zones[zone] = append(zones[zone], name)
 		}
 	}
-	s.order = order{at: s.now, names: inTurn(zones)}
-	return s.order.names
+	s.delegateOrder = delegateOrder{at: s.now, names: interleave(zones)}
+	return s.delegateOrder.names
 }
 
-// inTurn lists the names of all zones, one of each zone in turn.
-func inTurn(zones map[string][]string) (names []string) {
-	most := 0
-	for _, all := range zones {
-		slices.Sort(all)
-		most = max(most, len(all))
+// interleave returns the names of all zones, taking one of each zone in turn.
+func interleave(zones map[string][]string) (names []string) {
+	longest := 0
+	for _, members := range zones {
+		slices.Sort(members)
+		longest = max(longest, len(members))
 	}
 	byName := slices.Sorted(maps.Keys(zones))
-	for i := range most {
+	for i := range longest {
 		for _, zone := range byName {
 			if i < len(zones[zone]) {
 				names = append(names, zones[zone][i])
@@ -129,35 +128,35 @@
 }
 
 func (s *State) verdictsRead(e VerdictsRead) (effects []Effect) {
-	s.known[StatusStream] = true
+	s.loaded[StatusStream] = true
 	s.statusEnd = e.Next
 	for _, v := range e.Verdicts {
 		s.verdicts[v.Service] = v
-		effects = append(effects, s.agreed(v, "agreed")...)
+		effects = append(effects, s.applyVerdict(v, "agreed")...)
 	}
-	effects = append(effects, s.settleVersions()...)
+	effects = append(effects, s.selectVersions()...)
 	return append(effects, Publish{})
 }
 
-// agreed takes a verdict that stands for all entries.
-func (s *State) agreed(v Verdict, reason string) (effects []Effect) {
-	if d, ok := s.duties[v.Service]; ok && (d.verdict == v || v.Phase != upgrade.Running && d.verdict.Target == v.Target) {
-		delete(s.duties, v.Service)
+// applyVerdict applies a verdict that is in force for all entries.
+func (s *State) applyVerdict(v Verdict, reason string) (effects []Effect) {
+	if d, ok := s.pendingVerdicts[v.Service]; ok && (d.verdict == v || v.Phase != upgrade.Running && d.verdict.Target == v.Target) {
+		delete(s.pendingVerdicts, v.Service)
 	}
 	u := s.upgrades[v.Service]
 	if u == nil || u.Order().Target != v.Target || !u.Set(v.Phase, reason) {
 		return nil
 	}
-	return s.ended(u)
+	return s.upgradeEnded(u)
 }
 
-// ended carries out the end of an upgrade.
-func (s *State) ended(u *upgrade.Upgrade) (effects []Effect) {
+// upgradeEnded applies the end of an upgrade: the target of a completed one becomes current.
+func (s *State) upgradeEnded(u *upgrade.Upgrade) (effects []Effect) {
 	o := u.Order()
 	if u.Phase() == upgrade.Completed {
 		s.current[o.Service] = o.Target
 	}
-	delete(s.kept, o.Service)
+	delete(s.keptSessions, o.Service)
 	t := u.Total()
 	return []Effect{LogLine{Message: "Upgrade ended", Fields: []any{
 		"service", o.Service, "target", o.Target, "phase", u.Phase(), "reason", u.Reason(), "age", u.Age(s.now),
@@ -165,14 +164,14 @@
 	}}, Publish{}}
 }
 
-// heardUpgrade takes what another entry knows of an upgrade: its beginning, its
-// end and the outcomes that it counted.
-func (s *State) heardUpgrade(process string, r *wire.UpgradeReport) (effects []Effect) {
+// receiveUpgrade applies another entry's report of an upgrade: its start, its end and its counted
+// outcomes.
+func (s *State) receiveUpgrade(process string, r *wire.UpgradeReport) (effects []Effect) {
 	u := s.upgrades[r.GetService()]
 	if u == nil || u.Order().Number != r.GetNumber() {
 		return nil
 	}
-	effects = s.heardAgreed(u, r)
+	effects = s.receiveVerdict(u, r)
 	if u.Phase() != upgrade.Running {
 		return effects
 	}
@@ -185,25 +184,25 @@
 	}
 	u.Take(process, counts)
 	if p := upgrade.Phase(r.GetPhase()); u.Set(p, "heard: "+r.GetReason()) {
-		s.due(Verdict{Service: r.GetService(), Target: u.Order().Target, Phase: p})
-		return append(effects, s.ended(u)...)
+		s.scheduleVerdict(Verdict{Service: r.GetService(), Target: u.Order().Target, Phase: p})
+		return append(effects, s.upgradeEnded(u)...)
 	}
 	return append(effects, s.judge(u)...)
 }
 
-// heardAgreed takes another entry's word that a verdict stands on the status stream, so
-// that not every entry reads that for itself.
-func (s *State) heardAgreed(u *upgrade.Upgrade, r *wire.UpgradeReport) (effects []Effect) {
+// receiveVerdict applies another entry's report that a verdict is on the status stream, so that
+// not every entry has to read it.
+func (s *State) receiveVerdict(u *upgrade.Upgrade, r *wire.UpgradeReport) (effects []Effect) {
 	v := Verdict{Service: r.GetService(), Target: u.Order().Target, Phase: upgrade.Phase(r.GetPhase())}
 	if !r.GetAgreed() || s.verdicts[v.Service] == v || v.Phase == upgrade.Running && u.Phase() != upgrade.Running {
 		return nil
 	}
 	s.verdicts[v.Service] = v
-	return append(s.agreed(v, "agreed, as heard"), Publish{})
+	return append(s.applyVerdict(v, "agreed, as heard"), Publish{})
 }
 
-func (s *State) counted(e TrafficCounts) (effects []Effect) {
-	s.counts, s.running, s.kept = e.Counts, e.Running, e.KeptSessions
+func (s *State) trafficCounts(e TrafficCounts) (effects []Effect) {
+	s.counts, s.running, s.keptSessions = e.Counts, e.Running, e.KeptSessions
 	for service, counts := range e.Counts {
 		u := s.upgrades[service]
 		if u == nil || u.Phase() != upgrade.Running {
@@ -215,31 +214,31 @@
 	return effects
 }
 
-// judges is how many entries judge upgrades. Only these hear what the others counted,
-// which spares most of the reports between zones.
-const judges = 3
+// judgeCount is the number of delegates that judge upgrades. Only they receive the counts of the
+// other entries, which saves most of the reports between zones.
+const judgeCount = 3
 
-// judge ends an upgrade when it is time, tells all others at once and makes the
-// verdict due. An entry that does not hear what others run must not take the old
-// version for idle.
+// judge ends an upgrade if its conditions are met, broadcasts this at once and schedules the
+// verdict. An entry that does not receive the others' running requests must not judge, as it
+// would assume that the old version is idle.
 func (s *State) judge(u *upgrade.Upgrade) (effects []Effect) {
-	if s.rank() >= judges || !u.Judge(s.now, s.old(u.Order())) {
+	if s.rank() >= judgeCount || !u.Judge(s.now, s.oldRequests(u.Order())) {
 		return nil
 	}
-	s.due(Verdict{Service: u.Order().Service, Target: u.Order().Target, Phase: u.Phase()})
-	return append(s.ended(u), s.tell())
+	s.scheduleVerdict(Verdict{Service: u.Order().Service, Target: u.Order().Target, Phase: u.Phase()})
+	return append(s.upgradeEnded(u), s.broadcast())
 }
 
-// old counts the requests that run on another version than the target, at all
-// entries heard lately.
-func (s *State) old(o upgrade.Order) (n int) {
+// oldRequests returns the number of requests running on another version than the target, at this
+// entry and at all peers with a recent report.
+func (s *State) oldRequests(o upgrade.Order) (n int) {
 	for version, running := range s.running[o.Service] {
 		if version != o.Target {
 			n += running
 		}
 	}
 	for _, p := range s.peers {
-		if s.now-p.heardAt > peerFresh {
+		if s.now-p.lastSeenAt > peerReportTTL {
 			continue
 		}
 		for _, u := range p.upgrades {
@@ -251,54 +250,55 @@
 	return n
 }
 
-// tick lets time pass: upgrades end, duties fall due, the others are told.
+// tick handles everything that depends on time: the end of upgrades, pending verdicts, expired
+// endpoints and periodic reports.
 func (s *State) tick() (effects []Effect) {
 	for _, service := range slices.Sorted(maps.Keys(s.upgrades)) {
 		if u := s.upgrades[service]; u.Phase() == upgrade.Running && s.started() {
 			effects = append(effects, s.judge(u)...)
 		}
 	}
-	for service, d := range s.duties {
-		if s.now < d.dueAt || s.statusEnd < 0 || s.rank() >= judges {
+	for service, d := range s.pendingVerdicts {
+		if s.now < d.dueAt || s.statusEnd < 0 || s.rank() >= judgeCount {
 			continue
 		}
-		d.dueAt = s.now + again
-		s.duties[service] = d
+		d.dueAt = s.now + appendRetryDelay
+		s.pendingVerdicts[service] = d
 		effects = append(effects, Write{Verdict: d.verdict, At: s.statusEnd})
 	}
 	effects = append(effects, s.dropLapsed()...)
-	if acts := s.rank() < judges; acts != s.acts {
-		// The view says whether this entry reads the status stream for its duties.
-		s.acts = acts
+	if judges := s.rank() < judgeCount; judges != s.wasJudge {
+		// The view contains whether this entry reads the status stream to write verdicts.
+		s.wasJudge = judges
 		effects = append(effects, Publish{})
 	}
-	if reads := s.reader(); reads != s.reads {
-		// No event tells that a reader has fallen silent. Unless the view is made
-		// anew, this entry goes on waiting to hear from it.
-		s.reads = reads
-		effects = append(effects, LogLine{Message: "Reading of the store changed", Fields: []any{"reader", reads, "rank", s.rank()}}, Publish{})
+	if reader := s.reader(); reader != s.wasReader {
+		// No event reports that a reader went silent. Without a new view, this entry would keep
+		// waiting for its updates.
+		s.wasReader = reader
+		effects = append(effects, LogLine{Message: "Reading of the store changed", Fields: []any{"reader", reader, "rank", s.rank()}}, Publish{})
 	}
-	if waits := s.leftToOthers(); waits != s.waits {
-		s.waits = waits
-		effects = append(effects, LogLine{Message: "Failing store is left to other entries", Fields: []any{"left", waits, "failing", s.failing}}, Publish{})
+	if probed := s.probedByPeers(); probed != s.wasProbedByPeers {
+		s.wasProbedByPeers = probed
+		effects = append(effects, LogLine{Message: "Failing store is left to other entries", Fields: []any{"left", probed, "failing", s.failing}}, Publish{})
 	}
-	effects = append(effects, s.tellDue()...)
-	if s.moving() && s.now-s.lastCounted >= countPace {
-		s.lastCounted = s.now
-		effects = append(effects, s.tellJudges()...)
+	effects = append(effects, s.sendDueReports()...)
+	if s.hasActiveUpgrade() && s.now-s.lastCountsAt >= countInterval {
+		s.lastCountsAt = s.now
+		effects = append(effects, s.sendCounts()...)
 	}
 	return effects
 }
 
-// written takes the end of an append. One that lost to another entry's, or whose
-// answer was lost, is judged by reading the stream, which goes on while a duty is
-// left.
-func (s *State) written(e WriteDone) (effects []Effect) {
+// writeDone handles the end of an append. If another entry's append came first, or the response
+// was lost, the outcome is found by reading the stream, which continues while a verdict is
+// pending.
+func (s *State) writeDone(e WriteDone) (effects []Effect) {
 	if e.Err == nil {
 		s.statusEnd++
 		s.verdicts[e.Verdict.Service] = e.Verdict
-		if s.duties[e.Verdict.Service].verdict == e.Verdict {
-			delete(s.duties, e.Verdict.Service)
+		if s.pendingVerdicts[e.Verdict.Service].verdict == e.Verdict {
+			delete(s.pendingVerdicts, e.Verdict.Service)
 		}
 		return []Effect{LogLine{Message: "Verdict written", Fields: []any{"service", e.Verdict.Service, "target", e.Verdict.Target, "phase", e.Verdict.Phase}}, Publish{}}
 	}
@@ -308,19 +308,19 @@
 	return []Effect{LogLine{Message: "Verdict could not be written", Fields: []any{"service", e.Verdict.Service, "phase", e.Verdict.Phase, "error", logbook.Text(e.Err)}, Warn: true}, Publish{}}
 }
 
-// settleVersions picks the version in use of services that have none, and of
-// those whose version is gone.
-func (s *State) settleVersions() (effects []Effect) {
+// selectVersions selects the version in use of services that have none or whose version has no
+// endpoints left.
+func (s *State) selectVersions() (effects []Effect) {
 	if !s.started() {
 		return nil
 	}
 	for service := range s.fleet.Snapshot().Services() {
-		effects = append(effects, s.settleVersion(service)...)
+		effects = append(effects, s.selectVersion(service)...)
 	}
 	return effects
 }
 
-func (s *State) settleVersion(service string) (effects []Effect) {
+func (s *State) selectVersion(service string) (effects []Effect) {
 	u := s.upgrades[service]
 	counts := s.fleet.Snapshot().Versions(service)
 	if counts[s.current[service]] > 0 && s.current[service] != "" {
@@ -344,12 +344,12 @@
 	return []Effect{LogLine{Message: "Version is in use", Fields: []any{"service", service, "version", best, "before", before}}}
 }
 
-// moving reports whether an upgrade is under way or its verdict still due.
-func (s *State) moving() bool {
+// hasActiveUpgrade reports whether an upgrade is in progress or its verdict still pending.
+func (s *State) hasActiveUpgrade() bool {
 	for _, u := range s.upgrades {
 		if u.Phase() == upgrade.Running {
 			return true
 		}
 	}
-	return len(s.duties) > 0
+	return len(s.pendingVerdicts) > 0
 }
--- a/site/view.go
+++ b/site/view.go
@@ -8,40 +8,41 @@
 	"github.com/parsleydeal/parsleydeal/upgrade"
 )
 
-// View is what a process believes at one instant. Nothing in it changes.
+// View is an immutable snapshot of a process's state.
 type View struct {
 	config      *catalog.Config
 	confirmedAt clock.Millis
 	fleet       *fleet.Snapshot
-	// entries is how many entries share the bounds of the site; at least 1.
+	// entries is the number of entries that share the site's limits; at least 1.
 	entries    int
 	shares     map[string]placement.Share
 	started    bool
 	leaving    bool
-	moves      map[string]move
+	versions   map[string]versionState
 	addresses  map[string]string
 	neighbours []string
-	allTold    bool
-	// busy is true while an upgrade is under way or its verdict still due, duties
-	// while this process is among those that may have to write one.
-	busy   bool
-	duties bool
-	// reader is true when this process reads the store for others too.
-	reader       bool
-	operatorNext int64
-	heardNext    int64
-	fleetAt      clock.Millis
-	strayAt      clock.Millis
-	// served is true while the store answers others that read it for all.
-	served bool
-	// leftToOthers is true while the store fails all entries and others try it.
-	leftToOthers bool
+	fullMesh   bool
+	// upgradeActive is true while an upgrade is in progress or its verdict pending,
+	// mayWriteVerdict while a verdict is pending and this entry is one of those that may have to
+	// write it.
+	upgradeActive   bool
+	mayWriteVerdict bool
+	// reader is true if this process reads the store on behalf of all entries.
+	reader           bool
+	operatorNext     int64
+	peerOperatorNext int64
+	fleetConfirmedAt clock.Millis
+	divergedAt       clock.Millis
+	// storeServesPeers is true while the store serves the entries that read it on behalf of all.
+	storeServesPeers bool
+	// probedByPeers is true while the store fails all entries and others probe it.
+	probedByPeers bool
 }
 
-// move is what decides the version of a service's requests.
-type move struct {
+// versionState determines the version of a service's requests.
+type versionState struct {
 	rule upgrade.Rule
-	// running says that the fields below it hold.
+	// running is true during an upgrade; the fields below are only valid then.
 	running   bool
 	upgrade   upgrade.Order
 	startedAt clock.Millis
@@ -52,73 +53,72 @@
 // Config returns the configuration in force; nil before the first one.
 func (v *View) Config() *catalog.Config { return v.config }
 
-// ConfirmedAt returns when a read was sent that found the configuration to be
-// the newest.
+// ConfirmedAt returns when a read was sent that confirmed the configuration as the newest one.
 func (v *View) ConfirmedAt() clock.Millis { return v.confirmedAt }
 
 // Fleet returns the endpoints.
 func (v *View) Fleet() *fleet.Snapshot { return v.fleet }
 
-// Entries returns how many entries share the bounds of the site.
+// Entries returns the number of entries that share the site's limits.
 func (v *View) Entries() int { return v.entries }
 
-// Shares returns this entry's share of what endpoints may get, by their zone.
+// Shares returns this entry's share of the endpoints' limits, by zone of the endpoints.
 func (v *View) Shares() map[string]placement.Share { return v.shares }
 
-// Neighbours returns the addresses of the entries that are told of this one's work at
-// endpoints: all of them on a small site, those of its zone on a large one, which
-// mostly use the same endpoints.
+// Neighbours returns the addresses of the entries to which this one reports its work at
+// endpoints: all others on a small site, those of its zone on a large one, which mostly use the
+// same endpoints.
 func (v *View) Neighbours() []string { return v.neighbours }
 
-// FullMesh reports whether the entries of all zones tell this one of their work.
-func (v *View) FullMesh() bool { return v.allTold }
+// FullMesh reports whether the entries of all zones report their work to this one.
+func (v *View) FullMesh() bool { return v.fullMesh }
 
-// Started reports whether the process knows its site.
+// Started reports whether the configuration, the endpoints and the status stream were read.
 func (v *View) Started() bool { return v.started }
 
-// Reader reports whether this process reads the store for others too.
+// Reader reports whether this process reads the store on behalf of all entries.
 func (v *View) Reader() bool { return v.reader }
 
-// wants reports whether this process has to read a stream itself at an instant.
+// wants reports whether this process has to read a stream itself at the given time.
 func (v *View) wants(s Stream, now clock.Millis) bool {
 	switch s {
 	case OperatorStream:
-		return v.reader || now-v.confirmedAt > confirmWithin || v.heardNext > v.operatorNext
+		return v.reader || now-v.confirmedAt > maxConfirmationAge || v.peerOperatorNext > v.operatorNext
 	case EndpointStream:
-		return v.reader || now-v.fleetAt > fleetWithin || v.strayAt > 0 && now-v.strayAt > strayFor
+		return v.reader || now-v.fleetConfirmedAt > maxFleetAge || v.divergedAt > 0 && now-v.divergedAt > divergenceTimeout
 	case StatusStream:
-		return v.busy && (v.reader || v.duties)
+		return v.upgradeActive && (v.reader || v.mayWriteVerdict)
 	default:
 		return true
 	}
 }
 
-// moving reports whether an upgrade is under way or its verdict still due.
-func (v *View) moving() bool { return v.busy }
+// hasActiveUpgrade reports whether an upgrade is in progress or its verdict still pending.
+func (v *View) hasActiveUpgrade() bool { return v.upgradeActive }
 
 // Leaving reports whether the process was asked to stop.
 func (v *View) Leaving() bool { return v.leaving }
 
-// Addresses returns the registered entries' addresses by name.
+// Addresses returns the addresses of the known entries by name.
 func (v *View) Addresses() map[string]string { return v.addresses }
 
-// Rule returns the rule by which a service's version is chosen at an instant.
+// Rule returns the rule that selects a service's version at the given time.
 func (v *View) Rule(service string, now clock.Millis) upgrade.Rule {
-	m := v.moves[service]
+	m := v.versions[service]
 	if !m.running {
 		return m.rule
 	}
 	return upgrade.RuleAt(m.upgrade, m.startedAt, now, m.rule.Current, m.exposure)
 }
 
-// Upgrade returns the order of a service that is under way.
+// Upgrade returns the order of a service's upgrade in progress.
 func (v *View) Upgrade(service string) (o upgrade.Order, running bool) {
-	m := v.moves[service]
+	m := v.versions[service]
 	return m.upgrade, m.running
 }
 
-// KeptByPeer reports whether another entry keeps a session, by its hash, on
-// the old version of a service.
+// KeptByPeer reports whether another entry keeps a session, given by its hash, on the old version
+// of a service.
 func (v *View) KeptByPeer(service string, session uint64) bool {
-	return v.moves[service].kept[session]
+	return v.versions[service].kept[session]
 }
