--- a/gossip/gossip.go
+++ b/gossip/gossip.go
@@ -1,6 +1,6 @@
-// Package gossip carries short reports between the entries of a site: datagrams
-// that each sends to all others a few times a second. A lost one costs nothing,
-// since the next repeats what it said.
+// Package gossip sends short reports between the entries of a site: UDP datagrams that each entry
+// sends to others up to a few times a second. Losing one does no harm, since the next repeats its
+// content.
 package gossip
 
 import (
@@ -17,20 +17,21 @@
 // Errors is the namespace of this package's errors.
 var Errors = errorx.NewNamespace("gossip")
 
-// ErrTooLarge marks a report that no datagram can carry.
+// ErrTooLarge is returned for a report that does not fit into one datagram.
 var ErrTooLarge = Errors.NewType("too-large")
 
-// maxDatagram is the most that an IPv4 datagram carries, less a kilobyte.
+// maxDatagram is the maximum size of a report in bytes: the maximum payload of an IPv4 datagram
+// less one kilobyte.
 const maxDatagram = 63 << 10
 
-// Socket sends and receives reports.
+// Socket sends and receives reports over UDP. Its methods may be called from several goroutines.
 type Socket struct {
 	conn *net.UDPConn
 	// lost counts datagrams that could not be sent or read.
 	lost atomic.Int64
 }
 
-// Open opens a socket on an IP number and port.
+// Open opens a socket on an IP address and port, such as "10.0.0.1:8445". Receive closes it.
 func Open(address string) (s *Socket, err error) {
 	at, err := netip.ParseAddrPort(address)
 	if err != nil {
@@ -43,10 +44,11 @@
 	return &Socket{conn: conn}, nil
 }
 
-// Lost returns how many datagrams could not be sent or read.
+// Lost returns the number of datagrams that could not be sent or read.
 func (s *Socket) Lost() int64 { return s.lost.Load() }
 
-// Send sends a report to some addresses.
+// Send sends a report to the given addresses. It returns an error if the report cannot be encoded
+// or is too large. A failed send to one of the addresses is only counted in Lost.
 func (s *Socket) Send(r *wire.EntryReport, to []string) (err error) {
 	data, err := proto.Marshal(r)
 	if err != nil {
@@ -68,8 +70,9 @@
 	return nil
 }
 
-// Receive hands each report on until the context ends.
-func (s *Socket) Receive(ctx context.Context, take func(r *wire.EntryReport)) {
+// Receive calls handle for each report until the context ends, then closes the socket. It
+// discards and counts datagrams that are not valid reports.
+func (s *Socket) Receive(ctx context.Context, handle func(r *wire.EntryReport)) {
 	stop := context.AfterFunc(ctx, func() { _ = s.conn.Close() })
 	defer stop()
 	buf := make([]byte, maxDatagram+1)
@@ -83,6 +86,6 @@
 			s.lost.Add(1)
 			continue
 		}
-		take(r)
+		handle(r)
 	}
 }
