--- a/site/feed.go
+++ b/site/feed.go
@@ -52,7 +52,7 @@
 	wait  clock.Millis
 	pause clock.Millis
 	// handle posts the event for a result.
-	handle func(ctx context.Context, r readResult)
+	handle func(ctx context.Context, res readResult)
 	// next is the offset to read from; negative until the first full read.
 	next  int64
 	fails int
@@ -76,20 +76,20 @@
 	}
 }
 
-func (l *Loop) handleOperator(ctx context.Context, r readResult) {
+func (l *Loop) handleOperator(ctx context.Context, res readResult) {
 	update := OperatorUpdate{}
-	if len(r.records) > 0 {
-		update = l.cfg.Codec.Operator(r.records)
+	if len(res.records) > 0 {
+		update = l.cfg.Codec.Operator(res.records)
 	}
-	l.post(ctx, OperatorRead{Now: r.now, SentAt: r.sentAt, Full: r.full, Update: update, Records: r.records, From: r.from, Next: r.next})
+	l.post(ctx, OperatorRead{Now: res.now, SentAt: res.sentAt, Full: res.full, Update: update, Records: res.records, From: res.from, Next: res.next})
 }
 
-func (l *Loop) handleEndpoints(ctx context.Context, r readResult) {
-	l.post(ctx, EndpointsRead{Now: r.now, SentAt: r.sentAt, Full: r.full, Changes: l.cfg.Codec.Endpoints(r.records, r.now), Records: r.records})
+func (l *Loop) handleEndpoints(ctx context.Context, res readResult) {
+	l.post(ctx, EndpointsRead{Now: res.now, SentAt: res.sentAt, Full: res.full, Changes: l.cfg.Codec.Endpoints(res.records, res.now), Records: res.records})
 }
 
-func (l *Loop) handleStatus(ctx context.Context, r readResult) {
-	l.post(ctx, VerdictsRead{Now: r.now, Verdicts: l.cfg.Codec.Verdicts(r.records), Next: r.next})
+func (l *Loop) handleStatus(ctx context.Context, res readResult) {
+	l.post(ctx, VerdictsRead{Now: res.now, Verdicts: l.cfg.Codec.Verdicts(res.records), Next: res.next})
 }
 
 func (f *feed) run(ctx context.Context) {
@@ -100,7 +100,7 @@
 			continue
 		}
 		f.setOffset(v)
-		r, err := f.read(ctx)
+		res, err := f.read(ctx)
 		if ctx.Err() != nil {
 			return
 		}
@@ -115,8 +115,8 @@
 		if f.stream == OperatorStream {
 			f.loop.operatorFailing.Store(false)
 		}
-		f.next = r.next
-		f.handle(ctx, r)
+		f.next = res.next
+		f.handle(ctx, res)
 		clock.Pause(ctx, f.pause)
 	}
 }
@@ -134,18 +134,18 @@
 	}
 }
 
-func (f *feed) read(ctx context.Context) (r readResult, err error) {
+func (f *feed) read(ctx context.Context) (res readResult, err error) {
 	ctx, cancel := context.WithTimeout(ctx, (f.wait + readSlack).Duration())
 	defer cancel()
-	r.sentAt, r.from = f.loop.cfg.Clock.Now(), f.next
+	res.sentAt, res.from = f.loop.cfg.Clock.Now(), f.next
 	if f.next < 0 {
-		r.full = true
-		r.records, r.next, err = f.loop.cfg.Store.Newest(ctx, f.stream)
+		res.full = true
+		res.records, res.next, err = f.loop.cfg.Store.Newest(ctx, f.stream)
 	} else {
-		r.records, r.next, err = f.loop.cfg.Store.Read(ctx, f.stream, f.next, f.wait)
+		res.records, res.next, err = f.loop.cfg.Store.Read(ctx, f.stream, f.next, f.wait)
 	}
-	r.now = f.loop.cfg.Clock.Now()
-	return r, err
+	res.now = f.loop.cfg.Clock.Now()
+	return res, err
 }
 
 func (f *feed) handleError(ctx context.Context, err error) {
--- a/site/state.go
+++ b/site/state.go
@@ -360,12 +360,12 @@
 }
 
 func (s *State) endpointLogLine(id string) Effect {
-	e := s.fleet.Find(id)
-	if e == nil {
+	endpoint := s.fleet.Find(id)
+	if endpoint == nil {
 		return LogLine{Message: "Endpoint is gone", Fields: []any{"endpoint", id}}
 	}
 	return LogLine{Message: "Endpoint changed", Fields: []any{
-		"endpoint", id, "service", e.Service, "address", e.Address, "zone", e.Zone, "version", e.Version, "leaving", e.Leaving, "cold", s.fleet.Snapshot().Cold(e, s.now),
+		"endpoint", id, "service", endpoint.Service, "address", endpoint.Address, "zone", endpoint.Zone, "version", endpoint.Version, "leaving", endpoint.Leaving, "cold", s.fleet.Snapshot().Cold(endpoint, s.now),
 	}}
 }
 
--- a/site/upgrade.go
+++ b/site/upgrade.go
@@ -267,16 +267,16 @@
 		effects = append(effects, Write{Verdict: d.verdict, At: s.statusEnd})
 	}
 	effects = append(effects, s.dropLapsed()...)
-	if judges := s.rank() < judgeCount; judges != s.wasJudge {
+	if isJudge := s.rank() < judgeCount; isJudge != s.wasJudge {
 		// The view contains whether this entry reads the status stream to write verdicts.
-		s.wasJudge = judges
+		s.wasJudge = isJudge
 		effects = append(effects, Publish{})
 	}
-	if reader := s.reader(); reader != s.wasReader {
+	if isReader := s.reader(); isReader != s.wasReader {
 		// No event reports that a reader went silent. Without a new view, this entry would keep
 		// waiting for its updates.
-		s.wasReader = reader
-		effects = append(effects, LogLine{Message: "Reading of the store changed", Fields: []any{"reader", reader, "rank", s.rank()}}, Publish{})
+		s.wasReader = isReader
+		effects = append(effects, LogLine{Message: "Reading of the store changed", Fields: []any{"reader", isReader, "rank", s.rank()}}, Publish{})
 	}
 	if probed := s.probedByPeers(); probed != s.wasProbedByPeers {
 		s.wasProbedByPeers = probed
