--- a/relay/tally.go
+++ b/relay/tally.go
@@ -16,7 +16,7 @@
 	bad     bool
 	// timed says that the answer's pace could be told, slow by which grades it was.
 	timed bool
-	slow  [len(upgrade.Grades)]bool
+	slow  [len(upgrade.SlowThresholds)]bool
 	// delay says that it was told by the delay of a dropped answer's first byte.
 	delay bool
 }
--- a/site/calls_test.go
+++ b/site/calls_test.go
@@ -37,7 +37,7 @@
 		reads  bool
 	}{{0, true}, {2, true}, {3, false}, {60, false}} {
 		s := stateWithPeers(x.before)
-		s.upgrades["pool"] = upgrade.New(upgrade.Order{Service: "pool", Target: "v2", Span: 24 * clock.Second, Number: 7}, 20)
+		s.upgrades["pool"] = upgrade.New(upgrade.Order{Service: "pool", Target: "v2", Duration: 24 * clock.Second, Number: 7}, 20)
 		from := "entry-z"
 		report := func(agreed bool) *wire.EntryReport {
 			return &wire.EntryReport{Process: from, Name: from, Address: from, OperatorNext: 5, Upgrades: []*wire.UpgradeReport{{
--- a/site/kept_test.go
+++ b/site/kept_test.go
@@ -33,7 +33,7 @@
 func upgradingState() *State {
 	s := NewState(Self{Name: "entry-c", Process: "c/1", Zone: "c", Exposure: 0.15}, 0)
 	s.current["pool"] = "v1"
-	s.upgrades["pool"] = upgrade.New(upgrade.Order{Service: "pool", Target: "v2", Span: 24 * clock.Second, Number: 7}, 0)
+	s.upgrades["pool"] = upgrade.New(upgrade.Order{Service: "pool", Target: "v2", Duration: 24 * clock.Second, Number: 7}, 0)
 	return s
 }
 
--- a/site/state_test.go
+++ b/site/state_test.go
@@ -110,7 +110,7 @@
 		case "order":
 			span, _ := strconv.ParseInt(f[3], 10, 64)
 			number, _ := strconv.ParseInt(f[4], 10, 64)
-			n.Orders = append(n.Orders, upgrade.Order{Service: f[1], Target: f[2], Span: clock.Millis(span), Number: number})
+			n.Orders = append(n.Orders, upgrade.Order{Service: f[1], Target: f[2], Duration: clock.Millis(span), Number: number})
 		default:
 			t.Fatalf("unknown update %q", line)
 		}
--- a/site/tell.go
+++ b/site/tell.go
@@ -98,7 +98,7 @@
 
 func (s *State) upgradeReports(counts bool) (out []*wire.UpgradeReport) {
 	for service, u := range s.upgrades {
-		if u.Age(s.now) <= u.Order().Span+upgradeReportTTL {
+		if u.Age(s.now) <= u.Order().Duration+upgradeReportTTL {
 			out = append(out, s.newUpgradeReport(service, u, counts))
 		}
 	}
--- a/site/upgrade.go
+++ b/site/upgrade.go
@@ -50,7 +50,7 @@
 		s.scheduleVerdict(Verdict{Service: o.Service, Target: o.Target, Phase: upgrade.Running})
 	}
 	return []Effect{LogLine{Message: "Upgrade ordered", Fields: []any{
-		"service", o.Service, "target", o.Target, "span", o.Span, "number", o.Number, "current", s.current[o.Service], "phase", u.Phase(),
+		"service", o.Service, "target", o.Target, "span", o.Duration, "number", o.Number, "current", s.current[o.Service], "phase", u.Phase(),
 	}}}
 }
 
@@ -175,14 +175,14 @@
 	if u.Phase() != upgrade.Running {
 		return effects
 	}
-	u.Begun(s.now - clock.Millis(r.GetAgeMillis()))
+	u.AdjustStart(s.now - clock.Millis(r.GetAgeMillis()))
 	counts := make(upgrade.Counts, len(r.GetCounts()))
 	for _, c := range r.GetCounts() {
 		count := upgrade.Count{Ended: c.GetEnded(), Bad: c.GetBad(), Timed: c.GetTimed()}
 		copy(count.Slow[:], c.GetSlow())
 		counts[upgrade.Key{Route: c.GetRoute(), Target: c.GetTarget(), Delay: c.GetDelay()}] = count
 	}
-	u.Take(process, counts)
+	u.AddCounts(process, counts)
 	if p := upgrade.Phase(r.GetPhase()); u.Set(p, "heard: "+r.GetReason()) {
 		s.scheduleVerdict(Verdict{Service: r.GetService(), Target: u.Order().Target, Phase: p})
 		return append(effects, s.upgradeEnded(u)...)
@@ -208,7 +208,7 @@
 		if u == nil || u.Phase() != upgrade.Running {
 			continue
 		}
-		u.Take(s.self.Process, counts)
+		u.AddCounts(s.self.Process, counts)
 		effects = append(effects, s.judge(u)...)
 	}
 	return effects
