--- a/daemon/direct.go
+++ b/daemon/direct.go
@@ -117,7 +117,7 @@
 		Codec:   site.Codec{Operator: platform.Operator, Endpoints: platform.Endpoints, Verdicts: platform.Verdicts, VerdictRecord: platform.VerdictRecord},
 		Address: s.Peer,
 		Send:    d.socket.Send,
-		Counts: func() site.TrafficCounts { return d.server.TrafficCounts() },
+		Counts:  func() site.TrafficCounts { return d.server.TrafficCounts() },
 	})
 	d.server = relay.New(relay.Config{
 		Clock: d.clock, Log: d.log, Dialect: platform.Dialect(), View: d.loop.View, Started: d.loop.Started(), Pool: upstream.NewPool(d.clock), Zone: s.Zone,
