--- a/cascade/cascade.go
+++ b/cascade/cascade.go
@@ -71,8 +71,8 @@
 
 // NewJudge makes a judge that decides in the ways given. It takes endpoints for crowded at
 // first: after a mass restart all callers come at once.
-func NewJudge(ways decision.Ways) *Judge {
-	return &Judge{rule: rules[ways.Of(decision.Drop)], pressure: 1}
+func NewJudge(ways decision.Strategies) *Judge {
+	return &Judge{rule: rules[ways.For(decision.Drop)], pressure: 1}
 }
 
 // rule decides whether an answer is to be dropped for the largest model's, whose first
@@ -81,15 +81,15 @@
 type rule func(a Answer, first clock.Millis, pressure float64) bool
 
 // rules holds the ways of the decision.
-var rules = map[decision.Way]rule{
+var rules = map[decision.Strategy]rule{
 	decision.ByTime: func(a Answer, first clock.Millis, _ float64) bool {
 		return worth*(gain(a, first)-crowding*crowded(first, a.Left)) > 1
 	},
 	decision.ByPressure: func(a Answer, first clock.Millis, pressure float64) bool {
 		return worth*(gain(a, first)-crowding*pressure*crowded(first, a.Left)) > 1
 	},
-	decision.ByPrice:   func(a Answer, first clock.Millis, _ float64) bool { return worth*gain(a, first) > 1 },
-	decision.ByOpinion: func(a Answer, _ clock.Millis, _ float64) bool { return a.Confidence < 50 },
+	decision.ByPrice:  func(a Answer, first clock.Millis, _ float64) bool { return worth*gain(a, first) > 1 },
+	decision.ByRating: func(a Answer, _ clock.Millis, _ float64) bool { return a.Confidence < 50 },
 }
 
 // Drops reports whether an answer is to be dropped for the largest model's.
--- a/cascade/cascade_test.go
+++ b/cascade/cascade_test.go
@@ -12,7 +12,7 @@
 const aim = 2000 * clock.Millis(1)
 
 func drops(confidence int, first, left clock.Millis) bool {
-	return NewJudge(decision.Ways{}).Drops(Answer{Confidence: confidence, Left: left}, Larger{First: first, Wait: first})
+	return NewJudge(decision.Strategies{}).Drops(Answer{Confidence: confidence, Left: left}, Larger{First: first, Wait: first})
 }
 
 // Endpoints are overloaded, and the larger model's first byte takes as long as a
@@ -57,7 +57,7 @@
 // same, poor answers are kept for the sake of requests that would be in time anyway.
 func TestLargerModelIsChargedAsFarAsItIsWaitedFor(t *testing.T) {
 	is := is.New(t)
-	j := NewJudge(decision.Ways{})
+	j := NewJudge(decision.Strategies{})
 	answer := Answer{Confidence: 49, Left: aim}
 	busy, queued := Larger{First: 900, Wait: 50}, Larger{First: 900, Wait: 700}
 	is.True(!j.Drops(answer, busy)) // nothing is known yet
--- a/daemon/direct.go
+++ b/daemon/direct.go
@@ -221,7 +221,7 @@
 	if c == nil {
 		return 0
 	}
-	return c.Limits.Idle
+	return c.Limits.IdleTimeout
 }
 
 // tidy drops what is no longer needed.
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -17,16 +17,16 @@
 	endpoints map[string]*Endpoint
 	// out holds the zones that get no new work.
 	out map[string]bool
-	// returned holds until when the endpoints of a zone that came back are taken
+	// coldUntil holds until when the endpoints of a zone that came back are taken
 	// to be cold.
-	returned map[string]clock.Millis
+	coldUntil map[string]clock.Millis
 	// snapshot is the last copy handed out; nil once anything has changed since.
 	snapshot *Snapshot
 }
 
 // New makes an empty fleet.
 func New() *Fleet {
-	return &Fleet{endpoints: make(map[string]*Endpoint), out: make(map[string]bool), returned: make(map[string]clock.Millis)}
+	return &Fleet{endpoints: make(map[string]*Endpoint), out: make(map[string]bool), coldUntil: make(map[string]clock.Millis)}
 }
 
 // Apply takes changes of the list. A whole list drops every endpoint that it
@@ -68,31 +68,31 @@
 	return append(moved, id)
 }
 
-// coldSlack is by how much the end of a cold start may seem to move from one
+// coldTolerance is by how much the end of a cold start may seem to move from one
 // announcement to the next, which were on their way for different spans.
-const coldSlack = 700 * clock.Millis(1)
+const coldTolerance = 700 * clock.Millis(1)
 
 // differs reports whether a later announcement says anything that other processes
 // must know. A cold start that began anew is part of it: an entry that took the
 // endpoint for warm would send it more than it bears.
 func (e *Endpoint) differs(later *Endpoint) bool {
-	return e.Leaving != later.Leaving || e.Address != later.Address || e.Born != later.Born || later.ColdUntil > e.ColdUntil+coldSlack
+	return e.Leaving != later.Leaving || e.Address != later.Address || e.Incarnation != later.Incarnation || later.ColdUntil > e.ColdUntil+coldTolerance
 }
 
 // older reports whether an announcement was made before the one that is known.
 // One that was held up on its way would take back an endpoint's leaving.
 func older(e, known *Endpoint) bool {
-	return e.Born < known.Born || e.Born == known.Born && e.Sequence < known.Sequence
+	return e.Incarnation < known.Incarnation || e.Incarnation == known.Incarnation && e.Sequence < known.Sequence
 }
 
 // Find returns an endpoint by its ID, or nil.
 func (f *Fleet) Find(id string) *Endpoint { return f.endpoints[id] }
 
-// returnSpan is how long the endpoints of a zone that came back are taken to be
+// returnedZoneCold is how long the endpoints of a zone that came back are taken to be
 // cold. They were idle and look the emptiest to every entry, while an announcement
 // of their cold start takes a heartbeat (1.2 s) and the pause between two reads of
 // the store (0.8 s) to be known.
-const returnSpan = 2500 * clock.Millis(1)
+const returnedZoneCold = 2500 * clock.Millis(1)
 
 // SetZone takes a zone out of service or back in.
 func (f *Fleet) SetZone(zone string, out bool, now clock.Millis) (changed bool) {
@@ -104,13 +104,13 @@
 		delete(f.out, zone)
 	}
 	if changed && !out {
-		f.returned[zone] = now + returnSpan
+		f.coldUntil[zone] = now + returnedZoneCold
 	}
 	return changed
 }
 
-// Zones returns the zones out of service.
-func (f *Fleet) Zones() []string { return slices.Sorted(maps.Keys(f.out)) }
+// ZonesOut returns the zones out of service.
+func (f *Fleet) ZonesOut() []string { return slices.Sorted(maps.Keys(f.out)) }
 
 // Snapshot returns an immutable copy, the same one until something changes.
 func (f *Fleet) Snapshot() *Snapshot {
@@ -121,7 +121,7 @@
 }
 
 func (f *Fleet) copy() *Snapshot {
-	s := &Snapshot{byService: make(map[string][]*Endpoint), byID: maps.Clone(f.endpoints), out: maps.Clone(f.out), returned: maps.Clone(f.returned)}
+	s := &Snapshot{byService: make(map[string][]*Endpoint), byID: maps.Clone(f.endpoints), out: maps.Clone(f.out), coldUntil: maps.Clone(f.coldUntil)}
 	for _, e := range f.endpoints {
 		s.byService[e.Service] = append(s.byService[e.Service], e)
 	}
@@ -142,7 +142,7 @@
 		for _, text := range [...]string{id, e.Service, e.Address, e.Zone, e.Version} {
 			_, _ = d.WriteString(text + "\x00")
 		}
-		binary.BigEndian.PutUint64(b[:], uint64(e.Born))
+		binary.BigEndian.PutUint64(b[:], uint64(e.Incarnation))
 		b[8] = 0
 		if e.Leaving {
 			b[8] = 1
@@ -157,21 +157,21 @@
 	byService map[string][]*Endpoint
 	byID      map[string]*Endpoint
 	out       map[string]bool
-	returned  map[string]clock.Millis
+	coldUntil map[string]clock.Millis
 	digest    uint64
 }
 
 // Digest returns a number that is the same for the same endpoints.
 func (s *Snapshot) Digest() uint64 { return s.digest }
 
-// Of returns a service's endpoints in the order of their IDs.
-func (s *Snapshot) Of(service string) []*Endpoint { return s.byService[service] }
+// Endpoints returns a service's endpoints in the order of their IDs.
+func (s *Snapshot) Endpoints(service string) []*Endpoint { return s.byService[service] }
 
 // Find returns an endpoint by its ID, or nil.
 func (s *Snapshot) Find(id string) *Endpoint { return s.byID[id] }
 
-// Out reports whether a zone is out of service.
-func (s *Snapshot) Out(zone string) bool { return s.out[zone] }
+// ZoneOut reports whether a zone is out of service.
+func (s *Snapshot) ZoneOut(zone string) bool { return s.out[zone] }
 
 // Usable reports whether an endpoint may get new work.
 func (s *Snapshot) Usable(e *Endpoint) bool { return !e.Leaving && !s.out[e.Zone] }
@@ -179,7 +179,7 @@
 // Cold reports whether an endpoint is in an announced cold start, or may be in one
 // since its zone has just come back.
 func (s *Snapshot) Cold(e *Endpoint, now clock.Millis) bool {
-	return e.ColdUntil > now || s.returned[e.Zone] > now
+	return e.ColdUntil > now || s.coldUntil[e.Zone] > now
 }
 
 // Services returns the endpoints by service.
--- a/placement/census.go
+++ b/placement/census.go
@@ -11,29 +11,29 @@
 type obstacle int
 
 const (
-	// unhindered means that nothing does.
-	unhindered obstacle = iota
-	// lost means that the endpoint could not be reached lately.
-	lost
-	// loaded means that its slots are taken and a queue stands before them.
-	loaded
-	// bounded means that this entry has sent its share of what the endpoint bears.
-	bounded
-	// limited means that this entry has sent its share of the rate that the endpoint names.
-	limited
+	// noObstacle means that nothing does.
+	noObstacle obstacle = iota
+	// unreachable means that the endpoint could not be reached lately.
+	unreachable
+	// overloaded means that its slots are taken and a queue stands before them.
+	overloaded
+	// overShare means that this entry has sent its share of what the endpoint bears.
+	overShare
+	// overRate means that this entry has sent its share of the rate that the endpoint names.
+	overRate
 	// paused means that the endpoint wants nothing from this entry for a while.
 	paused
-	// late means that the prompts before it would take longer than the request has.
-	late
-	obstacles
+	// tooLate means that the prompts before it would take longer than the request has.
+	tooLate
+	obstacleKinds
 )
 
-// Census counts the endpoints that may get a request by what speaks against each.
+// ObstacleCounts counts the endpoints that may get a request by what speaks against each.
 // It tells in a refusal's log line which bound was met.
-type Census [obstacles]int
+type ObstacleCounts [obstacleKinds]int
 
-// Census looks at the endpoints as Pick does.
-func (b *Board) Census(s *fleet.Snapshot, q Query) (c Census) {
+// CountObstacles looks at the endpoints as Pick does.
+func (b *Selector) CountObstacles(s *fleet.Snapshot, q Query) (c ObstacleCounts) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	q = q.hashed()
@@ -47,6 +47,6 @@
 }
 
 // String names the counts for a refusal's message.
-func (c Census) String() string {
-	return fmt.Sprintf("%d loaded, %d at this entry's share, %d at the rate they name, %d that want nothing for now, %d too late", c[loaded], c[bounded], c[limited], c[paused], c[late])
+func (c ObstacleCounts) String() string {
+	return fmt.Sprintf("%d loaded, %d at this entry's share, %d at the rate they name, %d that want nothing for now, %d too late", c[overloaded], c[overShare], c[overRate], c[paused], c[tooLate])
 }
--- a/placement/load_test.go
+++ b/placement/load_test.go
@@ -17,43 +17,43 @@
 // of what an endpoint bears in a cold start, they refused callers though no
 // endpoint was near its bound. Now hardly any is refused, and still no endpoint
 // gets more in a second than it would bear if it turned cold unannounced.
-func TestUnevenEntriesUseWhatEndpointsBear(t *testing.T) {
+func TestUnevenEntriesUseEndpointCapacity(t *testing.T) {
 	is := is.New(t)
 	const bears = 30
-	p := newReplay(31, 28, bears)
-	refused, asked := p.play(500, 20*clock.Second)
+	p := newLoadSimulation(31, 28, bears)
+	refused, asked := p.simulate(500, 20*clock.Second)
 	most := 0
 	for _, sends := range p.arrivals {
-		most = max(most, mostInASecond(sends))
+		most = max(most, maxPerSecond(sends))
 	}
 	t.Logf("%d of %d refused, at most %d in a second at one endpoint", refused, asked, most)
 	is.True(refused*1000 < asked) // with even shares 2,130 of 10,012 were
 	is.True(most <= bears)
 }
 
-// replay plays entries before endpoints that read one prompt after another.
-type replay struct {
+// loadSimulation plays entries before endpoints that read one prompt after another.
+type loadSimulation struct {
 	rnd     *rand.Rand
 	fleet   *fleet.Snapshot
-	entries []*Board
+	entries []*Selector
 	weights []int
 	bounds  float64
-	// free is when an endpoint has read all it got, held what it works on, and
+	// freeAt is when an endpoint has read all it got, held what it works on, and
 	// arrivals when it got each.
-	free     map[string]clock.Millis
+	freeAt   map[string]clock.Millis
 	held     map[string]int
 	waiting  map[string]int
 	arrivals map[string][]clock.Millis
 	events   eventQueue
 }
 
-func newReplay(entries, endpoints int, bounds float64) *replay {
-	p := &replay{
+func newLoadSimulation(entries, endpoints int, bounds float64) *loadSimulation {
+	p := &loadSimulation{
 		rnd: rand.New(rand.NewPCG(1, 2)), fleet: fleetOf(endpoints, func(i int, e *fleet.Endpoint) { e.Zone = [...]string{"a", "b"}[i%2] }), bounds: bounds,
-		free: make(map[string]clock.Millis), held: make(map[string]int), waiting: make(map[string]int), arrivals: make(map[string][]clock.Millis),
+		freeAt: make(map[string]clock.Millis), held: make(map[string]int), waiting: make(map[string]int), arrivals: make(map[string][]clock.Millis),
 	}
 	for i := range entries {
-		p.entries = append(p.entries, NewBoard())
+		p.entries = append(p.entries, NewSelector())
 		for range 2 + i%4 {
 			p.weights = append(p.weights, i)
 		}
@@ -61,11 +61,11 @@
 	return p
 }
 
-// play sends so many prompts a second for a span.
-func (p *replay) play(perSecond int, span clock.Millis) (refused, asked int) {
+// simulate sends so many prompts a second for a span.
+func (p *loadSimulation) simulate(perSecond int, span clock.Millis) (refused, asked int) {
 	for now := clock.Millis(0); now < span; now++ {
 		for len(p.events) > 0 && p.events[0].at <= now {
-			heap.Pop(&p.events).(event).do(now)
+			heap.Pop(&p.events).(event).fire(now)
 		}
 		for p.rnd.Float64() < float64(perSecond)/float64(perSecond+int(clock.Second)) {
 			asked++
@@ -77,30 +77,30 @@
 	return refused, asked
 }
 
-func (p *replay) send(now clock.Millis, i int) bool {
+func (p *loadSimulation) send(now clock.Millis, i int) bool {
 	b := p.entries[i]
 	subject := p.rnd.IntN(300)
 	q := Query{
-		Service: "s", Version: "v1", Zone: [...]string{"a", "b", "c", "d"}[i%4], Model: "m", Bytes: 8000, Now: now, Patience: 2 * clock.Second,
-		Parts:  []Part{{fmt.Sprint("head", subject%4), 500}, {fmt.Sprint("subject", subject), 500}, {fmt.Sprint("own", now, i), 200 + p.rnd.IntN(1500)}},
+		Service: "s", Version: "v1", Zone: [...]string{"a", "b", "c", "d"}[i%4], Model: "m", Bytes: 8000, Now: now, FirstByteBudget: 2 * clock.Second,
+		Blocks: []Block{{fmt.Sprint("head", subject%4), 500}, {fmt.Sprint("subject", subject), 500}, {fmt.Sprint("own", now, i), 200 + p.rnd.IntN(1500)}},
 		Bounds: Bounds{Cold: p.bounds / 2, Warm: p.bounds, Shares: p.shares(i)},
 	}
-	e, why := b.Pick(p.fleet, q)
-	if why != Picked {
+	e, why := b.Select(p.fleet, q)
+	if why != Selected {
 		return false
 	}
 	p.arrivals[e.ID] = append(p.arrivals[e.ID], now)
-	p.run(b, e, q, now)
+	p.serve(b, e, q, now)
 	return true
 }
 
 // shares are those of a site with two of four zones out: each zone's own entries
 // share half of what its endpoints bear, and those of zones that are out count as
 // at home everywhere.
-func (p *replay) shares(i int) map[string]Share {
+func (p *loadSimulation) shares(i int) map[string]Share {
 	out := make(map[string]Share)
 	for _, zone := range []string{"a", "b"} {
-		home, away := Share{Part: 0.5}, Share{Part: 0.5}
+		home, away := Share{Fraction: 0.5}, Share{Fraction: 0.5}
 		for j := range p.entries {
 			share := &home
 			if at := [...]string{"a", "b", zone, zone}[j%4]; at != zone {
@@ -123,24 +123,24 @@
 	// readsPerMillis and streams are an endpoint's pace: tokens of prompts that it
 	// reads, and how long an answer takes after that.
 	readsPerMillis = 60
-	streams        = 300 * clock.Millis(1)
+	streamDuration = 300 * clock.Millis(1)
 )
 
-// run has an endpoint read the prompt and answer it.
-func (p *replay) run(b *Board, e *fleet.Endpoint, q Query, now clock.Millis) {
+// serve has an endpoint read the prompt and answer it.
+func (p *loadSimulation) serve(b *Selector, e *fleet.Endpoint, q Query, now clock.Millis) {
 	w := b.Begin(e, q)
 	p.held[e.ID]++
 	p.waiting[e.ID]++
-	p.free[e.ID] = max(p.free[e.ID], now) + clock.Millis(w.tokens/readsPerMillis)
-	read := p.free[e.ID] + 80
+	p.freeAt[e.ID] = max(p.freeAt[e.ID], now) + clock.Millis(w.tokens/readsPerMillis)
+	read := p.freeAt[e.ID] + 80
 	heap.Push(&p.events, event{read, func(now clock.Millis) {
 		p.waiting[e.ID]--
-		w.Read(now)
-		b.Heard(e.ID, now)
-		b.Load(e.ID, p.held[e.ID], e.Slots, now)
-		b.Waiting(e.ID, p.waiting[e.ID], now)
+		w.FirstByte(now)
+		b.RecordActivity(e.ID, now)
+		b.RecordLoad(e.ID, p.held[e.ID], e.Slots, now)
+		b.RecordQueueLength(e.ID, p.waiting[e.ID], now)
 	}})
-	heap.Push(&p.events, event{read + streams, func(clock.Millis) {
+	heap.Push(&p.events, event{read + streamDuration, func(clock.Millis) {
 		p.held[e.ID]--
 		w.End()
 	}})
@@ -148,8 +148,8 @@
 
 // event is something that an endpoint does at a moment.
 type event struct {
-	at clock.Millis
-	do func(now clock.Millis)
+	at   clock.Millis
+	fire func(now clock.Millis)
 }
 
 // eventQueue holds events, the next one first.
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -12,8 +12,8 @@
 	"github.com/parsleydeal/parsleydeal/upgrade"
 )
 
-// Part is a part of a prompt, which requests share.
-type Part struct {
+// Block is a part of a prompt, which requests share.
+type Block struct {
 	ID     string
 	Tokens int
 }
@@ -27,21 +27,21 @@
 	Zone    string
 	// Avoid holds endpoints that this request has tried.
 	Avoid map[string]bool
-	// Reached leaves out endpoints that were lost lately, also where there is no other.
-	Reached bool
-	Model   string
-	Parts   []Part
+	// ReachableOnly leaves out endpoints that were lost lately, also where there is no other.
+	ReachableOnly bool
+	Model         string
+	Blocks        []Block
 	// Bytes is the size of what is sent.
 	Bytes int
-	// AllTold says that the entries of all zones tell this one of their work, and not
+	// FullMesh says that the entries of all zones tell this one of their work, and not
 	// only those of its own zone.
-	AllTold bool
+	FullMesh bool
 	// Bounds limit how much one entry sends.
 	Bounds Bounds
-	// Patience is how long the prompt may take to be read, its wait included; 0
+	// FirstByteBudget is how long the prompt may take to be read, its wait included; 0
 	// for any time.
-	Patience clock.Millis
-	Now      clock.Millis
+	FirstByteBudget clock.Millis
+	Now             clock.Millis
 
 	// hashes holds those of the parts for the model once they were needed.
 	hashes []uint32
@@ -49,11 +49,11 @@
 
 // hashed returns the query with the hashes of its parts.
 func (q Query) hashed() Query {
-	if len(q.hashes) == len(q.Parts) {
+	if len(q.hashes) == len(q.Blocks) {
 		return q
 	}
-	q.hashes = make([]uint32, len(q.Parts))
-	for i, p := range q.Parts {
+	q.hashes = make([]uint32, len(q.Blocks))
+	for i, p := range q.Blocks {
 		q.hashes[i] = p.hashOf(q.Model)
 	}
 	return q
@@ -73,53 +73,53 @@
 
 // Share is an entry's share of a bound.
 type Share struct {
-	// Part is the part of the bound that is shared, Entries how many entries share
+	// Fraction is the part of the bound that is shared, Entries how many entries share
 	// it, and Index this one's number among them from 0.
-	Part    float64
-	Entries int
-	Index   int
+	Fraction float64
+	Entries  int
+	Index    int
 }
 
-// In is what this entry may send to an endpoint in a second; 0 for nothing. What
+// Quota is what this entry may send to an endpoint in a second; 0 for nothing. What
 // does not divide evenly goes to some of the entries, others at each endpoint.
 // Where there are more entries than the bound allows requests, the rest may send
 // it nothing: if all might, they could do so in the same second.
-func (s Share) In(total float64, id string) int {
-	n, whole := s.entries(), uint64(total*s.Part)
+func (s Share) Quota(total float64, id string) int {
+	n, whole := s.entries(), uint64(total*s.Fraction)
 	share := whole / n
-	if s.turn(id) < whole%n {
+	if s.position(id) < whole%n {
 		share++
 	}
 	return int(share)
 }
 
-// without counts the entries that may send an endpoint nothing, where this is one of them,
+// excluded counts the entries that may send an endpoint nothing, where this is one of them,
 // and tells its place among these from 1.
-func (s Share) without(total float64, id string) (place, entries clock.Millis) {
-	whole := uint64(total * s.Part)
-	return clock.Millis(s.turn(id)-whole) + 1, clock.Millis(s.entries() - whole)
+func (s Share) excluded(total float64, id string) (place, entries clock.Millis) {
+	whole := uint64(total * s.Fraction)
+	return clock.Millis(s.position(id)-whole) + 1, clock.Millis(s.entries() - whole)
 }
 
-// turn is this entry's number at an endpoint, from 0: another one at each.
-func (s Share) turn(id string) uint64 {
+// position is this entry's number at an endpoint, from 0: another one at each.
+func (s Share) position(id string) uint64 {
 	return (uint64(s.Index) + xxhash.Sum64String(id)) % s.entries()
 }
 
 func (s Share) entries() uint64 { return uint64(max(s.Entries, 1)) }
 
-// Patience is how long the first byte of a request may take that was to come within an
+// FirstByteBudget is how long the first byte of a request may take that was to come within an
 // aim and has waited for some of it. A prompt that would be late holds up those behind
 // it, which are late then too; turned away at once, its caller may come back in time.
 // One that is nearly late already still gets a part of its aim.
-func Patience(aim, waited clock.Millis) clock.Millis { return max(aim-waited, aim/4) }
+func FirstByteBudget(aim, waited clock.Millis) clock.Millis { return max(aim-waited, aim/4) }
 
 // Reason says why no endpoint was picked.
 type Reason int
 
 // The reasons.
 const (
-	// Picked means that there is one.
-	Picked Reason = iota
+	// Selected means that there is one.
+	Selected Reason = iota
 	// None means that no endpoint may get the request.
 	None
 	// Full means that all that may get it are full or at their bound.
@@ -135,80 +135,80 @@
 	// fifty events takes among 64 others than alone, at 0.1 ms a token and
 	// request.
 	loadCost = 600.0
-	// awayCost and awayByteCost are what another zone costs. Bytes between zones
+	// crossZoneCost and awayByteCost are what another zone costs. Bytes between zones
 	// are paid for; a kilobyte weighs as much as a hundredth of an endpoint's load.
-	awayCost     = 15.0
-	awayByteCost = 0.008
-	// blindCost is what an endpoint costs whose callers' entries do not tell this one of
+	crossZoneCost     = 15.0
+	crossZoneByteCost = 0.008
+	// unreportedCost is what an endpoint costs whose callers' entries do not tell this one of
 	// their work: about a long prompt of a large model, which may have been sent there a
 	// moment ago. Entries that choose among endpoints they know little of take those for
 	// idle that others have just filled, and theirs are filled by others in turn.
-	blindCost = 600.0
+	unreportedCost = 600.0
 	// affinityCost spreads prompts over endpoints by their hashes, so that entries
 	// that know nothing of one another send a prompt's parts to the same place.
 	affinityCost = 60.0
-	// affinityLeast is how many tokens prompts must share to be sent to another zone for them:
+	// affinityMinTokens is how many tokens prompts must share to be sent to another zone for them:
 	// spared once, they outweigh the bytes of the prompt on the way there.
-	affinityLeast = 2000
-	// readCost is what a token spares that need not be read, beyond the time that reading
+	affinityMinTokens = 2000
+	// cachedTokenSaving is what a token spares that need not be read, beyond the time that reading
 	// takes: it holds up all streams that run there, and reading a shared part again is
 	// charged for. It falls to nothing as the endpoint's load nears easyLoad, from where
 	// its streams gain more by going elsewhere.
-	readCost = 0.05
-	easyLoad = 0.25
-	// failCost is what an endpoint costs that fails every time.
-	failCost = 2500.0
-	// fullAt is the load from which an endpoint gets no more: a queue half as long
+	cachedTokenSaving = 0.05
+	lightLoad         = 0.25
+	// failureCost is what an endpoint costs that fails every time.
+	failureCost = 2500.0
+	// maxLoad is the load from which an endpoint gets no more: a queue half as long
 	// as its slots, in which a request would wait about as long as it runs.
-	fullAt = 1.5
+	maxLoad = 1.5
 )
 
-// Pick returns the endpoint at which the request costs least. Another version
+// Select returns the endpoint at which the request costs least. Another version
 // stands in only when there is no endpoint of the one wanted: an unproven version
 // that took what does not fit on a full one would get the most at the worst time.
-func (b *Board) Pick(s *fleet.Snapshot, q Query) (e *fleet.Endpoint, why Reason) {
+func (b *Selector) Select(s *fleet.Snapshot, q Query) (e *fleet.Endpoint, why Reason) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if e, why = b.choose(s, q); e != nil {
-		b.sent(e.ID, q.Now)
-		b.mark(e.ID).tries(e, q)
+	if e, why = b.find(s, q); e != nil {
+		b.recordSend(e.ID, q.Now)
+		b.stateOf(e.ID).recordTrial(e, q)
 	}
 	return e, why
 }
 
-// Room reports whether Pick would find an endpoint that was not lost lately.
-func (b *Board) Room(s *fleet.Snapshot, q Query) bool {
+// HasCapacity reports whether Pick would find an endpoint that was not lost lately.
+func (b *Selector) HasCapacity(s *fleet.Snapshot, q Query) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	q.Reached = true
-	e, _ := b.choose(s, q)
+	q.ReachableOnly = true
+	e, _ := b.find(s, q)
 	return e != nil
 }
 
 // Expectation is what a request is expected to meet at an endpoint.
 type Expectation struct {
-	// First is how long its first byte takes, Wait the part of it in which prompts
+	// FirstByte is how long its first byte takes, Wait the part of it in which prompts
 	// before it are read.
-	First clock.Millis
-	Wait  clock.Millis
+	FirstByte clock.Millis
+	Wait      clock.Millis
 }
 
 // Expect tells what a request would meet at the endpoint that Pick would find; not ok
 // where it would find none, or only such that were lost lately.
-func (b *Board) Expect(s *fleet.Snapshot, q Query) (x Expectation, ok bool) {
+func (b *Selector) Expect(s *fleet.Snapshot, q Query) (x Expectation, ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	q.Reached = true
-	e, _ := b.choose(s, q)
+	q.ReachableOnly = true
+	e, _ := b.find(s, q)
 	if e == nil {
 		return x, false
 	}
-	m, q := b.mark(e.ID), q.hashed()
-	wait := b.waiting(e, m, q)
-	return Expectation{First: b.speed.first(q.Model, wait+b.speed.millis(q.Model, b.unread(m, q))), Wait: clock.Millis(wait)}, true
+	m, q := b.stateOf(e.ID), q.hashed()
+	wait := b.queueMillis(e, m, q)
+	return Expectation{FirstByte: b.speeds.firstByte(q.Model, wait+b.speeds.millis(q.Model, b.uncachedTokens(m, q))), Wait: clock.Millis(wait)}, true
 }
 
-func (b *Board) choose(s *fleet.Snapshot, q Query) (e *fleet.Endpoint, why Reason) {
+func (b *Selector) find(s *fleet.Snapshot, q Query) (e *fleet.Endpoint, why Reason) {
 	all := b.candidates(s, q)
 	if len(all) == 0 {
 		return nil, None
@@ -217,10 +217,10 @@
 }
 
 // candidates lists the endpoints that may get the request.
-func (b *Board) candidates(s *fleet.Snapshot, q Query) (all []*fleet.Endpoint) {
-	for _, match := range q.passes() {
-		for _, at := range s.Of(q.Service) {
-			if s.Usable(at) && !q.Avoid[at.ID] && match(at) && !b.mark(at.ID).leaves(at, q.Now) {
+func (b *Selector) candidates(s *fleet.Snapshot, q Query) (all []*fleet.Endpoint) {
+	for _, match := range q.preferences() {
+		for _, at := range s.Endpoints(q.Service) {
+			if s.Usable(at) && !q.Avoid[at.ID] && match(at) && !b.stateOf(at.ID).leaves(at, q.Now) {
 				all = append(all, at)
 			}
 		}
@@ -235,26 +235,26 @@
 // lost lately come last: a stall of this VM's own link makes all of them lost at
 // once, and refusing every request until that lapses would turn the stall into an
 // outage.
-func (b *Board) cheapest(s *fleet.Snapshot, all []*fleet.Endpoint, q Query) (e *fleet.Endpoint, why Reason) {
+func (b *Selector) cheapest(s *fleet.Snapshot, all []*fleet.Endpoint, q Query) (e *fleet.Endpoint, why Reason) {
 	preferred := b.preferred(all, q)
-	for _, last := range [...]obstacle{unhindered, lost} {
+	for _, last := range [...]obstacle{noObstacle, unreachable} {
 		best := 0.0
 		for _, at := range all {
 			cost, o := b.cost(s, at, q, at == preferred)
-			if o <= last && (e == nil || cost < best) && (o != lost || !q.Reached) {
+			if o <= last && (e == nil || cost < best) && (o != unreachable || !q.ReachableOnly) {
 				e, best = at, cost
 			}
 		}
 		if e != nil {
-			return e, Picked
+			return e, Selected
 		}
 	}
 	return nil, Full
 }
 
-// passes lists which endpoints are looked at first and which after them. Another
+// preferences lists which endpoints are looked at first and which after them. Another
 // version stands in only where the rule allows it.
-func (q Query) passes() []func(e *fleet.Endpoint) bool {
+func (q Query) preferences() []func(e *fleet.Endpoint) bool {
 	return []func(e *fleet.Endpoint) bool{
 		func(e *fleet.Endpoint) bool {
 			return (q.Version == "" || e.Version == q.Version) && q.Rule.Allows(e.Version)
@@ -266,14 +266,14 @@
 // preferred is the endpoint to which all entries send the prompts of a subject while they know
 // of none that keeps its parts; nil when this one does, and for prompts with little to
 // keep.
-func (b *Board) preferred(all []*fleet.Endpoint, q Query) (e *fleet.Endpoint) {
-	if !b.hasAffinity(q) {
+func (b *Selector) preferred(all []*fleet.Endpoint, q Query) (e *fleet.Endpoint) {
+	if !b.usesAffinity(q) {
 		return nil
 	}
-	part := q.hashes[len(q.Parts)-2]
-	least, subject := 0.0, q.Model+"/"+subject(q.Parts)
+	part := q.hashes[len(q.Blocks)-2]
+	least, subject := 0.0, q.Model+"/"+affinityBlock(q.Blocks)
 	for _, at := range all {
-		if b.kept.holds(b.mark(at.ID).hash, part, q.Now) {
+		if b.prefixes.holds(b.stateOf(at.ID).hash, part, q.Now) {
 			return nil
 		}
 		if f := hashScore(at.ID, subject); e == nil || f < least {
@@ -283,76 +283,76 @@
 	return e
 }
 
-// hasAffinity reports whether a prompt shares so much that it is worth the way to another zone.
+// usesAffinity reports whether a prompt shares so much that it is worth the way to another zone.
 // Where all entries tell one another what they sent, each knows where parts are.
-func (b *Board) hasAffinity(q Query) bool {
-	return b.affinity == decision.Everywhere && !q.AllTold && len(q.Parts) > 1 && q.shared() >= affinityLeast
+func (b *Selector) usesAffinity(q Query) bool {
+	return b.affinityStrategy == decision.AllZones && !q.FullMesh && len(q.Blocks) > 1 && q.sharedTokens() >= affinityMinTokens
 }
 
-// shared counts the tokens of a prompt that other requests share.
-func (q Query) shared() int { return tokensOf(q.Parts[:len(q.Parts)-1]) }
+// sharedTokens counts the tokens of a prompt that other requests share.
+func (q Query) sharedTokens() int { return tokensOf(q.Blocks[:len(q.Blocks)-1]) }
 
 // cost is what the request costs at an endpoint, which may be the one preferred for its parts, and
 // what speaks against sending it there at all.
-func (b *Board) cost(s *fleet.Snapshot, e *fleet.Endpoint, q Query, preferred bool) (cost float64, o obstacle) {
-	m := b.mark(e.ID)
+func (b *Selector) cost(s *fleet.Snapshot, e *fleet.Endpoint, q Query, preferred bool) (cost float64, o obstacle) {
+	m := b.stateOf(e.ID)
 	load := b.inflight.Load(e.ID, e.Slots, q.Now)
 	switch {
-	case load >= fullAt:
-		return 0, loaded
-	case !inBounds(s, e, m, q):
-		return 0, bounded
+	case load >= maxLoad:
+		return 0, overloaded
+	case !withinBounds(s, e, m, q):
+		return 0, overShare
 	case !m.withinRate(e, q):
-		return 0, limited
-	case m.statedOf(e).pausedUntil > q.Now:
+		return 0, overRate
+	case m.advertisedBy(e).pausedUntil > q.Now:
 		return 0, paused
-	case !b.reached(m, q.Now):
-		o = lost
+	case !b.reachable(m, q.Now):
+		o = unreachable
 	}
-	cost = load*loadCost + b.failing(m, q.Now)*failCost
+	cost = load*loadCost + b.failureRatio(m, q.Now)*failureCost
 	if e.Zone != q.Zone {
-		cost += awayCost + awayByteCost*float64(q.Bytes)
+		cost += crossZoneCost + crossZoneByteCost*float64(q.Bytes)
 	}
-	if len(q.Parts) == 0 {
+	if len(q.Blocks) == 0 {
 		return cost, o
 	}
 	prompt, inTime := b.promptCost(e, m, q, load, preferred)
 	if !inTime {
-		return 0, late
+		return 0, tooLate
 	}
 	return cost + prompt, o
 }
 
 // promptCost is what reading a prompt costs at an endpoint, and whether it can be read in
 // time there.
-func (b *Board) promptCost(e *fleet.Endpoint, m *mark, q Query, load float64, preferred bool) (cost float64, inTime bool) {
-	unread, own := b.unread(m, q), q.Parts[len(q.Parts)-1].Tokens
-	keeps := (preferred || unread <= own) && b.hasAffinity(q) && inShare(e, m, q)
+func (b *Selector) promptCost(e *fleet.Endpoint, m *endpointState, q Query, load float64, preferred bool) (cost float64, inTime bool) {
+	unread, own := b.uncachedTokens(m, q), q.Blocks[len(q.Blocks)-1].Tokens
+	keeps := (preferred || unread <= own) && b.usesAffinity(q) && withinEvenShare(e, m, q)
 	if keeps {
 		unread = min(unread, own)
 	}
-	queue := b.waiting(e, m, q)
-	wait := queue + b.speed.millis(q.Model, unread)
-	if !keeps && !q.visible(e) && !b.ways.Off(decision.BlindCost) {
-		cost += blindCost
+	queue := b.queueMillis(e, m, q)
+	wait := queue + b.speeds.millis(q.Model, unread)
+	if !keeps && !q.reported(e) && !b.strategies.Disabled(decision.UnreportedCost) {
+		cost += unreportedCost
 	}
-	if q.Patience > 0 && queue+b.speed.least(q.Model, unread) > float64(q.Patience) {
+	if q.FirstByteBudget > 0 && queue+b.speeds.minMillis(q.Model, unread) > float64(q.FirstByteBudget) {
 		return 0, false
 	}
-	cost += wait - readingSaved(q, unread)*max(1-load/easyLoad, 0)
-	if b.affinity == decision.NoAffinity {
+	cost += wait - prefillSavings(q, unread)*max(1-load/lightLoad, 0)
+	if b.affinityStrategy == decision.NoAffinity {
 		return cost, true
 	}
-	return cost + affinityCost*hashScore(e.ID, subject(q.Parts)), true
+	return cost + affinityCost*hashScore(e.ID, affinityBlock(q.Blocks)), true
 }
 
-// visible reports whether the entries that mostly send to an endpoint tell this one of
+// reported reports whether the entries that mostly send to an endpoint tell this one of
 // their work there.
-func (q Query) visible(e *fleet.Endpoint) bool { return q.AllTold || e.Zone == q.Zone }
+func (q Query) reported(e *fleet.Endpoint) bool { return q.FullMesh || e.Zone == q.Zone }
 
-// subject is the part by which the preferred endpoint is chosen: the last one that
+// affinityBlock is the part by which the preferred endpoint is chosen: the last one that
 // other requests share.
-func subject(parts []Part) string {
+func affinityBlock(parts []Block) string {
 	return parts[max(len(parts)-2, 0)].ID
 }
 
--- a/placement/snapshot.go
+++ b/placement/snapshot.go
@@ -9,61 +9,61 @@
 	"github.com/parsleydeal/parsleydeal/decision"
 )
 
-// maxSnapshot is how many prompt parts a snapshot has at the most: some ten kilobytes.
-const maxSnapshot = 2000
+// maxSnapshotBlocks is how many prompt parts a snapshot has at the most: some ten kilobytes.
+const maxSnapshotBlocks = 2000
 
 // ModelSpeed is how fast a model reads, as far as an entry has measured it.
 type ModelSpeed struct {
 	Model string
-	// Token is how long a token takes in milliseconds, Measured how many prompts that
+	// MillisPerToken is how long a token takes in milliseconds, Measured how many prompts that
 	// rests on.
-	Token    float64
-	Measured int
-	// Beyond is how much longer first bytes take than what is known to stand before
+	MillisPerToken float64
+	Samples        int
+	// ExcessMillis is how much longer first bytes take than what is known to stand before
 	// them, in milliseconds.
-	Beyond float64
+	ExcessMillis float64
 }
 
 // Snapshot returns what an entry that has just started lacks: the prompt parts that
 // endpoints were sent lately, the newest first where there are too many, and the speeds
 // of models.
-func (b *Board) Snapshot(now clock.Millis) (parts []Told, speeds []ModelSpeed) {
+func (b *Selector) Snapshot(now clock.Millis) (parts []EndpointReport, speeds []ModelSpeed) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	keys := slices.SortedFunc(maps.Keys(b.kept.parts), func(x, y partKey) int {
-		return cmp.Or(cmp.Compare(b.kept.parts[y], b.kept.parts[x]), cmp.Compare(x.endpoint, y.endpoint), cmp.Compare(x.part, y.part))
+	keys := slices.SortedFunc(maps.Keys(b.prefixes.blocks), func(x, y blockKey) int {
+		return cmp.Or(cmp.Compare(b.prefixes.blocks[y], b.prefixes.blocks[x]), cmp.Compare(x.endpoint, y.endpoint), cmp.Compare(x.block, y.block))
 	})
 	at := make(map[uint32]int)
-	for _, k := range keys[:min(len(keys), maxSnapshot)] {
-		if now-b.kept.parts[k] > keptFor/2 {
+	for _, k := range keys[:min(len(keys), maxSnapshotBlocks)] {
+		if now-b.prefixes.blocks[k] > prefixTTL/2 {
 			break
 		}
 		i, ok := at[k.endpoint]
 		if !ok {
 			i = len(parts)
 			at[k.endpoint] = i
-			parts = append(parts, Told{Endpoint: k.endpoint})
+			parts = append(parts, EndpointReport{Endpoint: k.endpoint})
 		}
-		parts[i].Parts = append(parts[i].Parts, k.part)
+		parts[i].Blocks = append(parts[i].Blocks, k.block)
 	}
-	for _, model := range slices.Sorted(maps.Keys(b.speed.tokens)) {
-		speeds = append(speeds, ModelSpeed{Model: model, Token: b.speed.tokens[model], Measured: b.speed.measured[model], Beyond: b.speed.beyond[model]})
+	for _, model := range slices.Sorted(maps.Keys(b.speeds.millisPerToken)) {
+		speeds = append(speeds, ModelSpeed{Model: model, MillisPerToken: b.speeds.millisPerToken[model], Samples: b.speeds.samples[model], ExcessMillis: b.speeds.excessMillis[model]})
 	}
 	return parts, speeds
 }
 
-// Adopt takes another entry's snapshot. What this one has measured itself stays.
-func (b *Board) Adopt(parts []Told, speeds []ModelSpeed, now clock.Millis) {
+// ApplySnapshot takes another entry's snapshot. What this one has measured itself stays.
+func (b *Selector) ApplySnapshot(parts []EndpointReport, speeds []ModelSpeed, now clock.Millis) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if !b.ways.Off(decision.ToldParts) {
+	if !b.strategies.Disabled(decision.ReportedBlocks) {
 		for _, t := range parts {
-			b.kept.hear(t.Endpoint, t.Parts, now)
+			b.prefixes.recordReported(t.Endpoint, t.Blocks, now)
 		}
 	}
 	for _, s := range speeds {
-		if b.speed.measured[s.Model] < s.Measured {
-			b.speed.tokens[s.Model], b.speed.measured[s.Model], b.speed.beyond[s.Model] = s.Token, s.Measured, s.Beyond
+		if b.speeds.samples[s.Model] < s.Samples {
+			b.speeds.millisPerToken[s.Model], b.speeds.samples[s.Model], b.speeds.excessMillis[s.Model] = s.MillisPerToken, s.Samples, s.ExcessMillis
 		}
 	}
 }
--- a/placement/statement.go
+++ b/placement/statement.go
@@ -5,8 +5,8 @@
 	"github.com/parsleydeal/parsleydeal/fleet"
 )
 
-// Statement is what an answer says of the endpoint that gave it.
-type Statement struct {
+// Advertisement is what an answer says of the endpoint that gave it.
+type Advertisement struct {
 	// Rate is how many requests a second the endpoint takes from all entries together;
 	// it holds where HasRate says that the endpoint names one.
 	Rate    float64
@@ -19,78 +19,78 @@
 	PauseFor clock.Millis
 }
 
-// lasting is the part of a statement that holds until the next one.
-func (s Statement) lasting() Statement {
+// persistent is the part of a statement that holds until the next one.
+func (s Advertisement) persistent() Advertisement {
 	s.ColdFor, s.PauseFor = 0, 0
 	return s
 }
 
-// stated is the last statement of an endpoint.
-type stated struct {
+// advertisedState is the last statement of an endpoint.
+type advertisedState struct {
 	// Statement holds what lasts of it.
-	Statement
-	// born is the start of the endpoint that made it: the next process under the same
+	Advertisement
+	// incarnation is the start of the endpoint that made it: the next process under the same
 	// ID has said nothing yet.
-	born int64
-	// at is when it was heard, rateSince since when the endpoint names a rate, and
+	incarnation int64
+	// receivedAt is when it was heard, rateSince since when the endpoint names a rate, and
 	// rateEnded when it last ceased to; 0 for never.
-	at        clock.Millis
-	rateSince clock.Millis
-	rateEnded clock.Millis
+	receivedAt  clock.Millis
+	rateSince   clock.Millis
+	rateEndedAt clock.Millis
 	// leavingUntil is until when it is taken to leave on the word of another entry.
 	leavingUntil clock.Millis
 	// coldUntil is the end of its cold start, and pausedUntil until when it wants nothing
 	// from this entry.
 	coldUntil   clock.Millis
 	pausedUntil clock.Millis
-	// own says that this entry has it from the endpoint itself, and untold that others
+	// direct says that this entry has it from the endpoint itself, and untold that others
 	// were not told of the change.
-	own    bool
-	untold bool
+	direct     bool
+	unreported bool
 }
 
 const (
-	// rateSpan is the span over which the rate that an endpoint names is kept, with what
+	// rateWindow is the span over which the rate that an endpoint names is kept, with what
 	// requests may differ in the time that they take to reach it. Over a second a rate of
 	// one or two could not be shared.
-	rateSpan = 4200 * clock.Millis(1)
-	// rateExtra is how many requests beyond its rate an endpoint may get in that span, so
+	rateWindow = 4200 * clock.Millis(1)
+	// rateAllowance is how many requests beyond its rate an endpoint may get in that span, so
 	// that an entry of its zone and one elsewhere always have a share and hear when it
 	// ends.
-	rateExtra = 2.0
-	// trialPause is the span between two requests by which the entries without a share, of
+	rateAllowance = 2.0
+	// trialInterval is the span between two requests by which the entries without a share, of
 	// those that share one part of a rate, find out that it has ended.
-	trialPause = 10 * clock.Second
-	// toldLeavingFor is how long an endpoint is taken to leave on the word of another entry,
+	trialInterval = 10 * clock.Second
+	// reportedLeavingTTL is how long an endpoint is taken to leave on the word of another entry,
 	// which may be wrong. One that still runs after it says so itself.
-	toldLeavingFor = 10 * clock.Second
-	// stateKept is how long a statement is kept of an endpoint that is not announced.
-	stateKept = clock.Minute
-	// stateFor is how long a statement is told on after it was heard.
-	stateFor = 2 * clock.Second
+	reportedLeavingTTL = 10 * clock.Second
+	// advertisementTTL is how long a statement is kept of an endpoint that is not announced.
+	advertisementTTL = clock.Minute
+	// repeatReportsFor is how long a statement is told on after it was heard.
+	repeatReportsFor = 2 * clock.Second
 )
 
-// State takes an endpoint's statement, by the answer to a request that was sent at an
+// RecordAdvertisement takes an endpoint's statement, by the answer to a request that was sent at an
 // instant, and reports whether what lasts of it differs from the one before.
-func (b *Board) State(e *fleet.Endpoint, s Statement, sentAt, now clock.Millis) (changed bool) {
+func (b *Selector) RecordAdvertisement(e *fleet.Endpoint, s Advertisement, sentAt, now clock.Millis) (changed bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	m := b.mark(e.ID)
-	if e.Born < m.stated.born {
+	m := b.stateOf(e.ID)
+	if e.Incarnation < m.advertised.incarnation {
 		return false
 	}
-	known := m.statedOf(e)
+	known := m.advertisedBy(e)
 	// Answers may overtake one another: one that was asked for before the rate was named
 	// does not lift it.
 	heardAt := now
-	if known.HasRate && !s.HasRate && sentAt < known.at {
-		s.Rate, s.HasRate, heardAt = known.Rate, true, known.at
-	}
-	m.stated = known.followedBy(s, heardAt)
-	m.stated.own = true
-	changed = known.Statement != m.stated.Statement
-	m.stated.untold = known.untold || changed
-	if m.stated.untold {
+	if known.HasRate && !s.HasRate && sentAt < known.receivedAt {
+		s.Rate, s.HasRate, heardAt = known.Rate, true, known.receivedAt
+	}
+	m.advertised = known.followedBy(s, heardAt)
+	m.advertised.direct = true
+	changed = known.Advertisement != m.advertised.Advertisement
+	m.advertised.unreported = known.unreported || changed
+	if m.advertised.unreported {
 		b.signalUrgent()
 	}
 	return changed
@@ -98,9 +98,9 @@
 
 // followedBy returns what is known after a later statement of the same process. One that
 // leaves does not come back, and its later answers may have been made before.
-func (known stated) followedBy(s Statement, now clock.Millis) stated {
+func (known advertisedState) followedBy(s Advertisement, now clock.Millis) advertisedState {
 	next := known
-	next.Statement, next.at, next.rateSince, next.own, next.untold = s.lasting(), now, now, false, false
+	next.Advertisement, next.receivedAt, next.rateSince, next.direct, next.unreported = s.persistent(), now, now, false, false
 	next.Leaving = s.Leaving || known.Leaving
 	if s.PauseFor > 0 {
 		// The clock counts whole milliseconds, of which this one has begun already.
@@ -113,44 +113,44 @@
 	case known.HasRate && s.HasRate:
 		next.rateSince = known.rateSince
 	case known.HasRate:
-		next.rateEnded = now
+		next.rateEndedAt = now
 	}
 	return next
 }
 
-// holds reports whether a statement must be kept though its endpoint is not announced.
-func (known stated) holds(now clock.Millis) bool {
+// mustKeep reports whether a statement must be kept though its endpoint is not announced.
+func (known advertisedState) mustKeep(now clock.Millis) bool {
 	binds := known.Leaving || known.HasRate || known.pausedUntil > now || known.leavingUntil > now
-	return binds && now-known.at <= stateKept
+	return binds && now-known.receivedAt <= advertisementTTL
 }
 
-// statedOf returns what an endpoint has said since its start.
-func (m *mark) statedOf(e *fleet.Endpoint) stated {
-	if m.stated.born != e.Born {
-		return stated{born: e.Born}
+// advertisedBy returns what an endpoint has said since its start.
+func (m *endpointState) advertisedBy(e *fleet.Endpoint) advertisedState {
+	if m.advertised.incarnation != e.Incarnation {
+		return advertisedState{incarnation: e.Incarnation}
 	}
-	return m.stated
+	return m.advertised
 }
 
 // leaves reports whether an endpoint is known to leave by answers.
-func (m *mark) leaves(e *fleet.Endpoint, now clock.Millis) bool {
-	s := m.statedOf(e)
+func (m *endpointState) leaves(e *fleet.Endpoint, now clock.Millis) bool {
+	s := m.advertisedBy(e)
 	return s.Leaving || s.leavingUntil > now
 }
 
-// Stated returns what an endpoint has said of itself since its start.
-func (b *Board) Stated(e *fleet.Endpoint) Statement {
+// Advertised returns what an endpoint has said of itself since its start.
+func (b *Selector) Advertised(e *fleet.Endpoint) Advertisement {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.mark(e.ID).statedOf(e).Statement
+	return b.stateOf(e.ID).advertisedBy(e).Advertisement
 }
 
-// Limited counts the endpoints that name a rate.
-func (b *Board) Limited() (n int) {
+// RateLimited counts the endpoints that name a rate.
+func (b *Selector) RateLimited() (n int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for _, m := range b.marks {
-		if m.stated.HasRate {
+	for _, m := range b.states {
+		if m.advertised.HasRate {
 			n++
 		}
 	}
@@ -160,64 +160,64 @@
 // withinRate reports whether one more request keeps this entry's share of the rate that an
 // endpoint names. The shares of all entries add up to that rate, as each of them knows
 // only its own sends.
-func (m *mark) withinRate(e *fleet.Endpoint, q Query) bool {
-	s := m.statedOf(e)
+func (m *endpointState) withinRate(e *fleet.Endpoint, q Query) bool {
+	s := m.advertisedBy(e)
 	if !s.HasRate {
 		return true
 	}
 	share, total := q.Bounds.Shares[e.Zone], rateTotal(s.Rate)
-	if n := share.In(total, e.ID); n > 0 {
-		return m.sentSince(max(q.Now-rateSpan, s.rateSince)) < n
+	if n := share.Quota(total, e.ID); n > 0 {
+		return m.sentSince(max(q.Now-rateWindow, s.rateSince)) < n
 	}
-	place, others := share.without(total, e.ID)
-	wait := others * trialPause
-	if s.at == s.rateSince {
+	place, others := share.excluded(total, e.ID)
+	wait := others * trialInterval
+	if s.receivedAt == s.rateSince {
 		// Most of them hear of a rate at about the same time.
-		wait = place * trialPause
+		wait = place * trialInterval
 	}
-	return q.Now-s.at >= wait
+	return q.Now-s.receivedAt >= wait
 }
 
 // rateTotal is what all entries may send within rateSpan to an endpoint that names a rate.
 func rateTotal(rate float64) float64 {
-	return rate*float64(rateSpan)/float64(clock.Second) + rateExtra
+	return rate*float64(rateWindow)/float64(clock.Second) + rateAllowance
 }
 
-// tries notes a request to an endpoint that names a rate: an entry without a share may send
+// recordTrial notes a request to an endpoint that names a rate: an entry without a share may send
 // the next one only after its pause.
-func (m *mark) tries(e *fleet.Endpoint, q Query) {
-	s := m.statedOf(e)
-	if s.HasRate && q.Bounds.Shares[e.Zone].In(rateTotal(s.Rate), e.ID) == 0 {
-		m.stated.at = q.Now
+func (m *endpointState) recordTrial(e *fleet.Endpoint, q Query) {
+	s := m.advertisedBy(e)
+	if s.HasRate && q.Bounds.Shares[e.Zone].Quota(rateTotal(s.Rate), e.ID) == 0 {
+		m.advertised.receivedAt = q.Now
 	}
 }
 
-// tellState adds an endpoint's statement to what others are told of it: at once where it is
+// reportAdvertisement adds an endpoint's statement to what others are told of it: at once where it is
 // new, and in whole reports while it holds or has just ended, since a report may be lost.
-func (m *mark) tellState(t *Told, now clock.Millis, whole bool) (tells bool) {
-	s := m.stated
-	recent := (s.HasRate || s.Leaving) && now-s.at <= stateFor || s.rateEnded > 0 && now-s.rateEnded <= stateFor
-	if !s.own || !s.untold && !(whole && recent) {
+func (m *endpointState) reportAdvertisement(t *EndpointReport, now clock.Millis, whole bool) (tells bool) {
+	s := m.advertised
+	recent := (s.HasRate || s.Leaving) && now-s.receivedAt <= repeatReportsFor || s.rateEndedAt > 0 && now-s.rateEndedAt <= repeatReportsFor
+	if !s.direct || !s.unreported && !(whole && recent) {
 		return false
 	}
-	t.Statement, t.StatementAge, t.Born = s.Statement, max(now-s.at, 1), s.born
-	m.stated.untold = false
+	t.Advertisement, t.AdvertisementAge, t.Incarnation = s.Advertisement, max(now-s.receivedAt, 1), s.incarnation
+	m.advertised.unreported = false
 	return true
 }
 
-// hearState takes another entry's word on an endpoint's statement, if it is newer than what
+// receiveAdvertisement takes another entry's word on an endpoint's statement, if it is newer than what
 // is known.
-func (m *mark) hearState(t Told, now clock.Millis) {
-	at := now - t.StatementAge
-	if t.StatementAge <= 0 || t.Born < m.stated.born || t.Born == m.stated.born && at <= m.stated.at {
+func (m *endpointState) receiveAdvertisement(t EndpointReport, now clock.Millis) {
+	at := now - t.AdvertisementAge
+	if t.AdvertisementAge <= 0 || t.Incarnation < m.advertised.incarnation || t.Incarnation == m.advertised.incarnation && at <= m.advertised.receivedAt {
 		return
 	}
-	known := m.stated
-	if known.born != t.Born {
-		known = stated{born: t.Born}
+	known := m.advertised
+	if known.incarnation != t.Incarnation {
+		known = advertisedState{incarnation: t.Incarnation}
 	}
-	m.stated = known.followedBy(Statement{Rate: t.Statement.Rate, HasRate: t.Statement.HasRate}, at)
-	if t.Statement.Leaving {
-		m.stated.leavingUntil = now + toldLeavingFor
+	m.advertised = known.followedBy(Advertisement{Rate: t.Advertisement.Rate, HasRate: t.Advertisement.HasRate}, at)
+	if t.Advertisement.Leaving {
+		m.advertised.leavingUntil = now + reportedLeavingTTL
 	}
 }
--- a/relay/admit.go
+++ b/relay/admit.go
@@ -62,7 +62,7 @@
 // were stopped there is no other to go to.
 func (x *exchange) awaitStart() {
 	s := x.server
-	if x.view.Started() || s.cfg.Ways.Of(decision.Early) != decision.Hold {
+	if x.view.Started() || s.cfg.Ways.For(decision.EarlyRequests) != decision.Hold {
 		return
 	}
 	hold := s.startedAt + startFor - x.startedAt
--- a/relay/pace.go
+++ b/relay/pace.go
@@ -229,7 +229,7 @@
 	defer p.mu.Unlock()
 	mean, ok := p.means[paceKey{route: r.Name, model: model}]
 	if !ok {
-		return max(r.Aim, leastPatience)
+		return max(r.LatencyTarget, leastPatience)
 	}
-	return max(clock.Millis(aimPart*float64(r.Aim)), clock.Millis(patienceFactor*mean), leastPatience)
+	return max(clock.Millis(aimPart*float64(r.LatencyTarget)), clock.Millis(patienceFactor*mean), leastPatience)
 }
--- a/relay/plan.go
+++ b/relay/plan.go
@@ -57,8 +57,8 @@
 	if !room {
 		return false
 	}
-	answer := cascade.Answer{Confidence: confidence, Left: x.startedAt + x.route.Aim - q.Now}
-	return x.server.judge.Drops(answer, cascade.Larger{First: expected.First, Wait: expected.Wait})
+	answer := cascade.Answer{Confidence: confidence, Left: x.startedAt + x.route.LatencyTarget - q.Now}
+	return x.server.judge.Drops(answer, cascade.Larger{First: expected.FirstByte, Wait: expected.Wait})
 }
 
 func (p plan) next() plan { return plan{models: p.models[1:]} }
--- a/relay/request.go
+++ b/relay/request.go
@@ -30,7 +30,7 @@
 	// AnyModel says that the system names the model; otherwise it is Model.
 	AnyModel bool
 	Model    string
-	Parts    []placement.Part
+	Parts    []placement.Block
 	// After is the number of the last event that the caller has, HasAfter says
 	// that it resumes a stream.
 	After    string
@@ -79,7 +79,7 @@
 	// has none.
 	Confidence int
 	// Statement is what else the answer says of its endpoint.
-	Statement placement.Statement
+	Statement placement.Advertisement
 	// Header holds what is handed on to the caller.
 	Header http.Header
 }
--- a/relay/server.go
+++ b/relay/server.go
@@ -46,13 +46,13 @@
 	ColdSlack   float64
 	SessionLife clock.Millis
 	// Ways holds how decisions are made.
-	Ways decision.Ways
+	Ways decision.Strategies
 }
 
 // Server answers callers.
 type Server struct {
 	cfg      Config
-	board    *placement.Board
+	board    *placement.Selector
 	sessions *sessions
 	tally    *tally
 	meter    *meter.Meter
@@ -82,7 +82,7 @@
 	set := metrics.NewSet()
 	return &Server{
 		cfg: cfg, startedAt: cfg.Clock.Now(), meter: meter.New(set), metrics: set, statements: set.NewCounter("parsleydeal_endpoint_statements_total"),
-		limitedFirst: set.NewCounter(`parsleydeal_limited_sends_total{attempt="first"}`), limitedFurther: set.NewCounter(`parsleydeal_limited_sends_total{attempt="further"}`), board: placement.NewBoardWith(cfg.Ways), sessions: newSessions(cfg.SessionLife), tally: newTally(),
+		limitedFirst: set.NewCounter(`parsleydeal_limited_sends_total{attempt="first"}`), limitedFurther: set.NewCounter(`parsleydeal_limited_sends_total{attempt="further"}`), board: placement.NewSelectorWith(cfg.Ways), sessions: newSessions(cfg.SessionLife), tally: newTally(),
 		asking: make(chan string, answersWaiting), pace: newPace(), judge: cascade.NewJudge(cfg.Ways), budgets: make(map[string]*limit.Share),
 	}
 }
@@ -103,7 +103,7 @@
 // Tidy drops what is no longer needed; it is called now and then.
 func (s *Server) Tidy() {
 	s.sessions.sweep(s.cfg.Clock.Now())
-	s.board.Keep(s.cfg.View().Fleet(), s.cfg.Clock.Now())
+	s.board.Prune(s.cfg.View().Fleet(), s.cfg.Clock.Now())
 	s.cfg.Pool.Sweep()
 }
 
@@ -235,9 +235,9 @@
 	switch {
 	case x.route == nil:
 		return ""
-	case x.route.Aim > 0 && first > x.route.Aim:
+	case x.route.LatencyTarget > 0 && first > x.route.LatencyTarget:
 		return "first-byte"
-	case x.route.Gap > 0 && x.pause > x.route.Gap:
+	case x.route.TargetGap > 0 && x.pause > x.route.TargetGap:
 		return "pause"
 	}
 	return ""
--- a/site/state.go
+++ b/site/state.go
@@ -242,7 +242,7 @@
 	if !e.Whole {
 		return effects
 	}
-	for _, zone := range s.fleet.Zones() {
+	for _, zone := range s.fleet.ZonesOut() {
 		if !named[zone] && s.fleet.SetZone(zone, false, s.now) {
 			effects = append(effects, Say{Message: "Zone changed", Fields: []any{"zone", zone, "out", false}})
 		}
--- a/site/state_test.go
+++ b/site/state_test.go
@@ -136,7 +136,7 @@
 			}
 			switch key {
 			case "born":
-				e.Born = n
+				e.Incarnation = n
 			case "sequence":
 				e.Sequence = n
 			case "cold-until":
@@ -304,7 +304,7 @@
 				Reduce(s, Heard{Now: 2, Report: &wire.EntryReport{Process: other, Name: other, Zone: zones[other], Address: other}})
 			}
 			Reduce(s, EndpointsRead{Now: 3, Whole: true, Changes: []fleet.Change{{ID: "i", Endpoint: &fleet.Endpoint{ID: "i", Zone: "x"}}}})
-			sum += s.View().Shares()["x"].In(total, "i")
+			sum += s.View().Shares()["x"].Quota(total, "i")
 		}
 		if sum > int(total) {
 			t.Fatalf("all together may send %d, %g are allowed", sum, total)
