--- a/placement/census.go
+++ b/placement/census.go
@@ -6,47 +6,46 @@
 	"github.com/parsleydeal/parsleydeal/fleet"
 )
 
-// obstacle is what speaks against sending a request to an endpoint; the greater
-// ones rule it out.
+// obstacle is a reason against sending a request to an endpoint. Those above unreachable rule
+// the endpoint out.
 type obstacle int
 
 const (
-	// noObstacle means that nothing does.
 	noObstacle obstacle = iota
-	// unreachable means that the endpoint could not be reached lately.
+	// unreachable means that the endpoint could not be reached recently.
 	unreachable
-	// overloaded means that its slots are taken and a queue stands before them.
+	// overloaded means that all slots are taken and a queue has formed.
 	overloaded
-	// overShare means that this entry has sent its share of what the endpoint bears.
+	// overShare means that this entry has used up its share of the endpoint's bound.
 	overShare
-	// overRate means that this entry has sent its share of the rate that the endpoint names.
+	// overRate means that this entry has used up its share of the advertised rate limit.
 	overRate
-	// paused means that the endpoint wants nothing from this entry for a while.
+	// paused means that the endpoint asked this entry to send nothing for a while.
 	paused
-	// tooLate means that the prompts before it would take longer than the request has.
+	// tooLate means that the prompts ahead would take longer than the first-byte budget.
 	tooLate
 	obstacleKinds
 )
 
-// ObstacleCounts counts the endpoints that may get a request by what speaks against each.
-// It tells in a refusal's log line which bound was met.
+// ObstacleCounts counts the candidates for a request by obstacle. Log lines of refusals
+// contain it to show which limit applied.
 type ObstacleCounts [obstacleKinds]int
 
-// CountObstacles looks at the endpoints as Pick does.
-func (b *Selector) CountObstacles(s *fleet.Snapshot, q Query) (c ObstacleCounts) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// CountObstacles evaluates the same candidates as Select.
+func (sel *Selector) CountObstacles(s *fleet.Snapshot, q Query) (c ObstacleCounts) {
+	sel.mu.Lock()
+	defer sel.mu.Unlock()
 	q = q.hashed()
-	all := b.candidates(s, q)
-	preferred := b.preferred(all, q)
-	for _, at := range all {
-		_, o := b.cost(s, at, q, at == preferred)
+	all := sel.candidates(s, q)
+	preferred := sel.preferred(all, q)
+	for _, candidate := range all {
+		_, o := sel.cost(s, candidate, q, candidate == preferred)
 		c[o]++
 	}
 	return c
 }
 
-// String names the counts for a refusal's message.
+// String formats the counts for a refusal's message.
 func (c ObstacleCounts) String() string {
 	return fmt.Sprintf("%d loaded, %d at this entry's share, %d at the rate they name, %d that want nothing for now, %d too late", c[overloaded], c[overShare], c[overRate], c[paused], c[tooLate])
 }
--- a/placement/kept.go
+++ b/placement/kept.go
@@ -6,34 +6,35 @@
 )
 
 const (
-	// prefixTTL is how long a prompt part that was sent to an endpoint is taken to be in
-	// its memory.
+	// prefixTTL is how long a prompt block is assumed to stay in the cache of an endpoint
+	// after it was sent there.
 	prefixTTL = 20 * clock.Second
-	// maxBlocks bounds the parts remembered; when it is passed, old ones go.
+	// maxBlocks is the number of entries above which old ones are evicted.
 	maxBlocks = 20000
 )
 
-// blockKey names a part at an endpoint by hashes.
+// blockKey identifies a block at an endpoint by hashes.
 type blockKey struct {
 	endpoint uint32
 	block    uint32
 }
 
-// hashOf hashes a part for a model: models keep their own.
-func (p Block) hashOf(model string) uint32 { return shortHash(model + "/" + p.ID) }
+// hashOf returns the hash of a block for a model. Models do not share cached blocks.
+func (block Block) hashOf(model string) uint32 { return shortHash(model + "/" + block.ID) }
 
-// shortHash names an endpoint or a part in reports. Of the parts kept at one time one
-// in a hundred thousand shares its hash with another; it is then read unforeseen.
+// shortHash identifies an endpoint or a block in reports. One in a hundred thousand of the
+// blocks cached at a time collides with another; its prefill is then not foreseen.
 func shortHash(name string) uint32 { return uint32(xxhash.Sum64String(name)) }
 
-// prefixCache knows which prompt parts the endpoints hold: those sent there by this entry or
-// by one that told of it.
+// prefixCache tracks which prompt blocks the endpoints have cached: those that this entry
+// sent there or another entry reported.
 type prefixCache struct {
-	// blocks holds when a part was last sent to an endpoint.
+	// blocks holds when a block was last sent to an endpoint.
 	blocks map[blockKey]clock.Millis
-	// unreported holds the shared parts by endpoint that this entry has sent since it last
-	// told of them, but for those that were known there lately. The last part of a
-	// prompt is its request's or session's own, which stays with its entry.
+	// unreported holds, by endpoint, the shared blocks that this entry has sent since its
+	// last full report, except those that were known there recently. The last block of a
+	// prompt belongs to a single request or session, which stays with its entry, and is not
+	// reported.
 	unreported map[uint32][]uint32
 }
 
@@ -41,42 +42,42 @@
 	return prefixCache{blocks: make(map[blockKey]clock.Millis), unreported: make(map[uint32][]uint32)}
 }
 
-// recordSent notes a prompt that this entry sends.
-func (k *prefixCache) recordSent(endpoint uint32, q Query) {
+// recordSent records the blocks of a prompt that this entry sends.
+func (c *prefixCache) recordSent(endpoint uint32, q Query) {
 	for i, hash := range q.hashes {
 		key := blockKey{endpoint, hash}
-		at, ok := k.blocks[key]
-		lately := ok && q.Now-at <= prefixTTL/2
-		if i < len(q.Blocks)-1 && !lately {
-			k.unreported[endpoint] = append(k.unreported[endpoint], key.block)
+		at, ok := c.blocks[key]
+		recent := ok && q.Now-at <= prefixTTL/2
+		if i < len(q.Blocks)-1 && !recent {
+			c.unreported[endpoint] = append(c.unreported[endpoint], key.block)
 		}
-		k.blocks[key] = q.Now
+		c.blocks[key] = q.Now
 	}
-	k.evict(q.Now)
+	c.evict(q.Now)
 }
 
-// recordReported notes parts that another entry sent.
-func (k *prefixCache) recordReported(endpoint uint32, parts []uint32, now clock.Millis) {
-	for _, h := range parts {
-		k.blocks[blockKey{endpoint, h}] = now
+// recordReported records blocks that another entry sent.
+func (c *prefixCache) recordReported(endpoint uint32, hashes []uint32, now clock.Millis) {
+	for _, hash := range hashes {
+		c.blocks[blockKey{endpoint, hash}] = now
 	}
-	k.evict(now)
+	c.evict(now)
 }
 
-// holds reports whether an endpoint is taken to hold a part.
-func (k *prefixCache) holds(endpoint, part uint32, now clock.Millis) bool {
-	at, ok := k.blocks[blockKey{endpoint, part}]
+// holds reports whether an endpoint is assumed to have a block cached.
+func (c *prefixCache) holds(endpoint, block uint32, now clock.Millis) bool {
+	at, ok := c.blocks[blockKey{endpoint, block}]
 	return ok && now-at <= prefixTTL
 }
 
-// evict drops what is too old to matter once there is too much.
-func (k *prefixCache) evict(now clock.Millis) {
-	if len(k.blocks) <= maxBlocks {
+// evict drops entries older than half of prefixTTL when there are more than maxBlocks.
+func (c *prefixCache) evict(now clock.Millis) {
+	if len(c.blocks) <= maxBlocks {
 		return
 	}
-	for key, at := range k.blocks {
+	for key, at := range c.blocks {
 		if now-at > prefixTTL/2 {
-			delete(k.blocks, key)
+			delete(c.blocks, key)
 		}
 	}
 }
--- a/placement/kept_test.go
+++ b/placement/kept_test.go
@@ -8,41 +8,40 @@
 	"github.com/parsleydeal/parsleydeal/fleet"
 )
 
-// All endpoints hold some prompts, and the one with the subject's part is a little
-// busier than the others. A shared part of 13,000 tokens is worth a short wait: it goes
-// where it need not be read.
+// The endpoint that has a shared block of 13,000 tokens cached is busier than the others. The
+// prompt must go there while the wait is shorter than the prefill that it saves.
 func TestPromptsGoWhereTheirBlocksAreCached(t *testing.T) {
 	is := is.New(t)
 	s := fleetOf(3, nil)
-	b := NewSelector()
-	b.speeds.millisPerToken["m"] = 0.005
-	parts := []Block{{"case", 13000}, {"own", 500}}
-	q := Query{Service: "s", Version: "v1", Zone: "a", Model: "m", FirstByteBudget: 4 * clock.Second, Blocks: parts}
-	b.Begin(s.Find("e1"), q).End()
-	b.Begin(s.Find("e1"), Query{Model: "m", Blocks: []Block{{"long", 30000}}}) // 150 ms of reading
-	e, _ := b.Select(s, q)
+	sel := NewSelector()
+	sel.estimates.millisPerToken["m"] = 0.005
+	blocks := []Block{{"case", 13000}, {"own", 500}}
+	q := Query{Service: "s", Version: "v1", Zone: "a", Model: "m", FirstByteBudget: 4 * clock.Second, Blocks: blocks}
+	sel.Begin(s.Find("e1"), q).End()
+	sel.Begin(s.Find("e1"), Query{Model: "m", Blocks: []Block{{"long", 30000}}}) // 150 ms of prefill
+	e, _ := sel.Select(s, q)
 	is.Equal(e.ID, "e1")
-	b.Begin(s.Find("e1"), Query{Model: "m", Blocks: []Block{{"longer", 300000}}}) // 1.5 s more
-	e, _ = b.Select(s, q)
+	sel.Begin(s.Find("e1"), Query{Model: "m", Blocks: []Block{{"longer", 300000}}}) // 1.5 s more
+	e, _ = sel.Select(s, q)
 	is.True(e.ID != "e1")
 }
 
-// threeZones has two endpoints in each of three zones.
+// threeZones returns a fleet with two endpoints in each of three zones.
 func threeZones() *fleet.Snapshot {
 	return fleetOf(6, func(i int, e *fleet.Endpoint) { e.Zone = [...]string{"a", "b", "c"}[i%3] })
 }
 
 func allZonesSelector() *Selector { return NewSelectorWith(strategiesOf("affinity", "everywhere")) }
 
-// Entries of several zones that know nothing of one another read a long shared part at
-// endpoint after endpoint.
+// Guards against repeated prefill of a long shared block on endpoint after endpoint by entries of
+// several zones that get no reports from each other.
 func TestAllZonesAgreeOnEndpointForSharedBlock(t *testing.T) {
 	is := is.New(t)
 	s := threeZones()
-	for _, subject := range []string{"one", "two", "three", "four", "five"} {
+	for _, block := range []string{"one", "two", "three", "four", "five"} {
 		preferred := make(map[string]bool)
 		for _, zone := range []string{"a", "b", "c"} {
-			q := Query{Service: "s", Version: "v1", Zone: zone, Model: "m", Blocks: []Block{{subject, 6000}, {"own-" + zone, 500}}}
+			q := Query{Service: "s", Version: "v1", Zone: zone, Model: "m", Blocks: []Block{{block, 6000}, {"own-" + zone, 500}}}
 			e, _ := allZonesSelector().Select(s, q)
 			preferred[e.ID] = true
 		}
@@ -50,8 +49,8 @@
 	}
 }
 
-// A short shared part is not worth the bytes of its prompt between zones, and a hot subject
-// must not bring one endpoint more than it would bear in a cold start nobody announced.
+// A short shared block is not worth the transfer of the prompt to another zone. A hot shared block
+// must not bring an endpoint more requests than it could accept in an unadvertised cold start.
 func TestAffinityIgnoresShortBlocksAndExceededShare(t *testing.T) {
 	is := is.New(t)
 	s := threeZones()
@@ -61,20 +60,20 @@
 	hot := Query{Service: "s", Version: "v1", Zone: "a", Model: "m", Blocks: []Block{{"hot", 6000}, {"own", 500}}, Bounds: Bounds{Warm: 30, Shares: map[string]Share{
 		"a": {Fraction: 1, Entries: 10}, "b": {Fraction: 1, Entries: 10}, "c": {Fraction: 1, Entries: 10},
 	}}}
-	b := allZonesSelector()
+	sel := allZonesSelector()
 	sends := make(map[string]int)
 	for range 20 {
-		e, _ = b.Select(s, hot)
+		e, _ = sel.Select(s, hot)
 		sends[e.ID]++
-		b.Begin(e, hot).End()
+		sel.Begin(e, hot).End()
 	}
 	preferred, _ := allZonesSelector().Select(s, hot)
-	is.True(preferred.Zone != "a") // or the bound below would not be met
+	is.True(preferred.Zone != "a") // otherwise the limit below would not be reached
 	is.True(sends[preferred.ID] <= 3)
 }
 
-// An entry that starts anew knows nothing, and has parts read again that its neighbours
-// know where to send.
+// Guards against repeated prefill after an entry has started: without a snapshot it does not know
+// which endpoints have blocks cached.
 func TestSnapshotListsCachedBlocks(t *testing.T) {
 	is := is.New(t)
 	s := fleetOf(8, nil)
@@ -83,15 +82,15 @@
 	e, _ := old.Select(s, q)
 	old.Begin(e, q).FirstByte(60)
 	old.Begin(s.Find("e3"), Query{Model: "m", Blocks: []Block{{"stale", 1900}, {"own", 9}}, Now: -prefixTTL}).End()
-	parts, speeds := old.Snapshot(100)
-	is.Equal(len(parts), 1) // nothing of what is as good as forgotten
+	reports, speeds := old.Snapshot(100)
+	is.Equal(len(reports), 1) // stale blocks are left out
 	for id := range s.All() {
 		started.stateOf(id)
 	}
-	started.ApplySnapshot(parts, speeds, 100)
+	started.ApplySnapshot(reports, speeds, 100)
 	is.Equal(started.uncachedTokens(started.stateOf(e.ID), q.hashed()), 0)
-	is.Equal(started.speeds.millisPerToken["m"], old.speeds.millisPerToken["m"])
-	started.speeds.millisPerToken["m"], started.speeds.samples["m"] = 1, 99
+	is.Equal(started.estimates.millisPerToken["m"], old.estimates.millisPerToken["m"])
+	started.estimates.millisPerToken["m"], started.estimates.samples["m"] = 1, 99
 	started.ApplySnapshot(nil, speeds, 100)
-	is.Equal(started.speeds.millisPerToken["m"], 1.0) // own measurements are not given up for fewer
+	is.Equal(started.estimates.millisPerToken["m"], 1.0) // own samples are not replaced by fewer ones
 }
--- a/placement/load_test.go
+++ b/placement/load_test.go
@@ -11,35 +11,35 @@
 	"github.com/parsleydeal/parsleydeal/fleet"
 )
 
-// Half of a site's zones are out while its callers ask one and a half times as
-// much as usual: 31 entries of uneven traffic send 500 prompts a second to 28
-// endpoints, each knowing of the others only what answers say. Kept to even shares
-// of what an endpoint bears in a cold start, they refused callers though no
-// endpoint was near its bound. Now hardly any is refused, and still no endpoint
-// gets more in a second than it would bear if it turned cold unannounced.
+// Guards against refusals while no endpoint is near its bound. Half of a site's zones are out
+// of service at 1.5 times the usual traffic: 31 entries with uneven traffic send 500 prompts
+// per second to 28 endpoints and learn of each other's work only from answers. Limited to even
+// shares of the cold start bound, entries refused callers. Hardly any prompt may be refused,
+// and no endpoint may get more per second than it could accept if it turned cold without
+// advertising it.
 func TestUnevenEntriesUseEndpointCapacity(t *testing.T) {
 	is := is.New(t)
-	const bears = 30
-	p := newLoadSimulation(31, 28, bears)
-	refused, asked := p.simulate(500, 20*clock.Second)
-	most := 0
+	const bound = 30
+	p := newLoadSimulation(31, 28, bound)
+	refused, sent := p.simulate(500, 20*clock.Second)
+	peak := 0
 	for _, sends := range p.arrivals {
-		most = max(most, maxPerSecond(sends))
+		peak = max(peak, maxPerSecond(sends))
 	}
-	t.Logf("%d of %d refused, at most %d in a second at one endpoint", refused, asked, most)
-	is.True(refused*1000 < asked) // with even shares 2,130 of 10,012 were
-	is.True(most <= bears)
+	t.Logf("%d of %d refused, at most %d per second at one endpoint", refused, sent, peak)
+	is.True(refused*1000 < sent) // even shares: 2,130 of 10,012 refused
+	is.True(peak <= bound)
 }
 
-// loadSimulation plays entries before endpoints that read one prompt after another.
+// loadSimulation simulates entries and endpoints that prefill one prompt after another.
 type loadSimulation struct {
 	rnd     *rand.Rand
 	fleet   *fleet.Snapshot
 	entries []*Selector
 	weights []int
 	bounds  float64
-	// freeAt is when an endpoint has read all it got, held what it works on, and
-	// arrivals when it got each.
+	// freeAt holds when an endpoint will have prefilled all its prompts, held and waiting the
+	// numbers of its requests and of those not prefilled, and arrivals when requests arrived.
 	freeAt   map[string]clock.Millis
 	held     map[string]int
 	waiting  map[string]int
@@ -61,108 +61,108 @@
 	return p
 }
 
-// simulate sends so many prompts a second for a span.
-func (p *loadSimulation) simulate(perSecond int, span clock.Millis) (refused, asked int) {
-	for now := clock.Millis(0); now < span; now++ {
+// simulate sends perSecond prompts per second for a duration.
+func (p *loadSimulation) simulate(perSecond int, duration clock.Millis) (refused, sent int) {
+	for now := clock.Millis(0); now < duration; now++ {
 		for len(p.events) > 0 && p.events[0].at <= now {
 			heap.Pop(&p.events).(event).fire(now)
 		}
 		for p.rnd.Float64() < float64(perSecond)/float64(perSecond+int(clock.Second)) {
-			asked++
+			sent++
 			if !p.send(now, p.weights[p.rnd.IntN(len(p.weights))]) {
 				refused++
 			}
 		}
 	}
-	return refused, asked
+	return refused, sent
 }
 
 func (p *loadSimulation) send(now clock.Millis, i int) bool {
-	b := p.entries[i]
+	sel := p.entries[i]
 	subject := p.rnd.IntN(300)
 	q := Query{
 		Service: "s", Version: "v1", Zone: [...]string{"a", "b", "c", "d"}[i%4], Model: "m", Bytes: 8000, Now: now, FirstByteBudget: 2 * clock.Second,
 		Blocks: []Block{{fmt.Sprint("head", subject%4), 500}, {fmt.Sprint("subject", subject), 500}, {fmt.Sprint("own", now, i), 200 + p.rnd.IntN(1500)}},
 		Bounds: Bounds{Cold: p.bounds / 2, Warm: p.bounds, Shares: p.shares(i)},
 	}
-	e, why := b.Select(p.fleet, q)
-	if why != Selected {
+	e, reason := sel.Select(p.fleet, q)
+	if reason != Selected {
 		return false
 	}
 	p.arrivals[e.ID] = append(p.arrivals[e.ID], now)
-	p.serve(b, e, q, now)
+	p.serve(sel, e, q, now)
 	return true
 }
 
-// shares are those of a site with two of four zones out: each zone's own entries
-// share half of what its endpoints bear, and those of zones that are out count as
-// at home everywhere.
+// shares returns an entry's shares in a site with two of four zones out of service. The entries
+// of a zone share half of its endpoints' bounds, and the entries of the zones out of service
+// count as local in every zone.
 func (p *loadSimulation) shares(i int) map[string]Share {
 	out := make(map[string]Share)
 	for _, zone := range []string{"a", "b"} {
-		home, away := Share{Fraction: 0.5}, Share{Fraction: 0.5}
+		local, remote := Share{Fraction: 0.5}, Share{Fraction: 0.5}
 		for j := range p.entries {
-			share := &home
+			share := &local
 			if at := [...]string{"a", "b", zone, zone}[j%4]; at != zone {
-				share = &away
+				share = &remote
 			}
 			share.Entries++
 			if j < i {
 				share.Index++
 			}
 		}
-		out[zone] = home
+		out[zone] = local
 		if at := [...]string{"a", "b", zone, zone}[i%4]; at != zone {
-			out[zone] = away
+			out[zone] = remote
 		}
 	}
 	return out
 }
 
 const (
-	// readsPerMillis and streams are an endpoint's pace: tokens of prompts that it
-	// reads, and how long an answer takes after that.
-	readsPerMillis = 60
-	streamDuration = 300 * clock.Millis(1)
+	// prefillTokensPerMilli is the number of tokens that an endpoint prefills per millisecond,
+	// and streamDuration the time from the first byte to the end of the answer.
+	prefillTokensPerMilli = 60
+	streamDuration        = 300 * clock.Millis(1)
 )
 
-// serve has an endpoint read the prompt and answer it.
-func (p *loadSimulation) serve(b *Selector, e *fleet.Endpoint, q Query, now clock.Millis) {
-	w := b.Begin(e, q)
+// serve simulates the prefill and the answer of a prompt at an endpoint.
+func (p *loadSimulation) serve(sel *Selector, e *fleet.Endpoint, q Query, now clock.Millis) {
+	w := sel.Begin(e, q)
 	p.held[e.ID]++
 	p.waiting[e.ID]++
-	p.freeAt[e.ID] = max(p.freeAt[e.ID], now) + clock.Millis(w.tokens/readsPerMillis)
-	read := p.freeAt[e.ID] + 80
-	heap.Push(&p.events, event{read, func(now clock.Millis) {
+	p.freeAt[e.ID] = max(p.freeAt[e.ID], now) + clock.Millis(w.uncachedTokens/prefillTokensPerMilli)
+	prefilledAt := p.freeAt[e.ID] + 80
+	heap.Push(&p.events, event{prefilledAt, func(now clock.Millis) {
 		p.waiting[e.ID]--
 		w.FirstByte(now)
-		b.RecordActivity(e.ID, now)
-		b.RecordLoad(e.ID, p.held[e.ID], e.Slots, now)
-		b.RecordQueueLength(e.ID, p.waiting[e.ID], now)
+		sel.RecordActivity(e.ID, now)
+		sel.RecordLoad(e.ID, p.held[e.ID], e.Slots, now)
+		sel.RecordQueueLength(e.ID, p.waiting[e.ID], now)
 	}})
-	heap.Push(&p.events, event{read + streamDuration, func(clock.Millis) {
+	heap.Push(&p.events, event{prefilledAt + streamDuration, func(clock.Millis) {
 		p.held[e.ID]--
 		w.End()
 	}})
 }
 
-// event is something that an endpoint does at a moment.
+// event is an action of an endpoint at a simulated time.
 type event struct {
 	at   clock.Millis
 	fire func(now clock.Millis)
 }
 
-// eventQueue holds events, the next one first.
+// eventQueue is a heap of events by time.
 type eventQueue []event
 
 func (q eventQueue) Len() int           { return len(q) }
 func (q eventQueue) Less(i, j int) bool { return q[i].at < q[j].at }
 func (q eventQueue) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
 
-// Push adds an event, for package heap.
+// Push implements heap.Interface.
 func (q *eventQueue) Push(x any) { *q = append(*q, x.(event)) }
 
-// Pop takes the last event, for package heap.
+// Pop implements heap.Interface.
 func (q *eventQueue) Pop() any {
 	last := (*q)[len(*q)-1]
 	*q = (*q)[:len(*q)-1]
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -1,7 +1,7 @@
-// Package placement picks the endpoint of a request. It weighs what a request
-// would cost at each endpoint, in milliseconds: its wait, the prompt parts that
-// must be read there, the way to another zone, and how often the endpoint failed
-// lately. It does no I/O.
+// Package placement selects the endpoint of a request. It estimates the cost of the request
+// at each endpoint, in milliseconds: the wait, the prefill of the prompt blocks that are not
+// cached there, the transfer to another zone, and recent failures of the endpoint. It does
+// no I/O.
 package placement
 
 import (
@@ -12,216 +12,218 @@
 	"github.com/parsleydeal/parsleydeal/upgrade"
 )
 
-// Block is a part of a prompt, which requests share.
+// Block is a block of a prompt, which several requests may share.
 type Block struct {
 	ID     string
 	Tokens int
 }
 
-// Query asks for an endpoint.
+// Query describes a request that needs an endpoint.
 type Query struct {
 	Service string
-	// Version is the version wanted; Rule says which others may stand in.
+	// Version is the preferred version; empty for any. Rule says which others may replace it.
 	Version string
 	Rule    upgrade.Rule
 	Zone    string
-	// Avoid holds endpoints that this request has tried.
+	// Avoid holds the endpoints that the request has tried.
 	Avoid map[string]bool
-	// ReachableOnly leaves out endpoints that were lost lately, also where there is no other.
+	// ReachableOnly excludes endpoints that were recently unreachable even if there is no other.
 	ReachableOnly bool
 	Model         string
-	Blocks        []Block
-	// Bytes is the size of what is sent.
+	// Blocks are those of the prompt in order; the last one belongs to this request only.
+	Blocks []Block
+	// Bytes is the size of the request's body.
 	Bytes int
-	// FullMesh says that the entries of all zones tell this one of their work, and not
+	// FullMesh is set if the entries of all zones report their work to this one, and not
 	// only those of its own zone.
 	FullMesh bool
 	// Bounds limit how much one entry sends.
 	Bounds Bounds
-	// FirstByteBudget is how long the prompt may take to be read, its wait included; 0
-	// for any time.
+	// FirstByteBudget is the maximum time for the wait and the prefill of the prompt; 0 for no
+	// limit.
 	FirstByteBudget clock.Millis
 	Now             clock.Millis
 
-	// hashes holds those of the parts for the model once they were needed.
+	// hashes holds the hashes of the blocks for the model, once computed.
 	hashes []uint32
 }
 
-// hashed returns the query with the hashes of its parts.
+// hashed returns the query with the hashes of its blocks.
 func (q Query) hashed() Query {
 	if len(q.hashes) == len(q.Blocks) {
 		return q
 	}
 	q.hashes = make([]uint32, len(q.Blocks))
-	for i, p := range q.Blocks {
-		q.hashes[i] = p.hashOf(q.Model)
+	for i, block := range q.Blocks {
+		q.hashes[i] = block.hashOf(q.Model)
 	}
 	return q
 }
 
-// Bounds limit what all entries together send to one endpoint in a second.
+// Bounds limit what all entries together send to one endpoint per second.
 type Bounds struct {
-	// Cold holds for endpoints that are or may be in cold start, by even shares. Warm
-	// holds for all others, a multiple of an even share for each entry (warmFactor).
-	// 0 stands for no bound.
+	// Cold applies to endpoints that are or may be in cold start; each entry gets an even
+	// share. Warm applies to all others; each entry gets warmShareFactor even shares.
+	// 0 means no bound.
 	Cold float64
 	Warm float64
-	// Shares holds this entry's share of these, and of the rates that endpoints name, by
-	// the endpoint's zone.
+	// Shares holds this entry's share of these bounds and of advertised rates, by the
+	// endpoint's zone.
 	Shares map[string]Share
 }
 
 // Share is an entry's share of a bound.
 type Share struct {
-	// Fraction is the part of the bound that is shared, Entries how many entries share
-	// it, and Index this one's number among them from 0.
+	// Fraction is the fraction of the bound that Entries entries share. Index is this
+	// entry's number among them, from 0.
 	Fraction float64
 	Entries  int
 	Index    int
 }
 
-// Quota is what this entry may send to an endpoint in a second; 0 for nothing. What
-// does not divide evenly goes to some of the entries, others at each endpoint.
-// Where there are more entries than the bound allows requests, the rest may send
-// it nothing: if all might, they could do so in the same second.
+// Quota returns how many requests of a total this entry may send to an endpoint, 0 for none.
+// The remainder of the division goes to some of the entries, to different ones at each
+// endpoint. If there are more entries than requests, the entries beyond them have no quota:
+// if all of them had, all could use it in the same second.
 func (s Share) Quota(total float64, id string) int {
-	n, whole := s.entries(), uint64(total*s.Fraction)
-	share := whole / n
-	if s.position(id) < whole%n {
-		share++
+	n, shared := s.entries(), uint64(total*s.Fraction)
+	quota := shared / n
+	if s.position(id) < shared%n {
+		quota++
 	}
-	return int(share)
+	return int(quota)
 }
 
-// excluded counts the entries that may send an endpoint nothing, where this is one of them,
-// and tells its place among these from 1.
+// excluded counts the entries without a quota for an endpoint and returns the place of this
+// one among them, from 1. It must be called only for an entry without a quota.
 func (s Share) excluded(total float64, id string) (place, entries clock.Millis) {
-	whole := uint64(total * s.Fraction)
-	return clock.Millis(s.position(id)-whole) + 1, clock.Millis(s.entries() - whole)
+	shared := uint64(total * s.Fraction)
+	return clock.Millis(s.position(id)-shared) + 1, clock.Millis(s.entries() - shared)
 }
 
-// position is this entry's number at an endpoint, from 0: another one at each.
+// position returns this entry's position at an endpoint, from 0. It differs by endpoint.
 func (s Share) position(id string) uint64 {
 	return (uint64(s.Index) + xxhash.Sum64String(id)) % s.entries()
 }
 
 func (s Share) entries() uint64 { return uint64(max(s.Entries, 1)) }
 
-// FirstByteBudget is how long the first byte of a request may take that was to come within an
-// aim and has waited for some of it. A prompt that would be late holds up those behind
-// it, which are late then too; turned away at once, its caller may come back in time.
-// One that is nearly late already still gets a part of its aim.
-func FirstByteBudget(aim, waited clock.Millis) clock.Millis { return max(aim-waited, aim/4) }
+// FirstByteBudget returns how long the first byte of a request may still take, given its
+// latency target and the time it has waited. A late prompt delays those queued behind it, so
+// that they are late as well; if it is rejected at once, its caller may retry in time. A
+// request that is nearly late gets a quarter of its target.
+func FirstByteBudget(target, waited clock.Millis) clock.Millis { return max(target-waited, target/4) }
 
-// Reason says why no endpoint was picked.
+// Reason is the result of a selection.
 type Reason int
 
 // The reasons.
 const (
-	// Selected means that there is one.
+	// Selected means that an endpoint was selected.
 	Selected Reason = iota
 	// None means that no endpoint may get the request.
 	None
-	// Full means that all that may get it are full or at their bound.
+	// Full means that all endpoints that may get the request are full or at a limit.
 	Full
 )
 
-// String names the reason for logs.
+// String returns the name of the reason for logs.
 func (r Reason) String() string { return [...]string{"picked", "none", "full"}[r] }
 
 // Weights of the cost, in milliseconds.
 const (
-	// loadCost is what a full endpoint costs: about how much longer a stream of
-	// fifty events takes among 64 others than alone, at 0.1 ms a token and
-	// request.
+	// loadCost is the cost of a full endpoint: about how much longer a stream of fifty events
+	// takes among 64 others than alone, at 0.1 ms per token and request.
 	loadCost = 600.0
-	// crossZoneCost and awayByteCost are what another zone costs. Bytes between zones
-	// are paid for; a kilobyte weighs as much as a hundredth of an endpoint's load.
+	// crossZoneCost is the cost of sending to another zone, and crossZoneByteCost that of each
+	// byte. Traffic between zones is charged for; a kilobyte weighs as much as a hundredth of
+	// an endpoint's load.
 	crossZoneCost     = 15.0
 	crossZoneByteCost = 0.008
-	// unreportedCost is what an endpoint costs whose callers' entries do not tell this one of
-	// their work: about a long prompt of a large model, which may have been sent there a
-	// moment ago. Entries that choose among endpoints they know little of take those for
-	// idle that others have just filled, and theirs are filled by others in turn.
+	// unreportedCost is the cost of an endpoint whose work is not reported to this entry:
+	// about the prefill of a long prompt on a large model, which may have been sent there a
+	// moment ago. Without it, entries send to unreported endpoints that look idle but were
+	// just filled by others, while their own endpoints are filled from elsewhere.
 	unreportedCost = 600.0
-	// affinityCost spreads prompts over endpoints by their hashes, so that entries
-	// that know nothing of one another send a prompt's parts to the same place.
+	// affinityCost spreads prompts over endpoints by hash, so that entries without reports
+	// from each other send prompts with the same blocks to the same place.
 	affinityCost = 60.0
-	// affinityMinTokens is how many tokens prompts must share to be sent to another zone for them:
-	// spared once, they outweigh the bytes of the prompt on the way there.
+	// affinityMinTokens is the minimum number of shared tokens for which prompts are sent to
+	// another zone. Saving the prefill of that many tokens once outweighs the transfer of the
+	// prompt's bytes.
 	affinityMinTokens = 2000
-	// cachedTokenSaving is what a token spares that need not be read, beyond the time that reading
-	// takes: it holds up all streams that run there, and reading a shared part again is
-	// charged for. It falls to nothing as the endpoint's load nears easyLoad, from where
-	// its streams gain more by going elsewhere.
+	// cachedTokenSaving is what a cached token saves beyond its prefill time: prefill delays
+	// all streams on the endpoint, and the repeated prefill of a shared block is charged for.
+	// The saving falls to 0 as the endpoint's load approaches lightLoad. Above that, streams
+	// gain more from another endpoint.
 	cachedTokenSaving = 0.05
 	lightLoad         = 0.25
-	// failureCost is what an endpoint costs that fails every time.
+	// failureCost is the cost of an endpoint that fails every time.
 	failureCost = 2500.0
-	// maxLoad is the load from which an endpoint gets no more: a queue half as long
-	// as its slots, in which a request would wait about as long as it runs.
+	// maxLoad is the load from which an endpoint gets no more requests: the queue is half as
+	// long as the number of slots, and a request would wait about as long as it runs.
 	maxLoad = 1.5
 )
 
-// Select returns the endpoint at which the request costs least. Another version
-// stands in only when there is no endpoint of the one wanted: an unproven version
-// that took what does not fit on a full one would get the most at the worst time.
-func (b *Selector) Select(s *fleet.Snapshot, q Query) (e *fleet.Endpoint, why Reason) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if e, why = b.find(s, q); e != nil {
-		b.recordSend(e.ID, q.Now)
-		b.stateOf(e.ID).recordTrial(e, q)
+// Select returns the endpoint with the lowest cost, or nil and the reason why there is none,
+// and counts the request against its limits. Another version is used only if the preferred
+// one has no endpoint. If an unproven version took the overflow of a full one, it would get
+// the most requests under the highest load.
+func (sel *Selector) Select(s *fleet.Snapshot, q Query) (e *fleet.Endpoint, reason Reason) {
+	sel.mu.Lock()
+	defer sel.mu.Unlock()
+	if e, reason = sel.find(s, q); e != nil {
+		sel.recordSend(e.ID, q.Now)
+		sel.stateOf(e.ID).recordProbe(e, q)
 	}
-	return e, why
+	return e, reason
 }
 
-// HasCapacity reports whether Pick would find an endpoint that was not lost lately.
-func (b *Selector) HasCapacity(s *fleet.Snapshot, q Query) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// HasCapacity reports whether Select would find an endpoint that was not recently unreachable.
+func (sel *Selector) HasCapacity(s *fleet.Snapshot, q Query) bool {
+	sel.mu.Lock()
+	defer sel.mu.Unlock()
 	q.ReachableOnly = true
-	e, _ := b.find(s, q)
+	e, _ := sel.find(s, q)
 	return e != nil
 }
 
-// Expectation is what a request is expected to meet at an endpoint.
+// Expectation is the expected delay of a request at an endpoint.
 type Expectation struct {
-	// FirstByte is how long its first byte takes, Wait the part of it in which prompts
-	// before it are read.
+	// FirstByte is the time to the first byte, and Wait the part of it spent on prompts ahead.
 	FirstByte clock.Millis
 	Wait      clock.Millis
 }
 
-// Expect tells what a request would meet at the endpoint that Pick would find; not ok
-// where it would find none, or only such that were lost lately.
-func (b *Selector) Expect(s *fleet.Snapshot, q Query) (x Expectation, ok bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// Expect returns the expected delay at the endpoint that Select would find. ok is false if
+// there is none or only recently unreachable ones.
+func (sel *Selector) Expect(s *fleet.Snapshot, q Query) (x Expectation, ok bool) {
+	sel.mu.Lock()
+	defer sel.mu.Unlock()
 	q.ReachableOnly = true
-	e, _ := b.find(s, q)
+	e, _ := sel.find(s, q)
 	if e == nil {
 		return x, false
 	}
-	m, q := b.stateOf(e.ID), q.hashed()
-	wait := b.queueMillis(e, m, q)
-	return Expectation{FirstByte: b.speeds.firstByte(q.Model, wait+b.speeds.millis(q.Model, b.uncachedTokens(m, q))), Wait: clock.Millis(wait)}, true
+	st, q := sel.stateOf(e.ID), q.hashed()
+	wait := sel.queueMillis(e, st, q)
+	return Expectation{FirstByte: sel.estimates.firstByte(q.Model, wait+sel.estimates.millis(q.Model, sel.uncachedTokens(st, q))), Wait: clock.Millis(wait)}, true
 }
 
-func (b *Selector) find(s *fleet.Snapshot, q Query) (e *fleet.Endpoint, why Reason) {
-	all := b.candidates(s, q)
+func (sel *Selector) find(s *fleet.Snapshot, q Query) (e *fleet.Endpoint, reason Reason) {
+	all := sel.candidates(s, q)
 	if len(all) == 0 {
 		return nil, None
 	}
-	return b.cheapest(s, all, q.hashed())
+	return sel.cheapest(s, all, q.hashed())
 }
 
-// candidates lists the endpoints that may get the request.
-func (b *Selector) candidates(s *fleet.Snapshot, q Query) (all []*fleet.Endpoint) {
+// candidates returns the endpoints that may get the request.
+func (sel *Selector) candidates(s *fleet.Snapshot, q Query) (all []*fleet.Endpoint) {
 	for _, match := range q.preferences() {
-		for _, at := range s.Endpoints(q.Service) {
-			if s.Usable(at) && !q.Avoid[at.ID] && match(at) && !b.stateOf(at.ID).leaves(at, q.Now) {
-				all = append(all, at)
+		for _, e := range s.Endpoints(q.Service) {
+			if s.Usable(e) && !q.Avoid[e.ID] && match(e) && !sel.stateOf(e.ID).leaves(e, q.Now) {
+				all = append(all, e)
 			}
 		}
 		if len(all) > 0 {
@@ -231,18 +233,17 @@
 	return nil
 }
 
-// cheapest picks among endpoints that may all get the request. Those that were
-// lost lately come last: a stall of this VM's own link makes all of them lost at
-// once, and refusing every request until that lapses would turn the stall into an
-// outage.
-func (b *Selector) cheapest(s *fleet.Snapshot, all []*fleet.Endpoint, q Query) (e *fleet.Endpoint, why Reason) {
-	preferred := b.preferred(all, q)
-	for _, last := range [...]obstacle{noObstacle, unreachable} {
-		best := 0.0
-		for _, at := range all {
-			cost, o := b.cost(s, at, q, at == preferred)
-			if o <= last && (e == nil || cost < best) && (o != unreachable || !q.ReachableOnly) {
-				e, best = at, cost
+// cheapest returns the candidate with the lowest cost. Recently unreachable candidates are a
+// last resort: a stall of this VM's own network makes all of them unreachable at once, and
+// refusing all requests until their backoff ends would turn the stall into an outage.
+func (sel *Selector) cheapest(s *fleet.Snapshot, all []*fleet.Endpoint, q Query) (e *fleet.Endpoint, reason Reason) {
+	preferred := sel.preferred(all, q)
+	for _, allowed := range [...]obstacle{noObstacle, unreachable} {
+		lowest := 0.0
+		for _, candidate := range all {
+			cost, o := sel.cost(s, candidate, q, candidate == preferred)
+			if o <= allowed && (e == nil || cost < lowest) && (o != unreachable || !q.ReachableOnly) {
+				e, lowest = candidate, cost
 			}
 		}
 		if e != nil {
@@ -252,8 +253,8 @@
 	return nil, Full
 }
 
-// preferences lists which endpoints are looked at first and which after them. Another
-// version stands in only where the rule allows it.
+// preferences returns the filters for endpoints in order of preference: the version wanted,
+// then other versions that the rule allows.
 func (q Query) preferences() []func(e *fleet.Endpoint) bool {
 	return []func(e *fleet.Endpoint) bool{
 		func(e *fleet.Endpoint) bool {
@@ -263,102 +264,102 @@
 	}
 }
 
-// preferred is the endpoint to which all entries send the prompts of a subject while they know
-// of none that keeps its parts; nil when this one does, and for prompts with little to
-// keep.
-func (b *Selector) preferred(all []*fleet.Endpoint, q Query) (e *fleet.Endpoint) {
-	if !b.usesAffinity(q) {
+// preferred returns the endpoint to which all entries send prompts with the same shared block
+// if none is known to have it cached. It returns nil if a candidate has, or if the prompt
+// shares too few tokens.
+func (sel *Selector) preferred(all []*fleet.Endpoint, q Query) (e *fleet.Endpoint) {
+	if !sel.usesAffinity(q) {
 		return nil
 	}
-	part := q.hashes[len(q.Blocks)-2]
-	least, subject := 0.0, q.Model+"/"+affinityBlock(q.Blocks)
-	for _, at := range all {
-		if b.prefixes.holds(b.stateOf(at.ID).hash, part, q.Now) {
+	hash := q.hashes[len(q.Blocks)-2]
+	lowest, key := 0.0, q.Model+"/"+affinityBlock(q.Blocks)
+	for _, candidate := range all {
+		if sel.prefixes.holds(sel.stateOf(candidate.ID).hash, hash, q.Now) {
 			return nil
 		}
-		if f := hashScore(at.ID, subject); e == nil || f < least {
-			e, least = at, f
+		if score := hashScore(candidate.ID, key); e == nil || score < lowest {
+			e, lowest = candidate, score
 		}
 	}
 	return e
 }
 
-// usesAffinity reports whether a prompt shares so much that it is worth the way to another zone.
-// Where all entries tell one another what they sent, each knows where parts are.
-func (b *Selector) usesAffinity(q Query) bool {
-	return b.affinityStrategy == decision.AllZones && !q.FullMesh && len(q.Blocks) > 1 && q.sharedTokens() >= affinityMinTokens
+// usesAffinity reports whether a prompt shares enough tokens to be sent to another zone for
+// them. In a full mesh, reports show where blocks are cached.
+func (sel *Selector) usesAffinity(q Query) bool {
+	return sel.affinityStrategy == decision.AllZones && !q.FullMesh && len(q.Blocks) > 1 && q.sharedTokens() >= affinityMinTokens
 }
 
-// sharedTokens counts the tokens of a prompt that other requests share.
+// sharedTokens counts the tokens of a prompt that other requests may share.
 func (q Query) sharedTokens() int { return tokensOf(q.Blocks[:len(q.Blocks)-1]) }
 
-// cost is what the request costs at an endpoint, which may be the one preferred for its parts, and
-// what speaks against sending it there at all.
-func (b *Selector) cost(s *fleet.Snapshot, e *fleet.Endpoint, q Query, preferred bool) (cost float64, o obstacle) {
-	m := b.stateOf(e.ID)
-	load := b.inflight.Load(e.ID, e.Slots, q.Now)
+// cost returns the cost of the request at an endpoint and the obstacle to sending it there.
+// preferred is set for the endpoint that preferred returned.
+func (sel *Selector) cost(s *fleet.Snapshot, e *fleet.Endpoint, q Query, preferred bool) (cost float64, o obstacle) {
+	st := sel.stateOf(e.ID)
+	load := sel.inflight.Load(e.ID, e.Slots, q.Now)
 	switch {
 	case load >= maxLoad:
 		return 0, overloaded
-	case !withinBounds(s, e, m, q):
+	case !withinBounds(s, e, st, q):
 		return 0, overShare
-	case !m.withinRate(e, q):
+	case !st.withinRate(e, q):
 		return 0, overRate
-	case m.advertisedBy(e).pausedUntil > q.Now:
+	case st.advertisedBy(e).pausedUntil > q.Now:
 		return 0, paused
-	case !b.reachable(m, q.Now):
+	case !sel.isReachable(st, q.Now):
 		o = unreachable
 	}
-	cost = load*loadCost + b.failureRatio(m, q.Now)*failureCost
+	cost = load*loadCost + sel.failureRatio(st, q.Now)*failureCost
 	if e.Zone != q.Zone {
 		cost += crossZoneCost + crossZoneByteCost*float64(q.Bytes)
 	}
 	if len(q.Blocks) == 0 {
 		return cost, o
 	}
-	prompt, inTime := b.promptCost(e, m, q, load, preferred)
+	prompt, inTime := sel.promptCost(e, st, q, load, preferred)
 	if !inTime {
 		return 0, tooLate
 	}
 	return cost + prompt, o
 }
 
-// promptCost is what reading a prompt costs at an endpoint, and whether it can be read in
-// time there.
-func (b *Selector) promptCost(e *fleet.Endpoint, m *endpointState, q Query, load float64, preferred bool) (cost float64, inTime bool) {
-	unread, own := b.uncachedTokens(m, q), q.Blocks[len(q.Blocks)-1].Tokens
-	keeps := (preferred || unread <= own) && b.usesAffinity(q) && withinEvenShare(e, m, q)
-	if keeps {
-		unread = min(unread, own)
+// promptCost returns the cost of a prompt's wait and prefill at an endpoint, and whether both
+// fit into the first-byte budget.
+func (sel *Selector) promptCost(e *fleet.Endpoint, st *endpointState, q Query, load float64, preferred bool) (cost float64, inTime bool) {
+	uncached, own := sel.uncachedTokens(st, q), q.Blocks[len(q.Blocks)-1].Tokens
+	hasAffinity := (preferred || uncached <= own) && sel.usesAffinity(q) && withinEvenShare(e, st, q)
+	if hasAffinity {
+		uncached = min(uncached, own)
 	}
-	queue := b.queueMillis(e, m, q)
-	wait := queue + b.speeds.millis(q.Model, unread)
-	if !keeps && !q.reported(e) && !b.strategies.Disabled(decision.UnreportedCost) {
+	queue := sel.queueMillis(e, st, q)
+	wait := queue + sel.estimates.millis(q.Model, uncached)
+	if !hasAffinity && !q.reported(e) && !sel.strategies.Disabled(decision.UnreportedCost) {
 		cost += unreportedCost
 	}
-	if q.FirstByteBudget > 0 && queue+b.speeds.minMillis(q.Model, unread) > float64(q.FirstByteBudget) {
+	if q.FirstByteBudget > 0 && queue+sel.estimates.minMillis(q.Model, uncached) > float64(q.FirstByteBudget) {
 		return 0, false
 	}
-	cost += wait - prefillSavings(q, unread)*max(1-load/lightLoad, 0)
-	if b.affinityStrategy == decision.NoAffinity {
+	cost += wait - prefillSavings(q, uncached)*max(1-load/lightLoad, 0)
+	if sel.affinityStrategy == decision.NoAffinity {
 		return cost, true
 	}
 	return cost + affinityCost*hashScore(e.ID, affinityBlock(q.Blocks)), true
 }
 
-// reported reports whether the entries that mostly send to an endpoint tell this one of
-// their work there.
+// reported reports whether the entries that send most requests to an endpoint report their
+// work there to this one.
 func (q Query) reported(e *fleet.Endpoint) bool { return q.FullMesh || e.Zone == q.Zone }
 
-// affinityBlock is the part by which the preferred endpoint is chosen: the last one that
-// other requests share.
-func affinityBlock(parts []Block) string {
-	return parts[max(len(parts)-2, 0)].ID
+// affinityBlock returns the ID of the block that determines the preferred endpoint: the last
+// one that other requests may share.
+func affinityBlock(blocks []Block) string {
+	return blocks[max(len(blocks)-2, 0)].ID
 }
 
-// hashScore is a number in [0, 1) that differs from endpoint to endpoint and is the
-// same at every entry; the endpoint with the lowest one is preferred for the subject.
-func hashScore(id, subject string) float64 {
+// hashScore returns a number in [0, 1) for an endpoint and a block that is the same on every
+// entry. The endpoint with the lowest score is preferred for the block.
+func hashScore(id, block string) float64 {
 	const fraction = 1 << 53
-	return float64(xxhash.Sum64String(id+"/"+subject)>>11) / fraction
+	return float64(xxhash.Sum64String(id+"/"+block)>>11) / fraction
 }
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -23,70 +23,69 @@
 	return f.Snapshot()
 }
 
-// An endpoint is in cold start, and all entries see it as the emptiest one at the
-// same moment. Each stays within its own share of what the endpoint bears, so that
-// all of them together do not make it crash. It is the same when the endpoint
-// announced the cold start, when its zone has just come back, and when it was lost
-// and answers again.
+// Guards against entries that together crash an endpoint in cold start: it looks the least
+// loaded to all of them at once, and each must stay within its own share of the bound. This
+// holds if the endpoint registered the cold start, if its zone has just come back into service,
+// and if it was unreachable and answers again.
 func TestEntriesTogetherRespectColdStartBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		entries := rapid.IntRange(1, 60).Draw(t, "entries")
 		bound := float64(rapid.IntRange(20, 60).Draw(t, "bound"))
-		s, lost := coldFleet(rapid.SampledFrom([]string{"announced", "returned", "lost"}).Draw(t, "cause"))
-		var boards []*Selector
+		s, wasUnreachable := coldFleet(rapid.SampledFrom([]string{"registered", "returned", "unreachable"}).Draw(t, "cause"))
+		var selectors []*Selector
 		for range entries {
-			b := NewSelector()
-			if lost {
-				b.RecordUnreachable("e0", 0)
-				b.RecordActivity("e0", 0)
+			sel := NewSelector()
+			if wasUnreachable {
+				sel.RecordUnreachable("e0", 0)
+				sel.RecordActivity("e0", 0)
 			}
-			boards = append(boards, b)
+			selectors = append(selectors, sel)
 		}
 		var sends []clock.Millis
 		now := clock.Millis(0)
 		for now < assumedColdDuration {
 			now += clock.Millis(rapid.IntRange(0, 5).Draw(t, "step"))
 			i := rapid.IntRange(0, entries-1).Draw(t, "entry")
-			b := boards[i]
+			sel := selectors[i]
 			q := Query{Service: "s", Version: "v1", Zone: "a", Now: now, Bounds: Bounds{Cold: bound, Warm: 2 * bound, Shares: map[string]Share{"a": {Fraction: 1, Entries: entries, Index: i}}}}
-			if _, why := b.Select(s, q); why == Selected && now < assumedColdDuration {
+			if _, reason := sel.Select(s, q); reason == Selected && now < assumedColdDuration {
 				sends = append(sends, now)
 			}
 		}
 		if n := maxPerSecond(sends); n > int(bound) {
-			t.Fatalf("%d requests in a second, %g are allowed", n, bound)
+			t.Fatalf("%d requests in one second, %g allowed", n, bound)
 		}
 	})
 }
 
-// coldFleet has one endpoint that is or may be cold for the next two seconds.
-func coldFleet(cause string) (s *fleet.Snapshot, lost bool) {
+// coldFleet returns a fleet of one endpoint that is or may be cold for the next two seconds.
+func coldFleet(cause string) (s *fleet.Snapshot, wasUnreachable bool) {
 	f := fleet.New()
 	e := &fleet.Endpoint{ID: "e0", Service: "s", Address: "10.0.0.1:1", Zone: "a", Version: "v1", Slots: 64}
 	switch cause {
-	case "announced":
+	case "registered":
 		e.ColdUntil = 10 * clock.Second
 	case "returned":
 		f.SetZone("a", true, 0)
 		f.SetZone("a", false, 0)
 	}
 	f.Apply([]fleet.Change{{ID: e.ID, Endpoint: e}}, false)
-	return f.Snapshot(), cause == "lost"
+	return f.Snapshot(), cause == "unreachable"
 }
 
-func maxPerSecond(sends []clock.Millis) (most int) {
+func maxPerSecond(sends []clock.Millis) (peak int) {
 	for i := range sends {
 		n := 0
 		for j := i; j < len(sends) && sends[j]-sends[i] < clock.Second; j++ {
 			n++
 		}
-		most = max(most, n)
+		peak = max(peak, n)
 	}
-	return most
+	return peak
 }
 
-// A zone is taken out while its endpoints are the emptiest, and a leaving
-// endpoint still answers. Neither may get a new request.
+// A zone out of service has the least loaded endpoints, and a leaving endpoint still answers.
+// Neither may get a new request.
 func TestUnusableEndpointsGetNoRequests(t *testing.T) {
 	is := is.New(t)
 	f := fleet.New()
@@ -95,63 +94,63 @@
 		f.Apply([]fleet.Change{{ID: id, Endpoint: &fleet.Endpoint{ID: id, Service: "s", Zone: zone, Version: "v1", Slots: 4, Leaving: zone == "b"}}}, false)
 	}
 	f.SetZone("a", true, 0)
-	e, why := NewSelector().Select(f.Snapshot(), Query{Service: "s", Version: "v1", Zone: "a"})
-	is.Equal(why, Selected)
+	e, reason := NewSelector().Select(f.Snapshot(), Query{Service: "s", Version: "v1", Zone: "a"})
+	is.Equal(reason, Selected)
 	is.Equal(e.Zone, "c")
 	f.SetZone("c", true, 0)
-	_, why = NewSelector().Select(f.Snapshot(), Query{Service: "s", Version: "v1", Zone: "a"})
-	is.Equal(why, None)
+	_, reason = NewSelector().Select(f.Snapshot(), Query{Service: "s", Version: "v1", Zone: "a"})
+	is.Equal(reason, None)
 }
 
-// A version was rolled back and its endpoints are still there, empty. They get
-// nothing, also when all others are out.
+// A version was rolled back and its endpoints are still registered and idle. They must get no
+// requests even if there are no others.
 func TestBannedVersionGetsNoRequests(t *testing.T) {
 	is := is.New(t)
 	s := fleetOf(2, func(_ int, e *fleet.Endpoint) { e.Version = "v2" })
-	_, why := NewSelector().Select(s, Query{Service: "s", Version: "v1", Zone: "a", Rule: upgrade.Rule{Current: "v1", Banned: "v2"}})
-	is.Equal(why, None)
+	_, reason := NewSelector().Select(s, Query{Service: "s", Version: "v1", Zone: "a", Rule: upgrade.Rule{Current: "v1", Banned: "v2"}})
+	is.Equal(reason, None)
 }
 
-// Every endpoint of a service was lost for a moment, as when this VM's own link
-// stalls. Refusing every request until the pause lapses would turn the stall into
-// an outage, so the request still goes to one of them.
+// A stall of this VM's own network makes every endpoint of a service unreachable for a moment.
+// Refusing all requests until the backoff ends would turn the stall into an outage, so requests
+// must still go to one of them.
 func TestUnreachableEndpointsAreUsedAsLastResort(t *testing.T) {
 	is := is.New(t)
 	s := fleetOf(3, nil)
-	b := NewSelector()
+	sel := NewSelector()
 	for i := range 3 {
-		b.RecordUnreachable(fmt.Sprintf("e%d", i), 0)
+		sel.RecordUnreachable(fmt.Sprintf("e%d", i), 0)
 	}
-	_, why := b.Select(s, Query{Service: "s", Version: "v1", Zone: "a", Now: 10})
-	is.Equal(why, Selected)
+	_, reason := sel.Select(s, Query{Service: "s", Version: "v1", Zone: "a", Now: 10})
+	is.Equal(reason, Selected)
 }
 
-// Prompts of one subject reach many entries. Without a word among them they pick
-// the same endpoint for it, so that the shared part is read once.
+// Prompts with the same shared block reach many entries. Without reports from each other, these
+// must select the same endpoint, so that the block is prefilled once.
 func TestEntriesAgreeOnEndpointForSharedBlock(t *testing.T) {
 	is := is.New(t)
 	s := fleetOf(9, nil)
-	homes := make(map[string]bool)
+	selected := make(map[string]bool)
 	for i := range 20 {
-		parts := []Block{{"common", 2500}, {"case-7", 3800}, {fmt.Sprintf("own-%d", i), 2900}}
-		e, _ := NewSelector().Select(s, Query{Service: "s", Version: "v1", Zone: "a", Model: "m", Blocks: parts})
-		homes[e.ID] = true
+		blocks := []Block{{"common", 2500}, {"case-7", 3800}, {fmt.Sprintf("own-%d", i), 2900}}
+		e, _ := NewSelector().Select(s, Query{Service: "s", Version: "v1", Zone: "a", Model: "m", Blocks: blocks})
+		selected[e.ID] = true
 	}
-	is.Equal(len(homes), 1)
+	is.Equal(len(selected), 1)
 }
 
-// One subject gets much of the traffic. Its home fills up, and others take what
-// it cannot.
+// One shared block gets much of the traffic and its preferred endpoint fills up. Other endpoints
+// must take the overflow.
 func TestHotBlockSpreadsWhenPreferredEndpointIsFull(t *testing.T) {
 	is := is.New(t)
 	s := fleetOf(9, nil)
-	b := NewSelector()
+	sel := NewSelector()
 	used := make(map[string]int)
 	for range 200 {
 		q := Query{Service: "s", Version: "v1", Zone: "a", Model: "m", Blocks: []Block{{"common", 2500}, {"case-7", 3800}, {"own", 2900}}}
-		e, why := b.Select(s, q)
-		is.Equal(why, Selected)
-		b.Begin(e, q)
+		e, reason := sel.Select(s, q)
+		is.Equal(reason, Selected)
+		sel.Begin(e, q)
 		used[e.ID]++
 	}
 	is.Equal(len(used), 9)
@@ -162,188 +161,186 @@
 	}
 }
 
-// An endpoint fails half of its requests although it says that it is well. After
-// a few of them it gets a small part of the traffic, and is tried again later.
+// An endpoint fails half of its requests although it reports that it is healthy. After a few
+// failures it must get little traffic, but still be tried again.
 func TestFailingEndpointGetsFewRequests(t *testing.T) {
 	is := is.New(t)
 	s := fleetOf(4, nil)
-	b := NewSelector()
-	bad := 0
+	sel := NewSelector()
+	requests := 0
 	for i := range 400 {
 		now := clock.Millis(i * 25)
 		q := Query{Service: "s", Version: "v1", Zone: "a", Now: now, Avoid: map[string]bool{}}
-		e, _ := b.Select(s, q)
-		w := b.Begin(e, q)
-		b.RecordOutcome(e.ID, e.ID == "e0" && i%2 == 0, now)
+		e, _ := sel.Select(s, q)
+		w := sel.Begin(e, q)
+		sel.RecordOutcome(e.ID, e.ID == "e0" && i%2 == 0, now)
 		w.End()
 		if e.ID == "e0" {
-			bad++
+			requests++
 		}
 	}
-	is.True(bad < 60) // an equal share is 100
-	is.True(bad > 0)
+	is.True(requests < 60) // an equal share is 100
+	is.True(requests > 0)
 }
 
-// The endpoints of the version in use are all at their bound while an unproven
-// version has room. It must not get what they cannot take: at the worst load it
-// would get the most.
+// The endpoints of the current version are all at their bound while an unproven version has
+// capacity. It must not get the overflow: it would get the most requests under the highest load.
 func TestUnprovenVersionDoesNotTakeTheOverflow(t *testing.T) {
 	is := is.New(t)
 	s := fleetOf(2, func(i int, e *fleet.Endpoint) { e.Version = [...]string{"v1", "v2"}[i] })
-	b := NewSelector()
+	sel := NewSelector()
 	q := Query{Service: "s", Version: "v1", Zone: "a", Rule: upgrade.Rule{Current: "v1", Target: "v2"}, Bounds: Bounds{Warm: 5.0 / warmShareFactor, Shares: map[string]Share{"a": {Fraction: 1, Entries: 1}}}}
-	got := make(map[Reason]int)
+	counts := make(map[Reason]int)
 	for range 20 {
-		e, why := b.Select(s, q)
-		got[why]++
+		e, reason := sel.Select(s, q)
+		counts[reason]++
 		is.True(e == nil || e.Version == "v1")
 	}
-	is.Equal(got, map[Reason]int{Selected: 5, Full: 15})
+	is.Equal(counts, map[Reason]int{Selected: 5, Full: 15})
 }
 
-// An endpoint lost its power and is still listed. Once it has been left alone for
-// a while a single request tries it; the others, which would each wait for a
-// connection that nobody takes, go on elsewhere until that one has ended.
+// An endpoint lost power and is still registered. After its backoff only one request may probe
+// it. The others would each wait for a connection that is never accepted, so they must go
+// elsewhere until the probe has ended.
 func TestOneRequestProbesUnreachableEndpoint(t *testing.T) {
 	is := is.New(t)
 	s := fleetOf(2, nil)
-	b := NewSelector()
+	sel := NewSelector()
 	for range 60 {
-		b.Begin(s.Find("e1"), Query{}) // e1 is much busier than e0
+		sel.Begin(s.Find("e1"), Query{}) // e1 is much busier than e0
 	}
-	b.RecordUnreachable("e0", 0)
-	got := make(map[string]int)
+	sel.RecordUnreachable("e0", 0)
+	counts := make(map[string]int)
 	for now := clock.Millis(0); now < 5000; now += 10 {
-		e, _ := b.Select(s, Query{Service: "s", Version: "v1", Zone: "a", Now: now})
-		got[e.ID]++
+		e, _ := sel.Select(s, Query{Service: "s", Version: "v1", Zone: "a", Now: now})
+		counts[e.ID]++
 		if e.ID == "e0" {
-			b.RecordUnreachable("e0", now)
+			sel.RecordUnreachable("e0", now)
 		}
 	}
-	is.True(got["e0"] <= 4)
-	is.True(got["e0"] >= 1)
-	b.RecordActivity("e0", 5000)
-	b.RecordOutcome("e0", false, 5000)
-	e, _ := b.Select(s, Query{Service: "s", Version: "v1", Zone: "a", Now: 12000})
+	is.True(counts["e0"] <= 4)
+	is.True(counts["e0"] >= 1)
+	sel.RecordActivity("e0", 5000)
+	sel.RecordOutcome("e0", false, 5000)
+	e, _ := sel.Select(s, Query{Service: "s", Version: "v1", Zone: "a", Now: 12000})
 	is.Equal(e.ID, "e0")
 }
 
-// Many long prompts arrive for few endpoints, more than these can read in time.
-// Those that would be late are turned away; the others find short queues. Without
-// the bound all wait, and after a few seconds each is late.
+// More long prompts arrive than the endpoints can prefill in time. Those that would be late must
+// be rejected, so that the others find short queues. Without the limit all of them wait, and
+// after a few seconds every one is late.
 func TestLatePromptsAreRejected(t *testing.T) {
 	is := is.New(t)
 	s := fleetOf(3, nil)
-	const reads = 0.05 // milliseconds a token
-	play := func(patience clock.Millis) (inTime, refused int) {
-		b := NewSelector()
-		b.speeds.millisPerToken["m"] = reads
-		free := make(map[string]float64)
+	const millisPerToken = 0.05
+	simulate := func(budget clock.Millis) (inTime, refused int) {
+		sel := NewSelector()
+		sel.estimates.millisPerToken["m"] = millisPerToken
+		freeAt := make(map[string]float64)
 		type end struct {
 			at   clock.Millis
 			work *Work
 		}
-		var ends []end
+		var pending []end
 		for i := range 400 {
 			now := clock.Millis(i * 25)
-			kept := ends[:0]
-			for _, e := range ends {
+			remaining := pending[:0]
+			for _, e := range pending {
 				if e.at <= now {
 					e.work.End()
 				} else {
-					kept = append(kept, e)
+					remaining = append(remaining, e)
 				}
 			}
-			ends = kept
-			q := Query{Service: "s", Version: "v1", Zone: "a", Model: "m", Now: now, FirstByteBudget: patience, Blocks: []Block{{"own", 4000}}}
+			pending = remaining
+			q := Query{Service: "s", Version: "v1", Zone: "a", Model: "m", Now: now, FirstByteBudget: budget, Blocks: []Block{{"own", 4000}}}
 			q.Blocks[0].ID = string(rune(i))
-			e, why := b.Select(s, q)
-			if why != Selected {
+			e, reason := sel.Select(s, q)
+			if reason != Selected {
 				refused++
 				continue
 			}
-			w := b.Begin(e, q)
-			free[e.ID] = max(free[e.ID], float64(now)) + 4000*reads
-			if free[e.ID]-float64(now) <= 1000 {
+			w := sel.Begin(e, q)
+			freeAt[e.ID] = max(freeAt[e.ID], float64(now)) + 4000*millisPerToken
+			if freeAt[e.ID]-float64(now) <= 1000 {
 				inTime++
 			}
-			ends = append(ends, end{clock.Millis(free[e.ID]), w})
+			pending = append(pending, end{clock.Millis(freeAt[e.ID]), w})
 		}
 		return inTime, refused
 	}
-	without, none := play(0)
-	with, refused := play(1000)
+	without, none := simulate(0)
+	with, refused := simulate(1000)
 	is.Equal(none, 0)
 	is.True(without < 100)
-	is.True(with > 140) // the endpoints can read 150 in ten seconds
+	is.True(with > 140) // the endpoints can prefill 150 in ten seconds
 	is.True(with+refused == 400)
 }
 
-// Endpoints read prompts of very different length. Placed by the number of
-// requests, one would queue behind a prompt that takes half a second while
-// another endpoint is idle.
+// Guards against selection by the number of requests when prompts differ much in length: a short
+// prompt would queue behind one that takes half a second while another endpoint is idle.
 func TestShortPromptsDoNotQueueBehindLongOnes(t *testing.T) {
 	is := is.New(t)
 	s := fleetOf(2, nil)
-	b := NewSelector()
+	sel := NewSelector()
 	long := Query{Service: "s", Version: "v1", Zone: "a", Model: "m", Blocks: []Block{{"long", 30000}}}
-	first, _ := b.Select(s, long)
-	b.Begin(first, long)
+	first, _ := sel.Select(s, long)
+	sel.Begin(first, long)
 	other := ""
 	for i := range 4 {
 		short := Query{Service: "s", Version: "v1", Zone: "a", Model: "m", Blocks: []Block{{string(rune('a' + i)), 300}}}
-		e, _ := b.Select(s, short)
-		b.Begin(e, short)
+		e, _ := sel.Select(s, short)
+		sel.Begin(e, short)
 		other = e.ID
 		is.True(other != first.ID)
 	}
 }
 
-// An entry has just started and has measured no model yet. A long prompt to one that reads
-// fast was refused at every endpoint, by what is usual of slow ones.
+// Guards against an entry that has just started and refuses a long prompt to a fast model at
+// every endpoint because it assumes the speed of a slow model.
 func TestUnmeasuredModelsRejectNothing(t *testing.T) {
 	is := is.New(t)
 	s := fleetOf(3, nil)
-	b := NewSelector()
+	sel := NewSelector()
 	q := Query{Service: "s", Version: "v1", Zone: "a", Model: "m", FirstByteBudget: 1500, Blocks: []Block{{"own", 90000}}}
-	_, why := b.Select(s, q)
-	is.Equal(why, Selected)
+	_, reason := sel.Select(s, q)
+	is.Equal(reason, Selected)
 	for range minSamples {
-		b.speeds.recordSample("m", 90000, 3000) // it reads them in three seconds
+		sel.estimates.recordSample("m", 90000, 3000) // a prefill of three seconds
 	}
-	_, why = b.Select(s, q)
-	is.Equal(why, Full)
+	_, reason = sel.Select(s, q)
+	is.Equal(reason, Full)
 }
 
-// All endpoints are full, and a prompt is to be refused. The entry looked up its parts without
-// their hashes, and its caller's connection was closed without a word.
+// Guards against a panic while a prompt is refused for lack of capacity: its blocks were looked
+// up before they were hashed, and the caller's connection was closed without an answer.
 func TestCountObstaclesOfPromptWithoutCapacity(t *testing.T) {
 	is := is.New(t)
 	s := fleetOf(3, nil)
-	b := NewSelector()
+	sel := NewSelector()
 	q := Query{Service: "s", Version: "v1", Zone: "a", Model: "m", Now: 10, Blocks: []Block{{"a", 100}, {"b", 50}}}
-	b.RecordLoad("e0", 200, 64, 10)
-	b.RecordLoad("e1", 200, 64, 10)
-	c := b.CountObstacles(s, q)
+	sel.RecordLoad("e0", 200, 64, 10)
+	sel.RecordLoad("e1", 200, 64, 10)
+	c := sel.CountObstacles(s, q)
 	is.Equal(c[overloaded], 2)
 	is.Equal(c[noObstacle], 1)
 }
 
-// A third of the endpoints are gone and the others full. A model's answer that may do was
-// dropped for a larger one's, which then found only endpoints that were gone.
+// A third of the endpoints are unreachable and the others full. An acceptable answer was dropped
+// in favour of a larger model's, whose request then found only unreachable endpoints.
 func TestUnreachableEndpointIsNoCapacity(t *testing.T) {
 	is := is.New(t)
 	s := fleetOf(3, nil)
-	b := NewSelector()
+	sel := NewSelector()
 	q := Query{Service: "s", Version: "v1", Zone: "a", Model: "m", Now: 10, Blocks: []Block{{"a", 100}}}
-	b.RecordLoad("e0", 200, 64, 10)
-	b.RecordLoad("e1", 200, 64, 10)
-	is.True(b.HasCapacity(s, q))
-	b.RecordUnreachable("e2", 10)
-	is.True(!b.HasCapacity(s, q))
-	_, ok := b.Expect(s, q)
+	sel.RecordLoad("e0", 200, 64, 10)
+	sel.RecordLoad("e1", 200, 64, 10)
+	is.True(sel.HasCapacity(s, q))
+	sel.RecordUnreachable("e2", 10)
+	is.True(!sel.HasCapacity(s, q))
+	_, ok := sel.Expect(s, q)
 	is.True(!ok)
-	e, why := b.Select(s, q) // with no answer at all a lost endpoint is better than none
-	is.Equal(why, Selected)
+	e, reason := sel.Select(s, q) // without any answer, an unreachable endpoint is better than none
+	is.Equal(reason, Selected)
 	is.Equal(e.ID, "e2")
 }
--- a/placement/snapshot.go
+++ b/placement/snapshot.go
@@ -9,61 +9,61 @@
 	"github.com/parsleydeal/parsleydeal/decision"
 )
 
-// maxSnapshotBlocks is how many prompt parts a snapshot has at the most: some ten kilobytes.
+// maxSnapshotBlocks is the maximum number of prompt blocks in a snapshot, about ten kilobytes.
 const maxSnapshotBlocks = 2000
 
-// ModelSpeed is how fast a model reads, as far as an entry has measured it.
+// ModelSpeed is an entry's estimate of a model's prefill speed.
 type ModelSpeed struct {
 	Model string
-	// MillisPerToken is how long a token takes in milliseconds, Measured how many prompts that
-	// rests on.
+	// MillisPerToken is the prefill time of a token in milliseconds, and Samples the number
+	// of prompts that it is based on.
 	MillisPerToken float64
 	Samples        int
-	// ExcessMillis is how much longer first bytes take than what is known to stand before
+	// ExcessMillis is how much longer first bytes take on average than the known work before
 	// them, in milliseconds.
 	ExcessMillis float64
 }
 
-// Snapshot returns what an entry that has just started lacks: the prompt parts that
-// endpoints were sent lately, the newest first where there are too many, and the speeds
-// of models.
-func (b *Selector) Snapshot(now clock.Millis) (parts []EndpointReport, speeds []ModelSpeed) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	keys := slices.SortedFunc(maps.Keys(b.prefixes.blocks), func(x, y blockKey) int {
-		return cmp.Or(cmp.Compare(b.prefixes.blocks[y], b.prefixes.blocks[x]), cmp.Compare(x.endpoint, y.endpoint), cmp.Compare(x.block, y.block))
+// Snapshot returns what an entry lacks that has just started: the blocks recently sent to
+// endpoints, limited to the newest ones, and the speeds of models.
+func (sel *Selector) Snapshot(now clock.Millis) (reports []EndpointReport, speeds []ModelSpeed) {
+	sel.mu.Lock()
+	defer sel.mu.Unlock()
+	keys := slices.SortedFunc(maps.Keys(sel.prefixes.blocks), func(x, y blockKey) int {
+		return cmp.Or(cmp.Compare(sel.prefixes.blocks[y], sel.prefixes.blocks[x]), cmp.Compare(x.endpoint, y.endpoint), cmp.Compare(x.block, y.block))
 	})
-	at := make(map[uint32]int)
-	for _, k := range keys[:min(len(keys), maxSnapshotBlocks)] {
-		if now-b.prefixes.blocks[k] > prefixTTL/2 {
+	index := make(map[uint32]int)
+	for _, key := range keys[:min(len(keys), maxSnapshotBlocks)] {
+		if now-sel.prefixes.blocks[key] > prefixTTL/2 {
 			break
 		}
-		i, ok := at[k.endpoint]
+		i, ok := index[key.endpoint]
 		if !ok {
-			i = len(parts)
-			at[k.endpoint] = i
-			parts = append(parts, EndpointReport{Endpoint: k.endpoint})
+			i = len(reports)
+			index[key.endpoint] = i
+			reports = append(reports, EndpointReport{Endpoint: key.endpoint})
 		}
-		parts[i].Blocks = append(parts[i].Blocks, k.block)
+		reports[i].Blocks = append(reports[i].Blocks, key.block)
 	}
-	for _, model := range slices.Sorted(maps.Keys(b.speeds.millisPerToken)) {
-		speeds = append(speeds, ModelSpeed{Model: model, MillisPerToken: b.speeds.millisPerToken[model], Samples: b.speeds.samples[model], ExcessMillis: b.speeds.excessMillis[model]})
+	for _, model := range slices.Sorted(maps.Keys(sel.estimates.millisPerToken)) {
+		speeds = append(speeds, ModelSpeed{Model: model, MillisPerToken: sel.estimates.millisPerToken[model], Samples: sel.estimates.samples[model], ExcessMillis: sel.estimates.excessMillis[model]})
 	}
-	return parts, speeds
+	return reports, speeds
 }
 
-// ApplySnapshot takes another entry's snapshot. What this one has measured itself stays.
-func (b *Selector) ApplySnapshot(parts []EndpointReport, speeds []ModelSpeed, now clock.Millis) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if !b.strategies.Disabled(decision.ReportedBlocks) {
-		for _, t := range parts {
-			b.prefixes.recordReported(t.Endpoint, t.Blocks, now)
+// ApplySnapshot merges another entry's snapshot. The speed of a model is taken over only if it
+// is based on more samples than this entry's own.
+func (sel *Selector) ApplySnapshot(reports []EndpointReport, speeds []ModelSpeed, now clock.Millis) {
+	sel.mu.Lock()
+	defer sel.mu.Unlock()
+	if !sel.strategies.Disabled(decision.ReportedBlocks) {
+		for _, r := range reports {
+			sel.prefixes.recordReported(r.Endpoint, r.Blocks, now)
 		}
 	}
 	for _, s := range speeds {
-		if b.speeds.samples[s.Model] < s.Samples {
-			b.speeds.millisPerToken[s.Model], b.speeds.samples[s.Model], b.speeds.excessMillis[s.Model] = s.MillisPerToken, s.Samples, s.ExcessMillis
+		if sel.estimates.samples[s.Model] < s.Samples {
+			sel.estimates.millisPerToken[s.Model], sel.estimates.samples[s.Model], sel.estimates.excessMillis[s.Model] = s.MillisPerToken, s.Samples, s.ExcessMillis
 		}
 	}
 }
--- a/placement/statement_test.go
+++ b/placement/statement_test.go
@@ -9,44 +9,44 @@
 	"pgregory.net/rapid"
 )
 
-// rateLimitedSite has one endpoint and some entries, half of them in its zone, which all know
-// that it names a rate.
+// rateLimitedSite has one endpoint that advertises a rate limit to all entries. Half of the
+// entries are in its zone.
 type rateLimitedSite struct {
-	fleet    *fleet.Snapshot
-	endpoint *fleet.Endpoint
-	boards   []*Selector
+	fleet     *fleet.Snapshot
+	endpoint  *fleet.Endpoint
+	selectors []*Selector
 }
 
 func newRateLimitedSite(entries int, rate float64) *rateLimitedSite {
 	s := &rateLimitedSite{fleet: fleetOf(1, nil)}
 	s.endpoint = s.fleet.Find("e0")
 	for range entries {
-		b := NewSelector()
-		b.RecordAdvertisement(s.endpoint, Advertisement{Rate: rate, HasRate: true}, 0, 1)
-		s.boards = append(s.boards, b)
+		sel := NewSelector()
+		sel.RecordAdvertisement(s.endpoint, Advertisement{Rate: rate, HasRate: true}, 0, 1)
+		s.selectors = append(s.selectors, sel)
 	}
 	return s
 }
 
 func (s *rateLimitedSite) choose(i int, now clock.Millis) Reason {
-	half := max(len(s.boards)/2, 1)
+	half := max(len(s.selectors)/2, 1)
 	share := Share{Fraction: 0.5, Entries: half, Index: i}
 	if i >= half {
-		share = Share{Fraction: 0.5, Entries: len(s.boards) - half, Index: i - half}
+		share = Share{Fraction: 0.5, Entries: len(s.selectors) - half, Index: i - half}
 	}
-	_, why := s.boards[i].Select(s.fleet, Query{Service: "s", Version: "v1", Zone: "a", Now: now, Bounds: Bounds{Shares: map[string]Share{"a": share}}})
-	return why
+	_, reason := s.selectors[i].Select(s.fleet, Query{Service: "s", Version: "v1", Zone: "a", Now: now, Bounds: Bounds{Shares: map[string]Share{"a": share}}})
+	return reason
 }
 
-// Entries that know a rate each took it for themselves, and the endpoint got many times as
-// much as it can bear.
+// Guards against each entry using the whole rate limit for itself, so that the endpoint gets
+// many times the rate that it accepts.
 func TestEntriesTogetherRespectRateLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate := rapid.Float64Range(0, 20).Draw(t, "rate")
 		s := newRateLimitedSite(rapid.IntRange(1, 70).Draw(t, "entries"), rate)
 		var sends []clock.Millis
 		for now := clock.Millis(1); now < 15*clock.Second; now += clock.Millis(rapid.IntRange(1, 40).Draw(t, "step")) {
-			if s.choose(rapid.IntRange(0, len(s.boards)-1).Draw(t, "entry"), now) == Selected {
+			if s.choose(rapid.IntRange(0, len(s.selectors)-1).Draw(t, "entry"), now) == Selected {
 				sends = append(sends, now)
 			}
 		}
@@ -64,17 +64,17 @@
 	})
 }
 
-// An endpoint ceases to name a rate, and all entries send to it again: those that hear it
-// from the endpoint, and those that may not send to it and are told.
+// Guards against a rate limit that stays in force after the endpoint has stopped advertising
+// it. Entries learn of its end from the endpoint or, if they have no quota, from reports.
 func TestEndedRateLimitIsLiftedAtAllEntries(t *testing.T) {
 	is := is.New(t)
 	s := newRateLimitedSite(40, 1)
 	var first, last *Selector
-	for i, b := range s.boards {
+	for i, sel := range s.selectors {
 		if s.choose(i, 2) == Selected {
-			first = b
+			first = sel
 		} else {
-			last = b
+			last = sel
 		}
 	}
 	is.True(first != nil && last != nil)
@@ -83,24 +83,24 @@
 	is.True(last.Advertised(s.endpoint).HasRate)
 	last.Receive("first", first.Report(110, false), false, 120)
 	is.True(!last.Advertised(s.endpoint).HasRate)
-	again := NewSelector()
-	again.RecordAdvertisement(s.endpoint, Advertisement{Rate: 1, HasRate: true}, 0, 1)
-	again.Receive("first", first.Report(600, true), true, 610)
-	is.True(!again.Advertised(s.endpoint).HasRate) // told again in whole reports
+	other := NewSelector()
+	other.RecordAdvertisement(s.endpoint, Advertisement{Rate: 1, HasRate: true}, 0, 1)
+	other.Receive("first", first.Report(600, true), true, 610)
+	is.True(!other.Advertised(s.endpoint).HasRate) // repeated in full reports
 }
 
-// Nobody tells an entry without a share that a rate has ended. It finds out by itself, and
-// not all such entries at once.
+// An entry without a quota must find by probing that a rate limit has ended if no report of it
+// arrives. The entries must not all probe at once.
 func TestEntriesWithoutQuotaProbeInTurn(t *testing.T) {
 	is := is.New(t)
 	s := newRateLimitedSite(40, 1)
-	for i := range s.boards {
-		s.choose(i, 2) // shares are used up
+	for i := range s.selectors {
+		s.choose(i, 2) // use up the quotas
 	}
 	var tries []int
-	for now := clock.Millis(1000); now < 4*trialInterval; now += 10 {
-		for i, b := range s.boards {
-			if len(b.stateOf("e0").sends) == 0 && s.choose(i, now) == Selected {
+	for now := clock.Millis(1000); now < 4*probeInterval; now += 10 {
+		for i, sel := range s.selectors {
+			if len(sel.stateOf("e0").sends) == 0 && s.choose(i, now) == Selected {
 				tries = append(tries, i)
 			}
 		}
@@ -109,104 +109,103 @@
 	is.True(len(tries) <= 8)
 }
 
-// An answer to a request that was sent before a rate was named comes after the one that
-// names it.
+// Guards against a rate limit being lifted by a stale answer: its request was sent before the
+// limit was advertised, and it arrives after the answer that advertises the limit.
 func TestStaleAnswerDoesNotLiftRateLimit(t *testing.T) {
 	is := is.New(t)
 	e := fleetOf(1, nil).Find("e0")
-	b := NewSelector()
-	is.True(b.RecordAdvertisement(e, Advertisement{Rate: 2, HasRate: true}, 100, 150))
-	is.True(!b.RecordAdvertisement(e, Advertisement{}, 90, 160))
-	is.True(b.Advertised(e).HasRate)
-	is.True(b.RecordAdvertisement(e, Advertisement{}, 151, 200))
-	is.True(!b.Advertised(e).HasRate)
+	sel := NewSelector()
+	is.True(sel.RecordAdvertisement(e, Advertisement{Rate: 2, HasRate: true}, 100, 150))
+	is.True(!sel.RecordAdvertisement(e, Advertisement{}, 90, 160))
+	is.True(sel.Advertised(e).HasRate)
+	is.True(sel.RecordAdvertisement(e, Advertisement{}, 151, 200))
+	is.True(!sel.Advertised(e).HasRate)
 }
 
-// An endpoint starts again under its ID. What its last process said does not bind the new
-// one, and a report of it that comes late changes nothing.
+// An endpoint restarts with the same ID. The advertisements of its previous incarnation must
+// not apply to the new one, nor must reports of them that arrive late.
 func TestAdvertisementEndsWithItsIncarnation(t *testing.T) {
 	is := is.New(t)
 	old := fleetOf(1, func(_ int, e *fleet.Endpoint) { e.Incarnation = 5 }).Find("e0")
 	fresh := fleetOf(1, func(_ int, e *fleet.Endpoint) { e.Incarnation = 6 }).Find("e0")
-	b, other := NewSelector(), NewSelector()
-	b.RecordAdvertisement(old, Advertisement{Rate: 2, HasRate: true}, 0, 10)
-	told := b.Report(11, true)
-	is.True(!b.Advertised(fresh).HasRate)
-	b.RecordAdvertisement(fresh, Advertisement{Leaving: true}, 12, 13)
-	is.True(!b.RecordAdvertisement(old, Advertisement{}, 11, 14)) // asked before the new process was announced
-	is.True(b.Advertised(fresh).Leaving)
+	sel, other := NewSelector(), NewSelector()
+	sel.RecordAdvertisement(old, Advertisement{Rate: 2, HasRate: true}, 0, 10)
+	reports := sel.Report(11, true)
+	is.True(!sel.Advertised(fresh).HasRate)
+	sel.RecordAdvertisement(fresh, Advertisement{Leaving: true}, 12, 13)
+	is.True(!sel.RecordAdvertisement(old, Advertisement{}, 11, 14)) // sent before the new incarnation was registered
+	is.True(sel.Advertised(fresh).Leaving)
 	other.RecordAdvertisement(fresh, Advertisement{}, 0, 5)
-	other.Receive("b", told, true, 12)
+	other.Receive("b", reports, true, 12)
 	is.True(!other.Advertised(fresh).HasRate)
 }
 
-// The answers of an endpoint that leaves overtake one another, and nothing else is left to
-// send to. It gets nothing more until its next process is announced.
+// The answers of a leaving endpoint overtake each other, and there is no other endpoint. It
+// must get no more requests until its next incarnation is registered.
 func TestLeavingEndpointStaysLeaving(t *testing.T) {
 	is := is.New(t)
 	s := fleetOf(1, func(_ int, e *fleet.Endpoint) { e.Incarnation = 5 })
 	e := s.Find("e0")
-	b := NewSelector()
+	sel := NewSelector()
 	q := Query{Service: "s", Version: "v1", Zone: "a", Now: 10}
-	_, why := b.Select(s, q)
-	is.Equal(why, Selected)
-	is.True(b.RecordAdvertisement(e, Advertisement{Leaving: true}, 10, 20))
-	is.True(!b.RecordAdvertisement(e, Advertisement{}, 10, 30))
+	_, reason := sel.Select(s, q)
+	is.Equal(reason, Selected)
+	is.True(sel.RecordAdvertisement(e, Advertisement{Leaving: true}, 10, 20))
+	is.True(!sel.RecordAdvertisement(e, Advertisement{}, 10, 30))
 	q.Now = 20 * clock.Second
-	_, why = b.Select(s, q)
-	is.Equal(why, None)
-	_, why = b.Select(fleetOf(1, func(_ int, e *fleet.Endpoint) { e.Incarnation = 6 }), q)
-	is.Equal(why, Selected)
+	_, reason = sel.Select(s, q)
+	is.Equal(reason, None)
+	_, reason = sel.Select(fleetOf(1, func(_ int, e *fleet.Endpoint) { e.Incarnation = 6 }), q)
+	is.Equal(reason, Selected)
 }
 
-// One entry hears that an endpoint leaves, and the others would each send it one more
-// request to hear it too. A wrong word of another entry does not keep an endpoint out for
-// good.
+// Without reports, each entry would send a leaving endpoint one more request before it learns
+// that the endpoint leaves. A wrong report must not exclude an endpoint forever.
 func TestLeavingIsReportedToPeers(t *testing.T) {
 	is := is.New(t)
 	s := fleetOf(1, nil)
 	first, other := NewSelector(), NewSelector()
 	q := Query{Service: "s", Version: "v1", Zone: "a", Now: 10}
-	_, why := other.Select(s, q)
-	is.Equal(why, Selected)
+	_, reason := other.Select(s, q)
+	is.Equal(reason, Selected)
 	first.RecordAdvertisement(s.Find("e0"), Advertisement{Leaving: true}, 10, 20)
 	other.Receive("first", first.Report(30, false), false, 40)
 	q.Now = 50
-	_, why = other.Select(s, q)
-	is.Equal(why, None)
+	_, reason = other.Select(s, q)
+	is.Equal(reason, None)
 	q.Now = 40 + reportedLeavingTTL
-	_, why = other.Select(s, q)
-	is.Equal(why, Selected)
+	_, reason = other.Select(s, q)
+	is.Equal(reason, Selected)
 }
 
-// An endpoint asks for a pause, and another refusal of it asks for a shorter one.
+// Guards against a pause that ends early because a later refusal advertises a shorter one.
 func TestLongestAdvertisedPauseApplies(t *testing.T) {
 	is := is.New(t)
 	s := fleetOf(1, nil)
-	b := NewSelector()
-	b.RecordAdvertisement(s.Find("e0"), Advertisement{PauseFor: 1990}, 0, 10)
-	b.RecordAdvertisement(s.Find("e0"), Advertisement{}, 10, 20)
-	b.RecordAdvertisement(s.Find("e0"), Advertisement{PauseFor: 470}, 20, 30)
+	sel := NewSelector()
+	sel.RecordAdvertisement(s.Find("e0"), Advertisement{PauseFor: 1990}, 0, 10)
+	sel.RecordAdvertisement(s.Find("e0"), Advertisement{}, 10, 20)
+	sel.RecordAdvertisement(s.Find("e0"), Advertisement{PauseFor: 470}, 20, 30)
 	for now, want := range map[clock.Millis]Reason{1000: Full, 2000: Full, 2001: Selected} {
-		_, why := b.Select(s, Query{Service: "s", Version: "v1", Zone: "a", Now: now})
-		is.Equal(why, want) // by the instant
+		_, reason := sel.Select(s, Query{Service: "s", Version: "v1", Zone: "a", Now: now})
+		is.Equal(reason, want) // at each time
 	}
 }
 
-// The announcement of an endpoint lapses while the store is away, and is back a moment later.
-// What the endpoint had said by then was forgotten with it.
+// Guards against losing an endpoint's advertisements when its registration lapses during an
+// outage of the store and comes back a moment later.
 func TestAdvertisementOutlivesLapsedRegistration(t *testing.T) {
 	is := is.New(t)
 	s := fleetOf(3, nil)
-	b := NewSelector()
-	b.RecordAdvertisement(s.Find("e0"), Advertisement{Leaving: true}, 0, 10)
-	b.RecordAdvertisement(s.Find("e1"), Advertisement{Rate: 2, HasRate: true}, 0, 10)
-	b.RecordAdvertisement(s.Find("e2"), Advertisement{}, 0, 10)
+	sel := NewSelector()
+	sel.RecordAdvertisement(s.Find("e0"), Advertisement{Leaving: true}, 0, 10)
+	sel.RecordAdvertisement(s.Find("e1"), Advertisement{Rate: 2, HasRate: true}, 0, 10)
+	sel.RecordAdvertisement(s.Find("e2"), Advertisement{}, 0, 10)
 	none := fleet.New().Snapshot()
-	b.Prune(none, 1000)
-	is.Equal(len(b.states), 2)
-	is.True(b.Advertised(s.Find("e0")).Leaving)
-	is.True(b.Advertised(s.Find("e1")).HasRate)
-	b.Prune(none, 20+advertisementTTL)
-	is.Equal(len(b.states), 0)
+	sel.Prune(none, 1000)
+	is.Equal(len(sel.states), 2)
+	is.True(sel.Advertised(s.Find("e0")).Leaving)
+	is.True(sel.Advertised(s.Find("e1")).HasRate)
+	sel.Prune(none, 20+advertisementTTL)
+	is.Equal(len(sel.states), 0)
 }
--- a/placement/told.go
+++ b/placement/told.go
@@ -7,137 +7,139 @@
 	"github.com/parsleydeal/parsleydeal/decision"
 )
 
-// EndpointReport is what an entry tells others of one endpoint: its work there, and what the
-// endpoint said of itself.
+// EndpointReport is what an entry reports to other entries about one endpoint: its own work
+// there and what the endpoint advertised.
 type EndpointReport struct {
 	// Endpoint is the hash of the endpoint's ID.
 	Endpoint uint32
-	// PendingMillis is the reading work, in milliseconds, of the prompts sent there whose
-	// first byte has not come, and Unanswered their number.
+	// PendingMillis is the prefill work, in milliseconds, of the prompts that the entry sent
+	// there and that have not had their first byte; Unanswered is their number.
 	PendingMillis float64
 	Unanswered    int
-	// Blocks are hashes of the prompt parts sent there since the last time.
+	// Blocks are the hashes of the shared blocks sent there since the last full report.
 	Blocks []uint32
-	// QueueLength is how many prompts waited there by its own word, and WordAge how old
-	// that is; 0 when it said nothing since the last time.
+	// QueueLength is the number of waiting prompts that the endpoint reported, and
+	// QueueLengthAge how old it is; 0 if the endpoint reported none since the last full report.
 	QueueLength    int
 	QueueLengthAge clock.Millis
-	// Advertisement is what the endpoint said of itself, StatementAge how old that is, and
-	// Born the start of the endpoint that it is of; 0 when there is nothing to tell.
+	// Advertisement is what the endpoint advertised, AdvertisementAge how old that is (0 if
+	// there is nothing to report), and Incarnation the start of the endpoint it belongs to.
 	Advertisement    Advertisement
 	AdvertisementAge clock.Millis
 	Incarnation      int64
 }
 
-// peerReports is what another entry told last, by endpoint.
+// peerReports holds the last reports of another entry by endpoint.
 type peerReports map[uint32]receivedReport
 
-// receivedReport is its word on one endpoint, and when it came.
+// receivedReport is a report with its time of arrival.
 type receivedReport struct {
 	EndpointReport
 	receivedAt clock.Millis
 }
 
-// reportTTL is how long an entry's word on its work holds. It loses its weight steadily,
-// as the endpoint reads on: the largest model reads a long prompt in a second.
+// reportTTL is how long reported work counts. Its weight falls linearly to 0, as the endpoint
+// makes progress: the largest model prefills a long prompt in a second.
 const reportTTL = clock.Second
 
-// urgentMinMillis is the reading work, in milliseconds, that a prompt must have for others to
-// be told of it at once: an entry that sends its own behind it notices.
+// urgentMinMillis is the prefill work, in milliseconds, from which a prompt is reported at
+// once. An entry that sends its own prompt behind such a one notices the delay.
 const urgentMinMillis = 40.0
 
-// Urgent returns a channel that has something in it when others should be told at once.
-func (b *Selector) Urgent() <-chan struct{} { return b.urgent }
+// Urgent returns a channel that receives a value when a report should be sent at once.
+func (sel *Selector) Urgent() <-chan struct{} { return sel.urgent }
 
-func (b *Selector) signalUrgent() {
+func (sel *Selector) signalUrgent() {
 	select {
-	case b.urgent <- struct{}{}:
+	case sel.urgent <- struct{}{}:
 	default:
 	}
 }
 
-// Report returns this entry's work at all endpoints where it has any, the shared parts sent
-// and what endpoints said of themselves since the last whole report; or only its work
-// where that has changed since the last one. A report that is lost is made up for by the
-// next whole one, but for its parts, whose prompts are then read once more at most.
-func (b *Selector) Report(now clock.Millis, whole bool) (out []EndpointReport) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for _, m := range b.states {
-		t := EndpointReport{Endpoint: m.hash, PendingMillis: m.pendingMillis, Unanswered: m.unanswered}
-		tells := m.changed
-		if whole {
-			t.Blocks = b.prefixes.unreported[m.hash]
-			if m.queueLengthUnreported {
-				t.QueueLength, t.QueueLengthAge = m.queueLength, max(now-m.queueLengthAt, 1)
+// Report returns what to report to other entries. A full report covers all endpoints where
+// this entry has work, with the shared blocks sent and the advertisements received since the
+// last full report. Any other report covers only endpoints whose work or advertisement has
+// changed. The next full report makes up for a lost one except for its blocks; a prompt with
+// these is prefilled once more at most.
+func (sel *Selector) Report(now clock.Millis, full bool) (reports []EndpointReport) {
+	sel.mu.Lock()
+	defer sel.mu.Unlock()
+	for _, st := range sel.states {
+		r := EndpointReport{Endpoint: st.hash, PendingMillis: st.pendingMillis, Unanswered: st.unanswered}
+		include := st.changed
+		if full {
+			r.Blocks = sel.prefixes.unreported[st.hash]
+			if st.queueLengthUnreported {
+				r.QueueLength, r.QueueLengthAge = st.queueLength, max(now-st.queueLengthAt, 1)
 			}
-			m.queueLengthUnreported = false
-			tells = t.Unanswered > 0 || len(t.Blocks) > 0 || t.QueueLengthAge > 0
+			st.queueLengthUnreported = false
+			include = r.Unanswered > 0 || len(r.Blocks) > 0 || r.QueueLengthAge > 0
 		}
-		m.changed = false
-		if m.reportAdvertisement(&t, now, whole) || tells {
-			out = append(out, t)
+		st.changed = false
+		if st.reportAdvertisement(&r, now, full) || include {
+			reports = append(reports, r)
 		}
 	}
-	if whole {
-		clear(b.prefixes.unreported)
+	if full {
+		clear(sel.prefixes.unreported)
 	}
-	return out
+	return reports
 }
 
-// Receive takes another entry's word on its work, in place of all that it told before when
-// the report is whole.
-func (b *Selector) Receive(entry string, told []EndpointReport, whole bool, now clock.Millis) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	p := b.peers[entry]
-	if whole || p == nil {
-		p = make(peerReports, len(told))
-		b.peers[entry] = p
+// Receive takes in the reports of another entry. A full report replaces all earlier ones of
+// that entry.
+func (sel *Selector) Receive(entry string, reports []EndpointReport, full bool, now clock.Millis) {
+	sel.mu.Lock()
+	defer sel.mu.Unlock()
+	p := sel.peers[entry]
+	if full || p == nil {
+		p = make(peerReports, len(reports))
+		sel.peers[entry] = p
 	}
-	for _, t := range told {
-		b.receive(p, t, now)
+	for _, r := range reports {
+		sel.receive(p, r, now)
 	}
 }
 
-func (b *Selector) receive(p peerReports, t EndpointReport, now clock.Millis) {
-	if !b.strategies.Disabled(decision.ReportedBlocks) {
-		b.prefixes.recordReported(t.Endpoint, t.Blocks, now)
+func (sel *Selector) receive(p peerReports, r EndpointReport, now clock.Millis) {
+	if !sel.strategies.Disabled(decision.ReportedBlocks) {
+		sel.prefixes.recordReported(r.Endpoint, r.Blocks, now)
 	}
-	m := b.byHash[t.Endpoint]
-	if m != nil {
-		m.receiveAdvertisement(t, now)
+	st := sel.byHash[r.Endpoint]
+	if st != nil {
+		st.receiveAdvertisement(r, now)
 	}
-	if b.strategies.Disabled(decision.ReportedWork) {
+	if sel.strategies.Disabled(decision.ReportedWork) {
 		return
 	}
-	t.Blocks = nil
-	p[t.Endpoint] = receivedReport{t, now}
-	if m != nil && t.QueueLengthAge > 0 && now-t.QueueLengthAge > m.queueLengthAt {
-		b.setQueueLength(m, t.QueueLength, now-t.QueueLengthAge, now)
+	r.Blocks = nil
+	p[r.Endpoint] = receivedReport{r, now}
+	if st != nil && r.QueueLengthAge > 0 && now-r.QueueLengthAge > st.queueLengthAt {
+		sel.setQueueLength(st, r.QueueLength, now-r.QueueLengthAge, now)
 	}
 }
 
-// reportedWork sums what other entries have at an endpoint.
-func (b *Selector) reportedWork(endpoint uint32, now clock.Millis) (pending, unanswered float64) {
-	for _, p := range b.peers {
-		w, ok := p[endpoint]
-		left := 1 - float64(now-w.receivedAt)/float64(reportTTL)
-		if !ok || left <= 0 {
+// reportedWork sums the work of other entries at an endpoint, weighted by the age of their
+// reports. pending is in milliseconds.
+func (sel *Selector) reportedWork(endpoint uint32, now clock.Millis) (pending, unanswered float64) {
+	for _, p := range sel.peers {
+		r, ok := p[endpoint]
+		weight := 1 - float64(now-r.receivedAt)/float64(reportTTL)
+		if !ok || weight <= 0 {
 			continue
 		}
-		pending += w.PendingMillis * left
-		unanswered += float64(w.Unanswered) * left
+		pending += r.PendingMillis * weight
+		unanswered += float64(r.Unanswered) * weight
 	}
 	return pending, unanswered
 }
 
-// dropStaleReports drops what other entries told too long ago.
-func (b *Selector) dropStaleReports(now clock.Millis) {
-	for entry, p := range b.peers {
-		maps.DeleteFunc(p, func(_ uint32, w receivedReport) bool { return now-w.receivedAt > reportTTL })
+// dropStaleReports drops the reports of other entries that are older than reportTTL.
+func (sel *Selector) dropStaleReports(now clock.Millis) {
+	for entry, p := range sel.peers {
+		maps.DeleteFunc(p, func(_ uint32, r receivedReport) bool { return now-r.receivedAt > reportTTL })
 		if len(p) == 0 {
-			delete(b.peers, entry)
+			delete(sel.peers, entry)
 		}
 	}
 }
--- a/placement/told_test.go
+++ b/placement/told_test.go
@@ -10,53 +10,53 @@
 	"github.com/parsleydeal/parsleydeal/decision"
 )
 
-// A zone's callers ask for long prompts about some eighty subjects at five entries, as
-// much as the endpoints can just read when each part is read once. Entries that know
-// only what they sent themselves read a subject's part again at endpoint after
-// endpoint and queue behind one another, and callers wait. Telling one another of it
-// saves a third of the reading at least, and the late answers with it.
+// Guards against repeated prefill of shared blocks. Five entries send long prompts on eighty
+// subjects at a rate that the endpoints can just prefill if each shared block is prefilled
+// once. Without reports, entries prefill a subject's block again on endpoint after endpoint,
+// and prompts queue. With reports, repeated prefill must fall by at least a third and late
+// answers by half.
 func TestReportsReducePrefill(t *testing.T) {
 	is := is.New(t)
-	alone, told := simulateSubjects(false), simulateSubjects(true)
-	t.Logf("alone: %d tokens of shared parts read again, %d late; told: %d, %d", alone.repeated, alone.late, told.repeated, told.late)
-	is.Equal(alone.requests, told.requests)
-	is.True(told.repeated*3 <= alone.repeated*2)
-	is.True(told.late*2 <= alone.late)
+	without, with := simulateSubjects(false), simulateSubjects(true)
+	t.Logf("without reports: %d tokens of shared blocks prefilled again, %d late; with reports: %d, %d", without.repeated, without.late, with.repeated, with.late)
+	is.Equal(without.requests, with.requests)
+	is.True(with.repeated*3 <= without.repeated*2)
+	is.True(with.late*2 <= without.late)
 }
 
-// strategiesOf chooses one way.
-func strategiesOf(name, way string) decision.Strategies {
-	w, err := decision.Choose(map[string]string{name: way})
+// strategiesOf returns the default strategies except for one decision.
+func strategiesOf(name, strategy string) decision.Strategies {
+	strategies, err := decision.Choose(map[string]string{name: strategy})
 	if err != nil {
 		panic(err)
 	}
-	return w
+	return strategies
 }
 
-// subjectsResult is what became of prompts about subjects.
+// subjectsResult counts the prompts, the shared tokens prefilled again and the late prompts.
 type subjectsResult struct{ requests, repeated, late int }
 
-// simulateSubjects plays twenty seconds of prompts, read by the largest model.
-func simulateSubjects(tell bool) (out subjectsResult) {
+// simulateSubjects simulates twenty seconds of prompts for the largest model.
+func simulateSubjects(exchange bool) (out subjectsResult) {
 	const (
 		entries, endpoints, subjects = 5, 9, 80
 		shared, own                  = 13000, 3000
-		readsPerMillis               = 20
-		prompts                      = 24 // a second
-		aim                          = 4 * clock.Second
+		tokensPerMilli               = 20
+		prompts                      = 24 // per second
+		target                       = 4 * clock.Second
 	)
 	rnd := rand.New(rand.NewPCG(3, 4))
 	s := fleetOf(endpoints, nil)
-	var boards []*Selector
+	var selectors []*Selector
 	for range entries {
-		boards = append(boards, NewSelector())
+		selectors = append(selectors, NewSelector())
 	}
-	free, kept := make(map[string]clock.Millis), make(map[string]bool)
-	var ends []prefillEnd
+	freeAt, cached := make(map[string]clock.Millis), make(map[string]bool)
+	var pending []prefillEnd
 	for now := clock.Millis(0); now < 20*clock.Second; now++ {
-		ends = endPrefills(ends, now)
-		if tell && now%100 == 0 {
-			exchangeReports(boards, now)
+		pending = endPrefills(pending, now)
+		if exchange && now%100 == 0 {
+			exchangeReports(selectors, now)
 		}
 		if rnd.IntN(int(clock.Second)) >= prompts {
 			continue
@@ -64,22 +64,22 @@
 		out.requests++
 		subject := fmt.Sprint("subject", rnd.IntN(subjects))
 		q := Query{Service: "s", Version: "v1", Zone: "a", Model: "m", Now: now, Blocks: []Block{{subject, shared}, {fmt.Sprint("own", now), own}}}
-		b := boards[rnd.IntN(entries)]
-		e, _ := b.Select(s, q)
-		w := b.Begin(e, q)
+		sel := selectors[rnd.IntN(entries)]
+		e, _ := sel.Select(s, q)
+		w := sel.Begin(e, q)
 		tokens := own
-		if !kept[e.ID+subject] {
+		if !cached[e.ID+subject] {
 			tokens += shared
 			out.repeated += shared
 		}
-		kept[e.ID+subject] = true
-		free[e.ID] = max(free[e.ID], now) + clock.Millis(tokens/readsPerMillis)
-		if free[e.ID]-now > aim {
+		cached[e.ID+subject] = true
+		freeAt[e.ID] = max(freeAt[e.ID], now) + clock.Millis(tokens/tokensPerMilli)
+		if freeAt[e.ID]-now > target {
 			out.late++
 		}
-		ends = append(ends, prefillEnd{free[e.ID], w})
+		pending = append(pending, prefillEnd{freeAt[e.ID], w})
 	}
-	out.repeated -= subjects * shared // the first time is owed
+	out.repeated -= subjects * shared // each shared block is prefilled at least once
 	return out
 }
 
@@ -88,83 +88,83 @@
 	work *Work
 }
 
-// endPrefills ends the prompts that were read by now.
-func endPrefills(ends []prefillEnd, now clock.Millis) (left []prefillEnd) {
-	for _, e := range ends {
+// endPrefills ends the prompts that are prefilled by now and returns the others.
+func endPrefills(pending []prefillEnd, now clock.Millis) (remaining []prefillEnd) {
+	for _, e := range pending {
 		if e.at > now {
-			left = append(left, e)
+			remaining = append(remaining, e)
 			continue
 		}
 		e.work.FirstByte(now)
 		e.work.End()
 	}
-	return left
+	return remaining
 }
 
-func exchangeReports(boards []*Selector, now clock.Millis) {
-	for i, b := range boards {
-		told := b.Report(now, true)
-		for j, other := range boards {
+func exchangeReports(selectors []*Selector, now clock.Millis) {
+	for i, sel := range selectors {
+		reports := sel.Report(now, true)
+		for j, other := range selectors {
 			if i != j {
-				other.Receive(fmt.Sprint("entry", i), told, true, now)
+				other.Receive(fmt.Sprint("entry", i), reports, true, now)
 			}
 		}
 	}
 }
 
-// An entry told of a long prompt that it sent, and then ends. What it had waiting must
-// not keep others from the endpoint for good.
+// An entry reports a long prompt and then stops. Its reported work must not keep other entries
+// from the endpoint forever.
 func TestReportedWorkOfStoppedEntriesExpires(t *testing.T) {
 	is := is.New(t)
 	s := fleetOf(2, nil)
-	b := NewSelector()
+	sel := NewSelector()
 	other := NewSelector()
 	other.Begin(s.Find("e0"), Query{Model: "m", Blocks: []Block{{"long", 100000}}})
-	b.Receive("other", other.Report(0, true), true, 0)
+	sel.Receive("other", other.Report(0, true), true, 0)
 	q := Query{Service: "s", Version: "v1", Zone: "a", Model: "m", Blocks: []Block{{"x", 300}}, Now: 10}
-	e, _ := b.Select(s, q)
+	e, _ := sel.Select(s, q)
 	is.Equal(e.ID, "e1")
-	b.Prune(s, reportTTL+1)
-	is.Equal(len(b.peers), 0)
-	pending, _ := b.reportedWork(b.stateOf("e0").hash, reportTTL+1)
+	sel.Prune(s, reportTTL+1)
+	is.Equal(len(sel.peers), 0)
+	pending, _ := sel.reportedWork(sel.stateOf("e0").hash, reportTTL+1)
 	is.Equal(pending, 0.0)
 }
 
-// A whole report gives shared parts once, and what waits again and again: the latter
-// heals a lost report. A request's own part is of use to nobody else.
+// Full reports contain shared blocks once and repeat pending work, so that a lost report is
+// made up for. A request's own block is never reported, as no other request shares it.
 func TestFullReportsRepeatPendingWork(t *testing.T) {
 	is := is.New(t)
 	s := fleetOf(1, nil)
-	b := NewSelector()
-	w := b.Begin(s.Find("e0"), Query{Model: "m", Blocks: []Block{{"long", 1000}, {"own", 100}}})
-	first, second := b.Report(0, true), b.Report(0, true)
+	sel := NewSelector()
+	w := sel.Begin(s.Find("e0"), Query{Model: "m", Blocks: []Block{{"long", 1000}, {"own", 100}}})
+	first, second := sel.Report(0, true), sel.Report(0, true)
 	is.Equal(len(first[0].Blocks), 1)
 	is.Equal(len(second[0].Blocks), 0)
 	is.Equal(second[0].Unanswered, 1)
 	w.End()
-	is.Equal(len(b.Report(0, true)), 0)
+	is.Equal(len(sel.Report(0, true)), 0)
 }
 
-// A long prompt is sent between two whole reports. Others hear of that endpoint alone, and
-// what they heard of others holds.
+// A long prompt is sent between two full reports. The partial report covers only its endpoint
+// and must not discard the reports on other endpoints.
 func TestPartialReportsAddToFullReports(t *testing.T) {
 	is := is.New(t)
 	s := fleetOf(2, nil)
-	teller, hearer := NewSelector(), NewSelector()
+	sender, receiver := NewSelector(), NewSelector()
 	q := Query{Model: "m", Blocks: []Block{{"long", 10000}}}
-	teller.Begin(s.Find("e0"), q)
-	hearer.Receive("teller", teller.Report(0, true), true, 0)
-	w := teller.Begin(s.Find("e1"), q)
-	partial := teller.Report(10, false)
+	sender.Begin(s.Find("e0"), q)
+	receiver.Receive("sender", sender.Report(0, true), true, 0)
+	w := sender.Begin(s.Find("e1"), q)
+	partial := sender.Report(10, false)
 	is.Equal(len(partial), 1)
-	hearer.Receive("teller", partial, false, 10)
+	receiver.Receive("sender", partial, false, 10)
 	for _, id := range []string{"e0", "e1"} {
-		pending, _ := hearer.reportedWork(hearer.stateOf(id).hash, 10)
+		pending, _ := receiver.reportedWork(receiver.stateOf(id).hash, 10)
 		is.True(pending > 0)
 	}
-	is.Equal(len(teller.Report(20, false)), 0) // nothing has changed
+	is.Equal(len(sender.Report(20, false)), 0) // nothing has changed
 	w.End()
-	hearer.Receive("teller", teller.Report(30, false), false, 30)
-	pending, _ := hearer.reportedWork(hearer.stateOf("e1").hash, 30)
+	receiver.Receive("sender", sender.Report(30, false), false, 30)
+	pending, _ := receiver.reportedWork(receiver.stateOf("e1").hash, 30)
 	is.Equal(pending, 0.0)
 }
--- a/placement/zones_test.go
+++ b/placement/zones_test.go
@@ -11,22 +11,22 @@
 	"github.com/parsleydeal/parsleydeal/fleet"
 )
 
-// A site has 66 entries in six zones before 72 endpoints, and its callers ask for three
-// fifths of what these can read. Entries hear of one another's work only within their
-// zone. When they sent three quarters of their prompts to other zones, where they knew
-// nothing, prompts queued behind long ones while other endpoints were idle, and callers
-// waited several times as long as the reading takes. Sent where their work is told of,
-// long prompts at once, nine in ten are read within twice that time.
+// Guards against prompts that queue behind long ones while other endpoints are idle. 66 entries
+// in six zones report their work only within their zone and use three fifths of the prefill
+// capacity of 72 endpoints. When entries sent three quarters of their prompts to other zones,
+// from which they get no reports, callers waited several times as long as the prefill takes.
+// With prompts sent to endpoints with reported work, and long prompts reported at once, nine in
+// ten must be prefilled within twice the time of their prefill.
 func TestEntriesPreferEndpointsWithReportedWork(t *testing.T) {
 	is := is.New(t)
 	p := newZoneSimulation(6, 11, 12)
 	p.simulate(12 * clock.Second)
-	t.Logf("%d prompts, %d at home, %d queued for longer than they take", p.requests, p.sameZone, p.queued)
+	t.Logf("%d prompts, %d to endpoints of the same zone, %d queued for longer than a long prefill", p.requests, p.sameZone, p.queued)
 	is.True(p.sameZone*10 > p.requests*8)
 	is.True(p.queued*10 < p.requests)
 }
 
-// zoneSimulation plays entries of several zones before endpoints that read one prompt after
+// zoneSimulation simulates entries of several zones and endpoints that prefill one prompt after
 // another.
 type zoneSimulation struct {
 	rnd        *rand.Rand
@@ -36,8 +36,8 @@
 	reportedAt []clock.Millis
 	freeAt     map[string]clock.Millis
 	events     eventQueue
-	// requests counts the prompts, home those sent to an endpoint of the entry's zone, and
-	// queued those whose wait was longer than the reading of a long prompt.
+	// requests counts the prompts, sameZone those sent to an endpoint of the entry's zone, and
+	// queued those that waited for longer than the prefill of a long prompt.
 	requests, sameZone, queued int
 }
 
@@ -52,19 +52,20 @@
 }
 
 const (
-	// A fifth of the prompts are long: largeReads is how long these are read, and
-	// smallReads how long the others are.
+	// longPrefill is the prefill time of a fifth of the prompts, and shortPrefill that of the
+	// others.
 	longPrefill  = 300 * clock.Millis(1)
 	shortPrefill = 60 * clock.Millis(1)
-	// promptsPerMillis is what all callers ask: three fifths of what is read.
+	// promptsPerMillis is the rate of all callers: three fifths of the prefill capacity.
 	promptsPerMillis = 0.4
-	// minReportInterval is how often an entry may tell the others at the most.
+	// minReportInterval is the minimum interval between two reports of an entry, and
+	// reportInterval the interval without urgent reports.
 	minReportInterval = 150 * clock.Millis(1)
 	reportInterval    = 300 * clock.Millis(1)
 )
 
-func (p *zoneSimulation) simulate(span clock.Millis) {
-	for now := clock.Millis(0); now < span; now++ {
+func (p *zoneSimulation) simulate(duration clock.Millis) {
+	for now := clock.Millis(0); now < duration; now++ {
 		for len(p.events) > 0 && p.events[0].at <= now {
 			heap.Pop(&p.events).(event).fire(now)
 		}
@@ -75,12 +76,12 @@
 	}
 }
 
-// exchangeReports has entries tell the others of their zone, at once when there is news.
+// exchangeReports sends the reports that are due or urgent to the other entries of a zone.
 func (p *zoneSimulation) exchangeReports(now clock.Millis) {
-	for i, b := range p.entries {
+	for i, sel := range p.entries {
 		due := now-p.reportedAt[i] >= reportInterval
 		select {
-		case <-b.Urgent():
+		case <-sel.Urgent():
 			due = true
 		default:
 		}
@@ -88,28 +89,28 @@
 			continue
 		}
 		if now-p.reportedAt[i] < minReportInterval {
-			b.signalUrgent()
+			sel.signalUrgent()
 			continue
 		}
 		p.reportedAt[i] = now
-		told := b.Report(now, true)
+		reports := sel.Report(now, true)
 		for j := i % p.zones; j < len(p.entries); j += p.zones {
 			if j != i {
-				p.entries[j].Receive(fmt.Sprint("entry", i), told, true, now)
+				p.entries[j].Receive(fmt.Sprint("entry", i), reports, true, now)
 			}
 		}
 	}
 }
 
 func (p *zoneSimulation) send(now clock.Millis, i int) {
-	b, zone := p.entries[i], fmt.Sprint("z", i%p.zones)
-	tokens, reads := 2000, shortPrefill
+	sel, zone := p.entries[i], fmt.Sprint("z", i%p.zones)
+	tokens, prefill := 2000, shortPrefill
 	if p.rnd.IntN(5) == 0 {
-		tokens, reads = 10000, longPrefill
+		tokens, prefill = 10000, longPrefill
 	}
 	q := Query{Service: "s", Version: "v1", Zone: zone, Model: "m", Bytes: tokens, Now: now, Blocks: []Block{{fmt.Sprint("own", p.requests), tokens}}}
-	e, _ := b.Select(p.fleet, q)
-	w := b.Begin(e, q)
+	e, _ := sel.Select(p.fleet, q)
+	w := sel.Begin(e, q)
 	p.requests++
 	if e.Zone == zone {
 		p.sameZone++
@@ -117,10 +118,10 @@
 	if p.freeAt[e.ID]-now > longPrefill {
 		p.queued++
 	}
-	p.freeAt[e.ID] = max(p.freeAt[e.ID], now) + reads
+	p.freeAt[e.ID] = max(p.freeAt[e.ID], now) + prefill
 	heap.Push(&p.events, event{p.freeAt[e.ID], func(now clock.Millis) {
 		w.FirstByte(now)
-		b.RecordActivity(e.ID, now)
+		sel.RecordActivity(e.ID, now)
 		w.End()
 	}})
 }
