--- a/decision/decision.go
+++ b/decision/decision.go
@@ -1,5 +1,5 @@
-// Package decision names the decisions of an entry that can be made in more than one
-// way, and the ways. All ways stand in one build, so that operators can compare them on
+// Package decision defines the decisions of an entry that can be made by more than one strategy,
+// and the strategies. One build contains all strategies, so that operators can compare them on
 // their own site.
 package decision
 
@@ -13,131 +13,131 @@
 // Errors is the namespace of this package's errors.
 var Errors = errorx.NewNamespace("decision")
 
-// ErrUnknown marks a decision or a way that nothing knows.
+// ErrUnknown is returned for an unknown decision or strategy.
 var ErrUnknown = Errors.NewType("unknown")
 
-// Name names a decision.
+// Name is the name of a decision.
 type Name string
 
-// Strategy names a way in which a decision is made.
+// Strategy is the name of a strategy for a decision.
 type Strategy string
 
-// Ways of decisions that are a mechanism, which is there or not.
+// Strategies of decisions that enable or disable a mechanism.
 const (
 	On  Strategy = "on"
 	Off Strategy = "off"
 )
 
-// Decision is a decision with its ways.
+// Decision is a decision with its strategies.
 type Decision struct {
 	Name Name
-	// Load is the load pattern that the decision answers.
+	// Load is the load pattern for which the decision matters.
 	Load string
-	// Strategies holds the way in force first.
+	// Strategies holds the default first.
 	Strategies []Strategy
 }
 
-// The mechanisms.
+// Decisions that enable or disable a mechanism.
 const (
-	// ReportedWork takes in what other entries have waiting at endpoints.
+	// ReportedWork counts the pending work that other entries report.
 	ReportedWork Name = "told-work"
-	// ReportedBlocks takes in which prompt parts other entries sent where.
+	// ReportedBlocks counts prompt blocks as cached that other entries report to have sent.
 	ReportedBlocks Name = "told-parts"
-	// CachedBlocks counts only those parts of a prompt that an endpoint lacks.
+	// CachedBlocks charges only the prefill of blocks that an endpoint has not cached.
 	CachedBlocks Name = "kept-parts"
-	// Waiting weighs the prompts that wait at an endpoint.
+	// Waiting adds the prefill time of the prompts waiting at an endpoint to its cost.
 	Waiting Name = "waiting"
-	// LatePrompts refuses prompts that would be late everywhere.
+	// LatePrompts refuses prompts that would be late at every endpoint.
 	LatePrompts Name = "late-prompts"
-	// UnreachableEndpoints leaves endpoints alone that could not be reached.
+	// UnreachableEndpoints avoids endpoints that could not be reached.
 	UnreachableEndpoints Name = "lost-endpoints"
-	// Failures keeps from endpoints that failed lately.
+	// Failures avoids endpoints that failed recently.
 	Failures Name = "failures"
-	// UnreportedCost keeps prompts where the entries that send there report their work.
+	// UnreportedCost prefers endpoints whose work is reported to this entry.
 	UnreportedCost Name = "blind-cost"
-	// UrgentReports reports a long prompt at once, and not only now and then.
+	// UrgentReports reports a long prompt at once instead of with the next periodic report.
 	UrgentReports Name = "urgent-reports"
-	// StayIfBusy leaves a slow endpoint only for one with room.
+	// StayIfBusy abandons a slow endpoint only if another one has capacity.
 	StayIfBusy Name = "stay-if-busy"
 )
 
-// Decisions with several ways.
+// Decisions with several strategies.
 const (
-	// Drop decides whether the smallest model's answer is dropped for the largest one's.
+	// Drop decides whether the smallest model's answer is dropped in favour of the largest one's.
 	Drop Name = "drop"
-	// FirstByteTimeout decides how long an endpoint that sends nothing is waited for.
+	// FirstByteTimeout decides how long to wait for an endpoint that sends nothing.
 	FirstByteTimeout Name = "patience"
-	// Affinity decides where prompts go that share parts, as far as nobody knows where
-	// these are kept.
+	// Affinity decides where prompts with shared blocks go if it is not known which endpoint
+	// has these cached.
 	Affinity Name = "affinity"
 	// Start decides what an entry that has just started knows of endpoints.
 	Start Name = "start"
-	// EarlyRequests decides what becomes of requests that come before an entry that has just started
-	// knows its site.
+	// EarlyRequests decides what happens to requests that arrive before an entry that has just
+	// started knows its site.
 	EarlyRequests Name = "early-requests"
 	// Connection decides how a request that may run only once gets its connection.
 	Connection Name = "connection"
 )
 
-// Ways of Start.
+// Strategies of Start.
 const (
-	// Snapshot asks a neighbour for the prompt parts kept and the speeds of models.
+	// Snapshot gets the cached prompt blocks and the speeds of models from another entry.
 	Snapshot Strategy = "snapshot"
-	// Empty knows nothing.
+	// Empty starts without any.
 	Empty Strategy = "blank"
 )
 
-// Ways of Early.
+// Strategies of EarlyRequests.
 const (
-	// Hold keeps them for a part of their time until the entry knows its site.
+	// Hold holds requests for a fraction of their time until the entry knows its site.
 	Hold Strategy = "hold"
-	// Refuse tells their callers to come back.
+	// Refuse refuses requests so that callers retry.
 	Refuse Strategy = "refuse"
 )
 
-// Ways of Drop.
+// Strategies of Drop.
 const (
-	// ByTime charges the larger model for the part of the time left that its first byte
+	// ByTime charges the larger model for the fraction of the remaining time that its first byte
 	// takes.
 	ByTime Strategy = "by-time"
-	// ByPressure charges it so as far as endpoints are crowded by now.
+	// ByPressure does the same in proportion to the current load of endpoints.
 	ByPressure Strategy = "by-pressure"
-	// ByPrice does not charge it for its time.
+	// ByPrice does not charge the larger model for its time.
 	ByPrice Strategy = "by-price"
-	// ByRating drops an answer below a confidence of 50.
+	// ByRating drops an answer with a confidence below 50.
 	ByRating Strategy = "by-opinion"
 )
 
-// Ways of Patience.
+// Strategies of FirstByteTimeout.
 const (
-	// ByMean waits for several times the route's usual first byte.
+	// ByMean waits for a multiple of the route's mean time to the first byte.
 	ByMean Strategy = "by-mean"
-	// ByError waits for what this request was expected to take and how far such
-	// expectations are off.
+	// ByError waits for the expected time of this request plus a margin for the error of such
+	// expectations.
 	ByError Strategy = "by-error"
-	// CallerTimeout waits for as long as the request has.
+	// CallerTimeout waits until the request's own timeout.
 	CallerTimeout Strategy = "endless"
 )
 
-// Ways of Affinity.
+// Strategies of Affinity.
 const (
-	// ByZone prefers endpoints by a hash of the parts among those near by.
+	// ByZone prefers an endpoint of the same zone by a hash of the blocks.
 	ByZone Strategy = "by-zone"
-	// AllZones takes the first endpoint of all zones by that hash to keep them.
+	// AllZones prefers the first endpoint of all zones by that hash.
 	AllZones Strategy = "everywhere"
 	// NoAffinity prefers none.
 	NoAffinity Strategy = "none"
 )
 
-// Ways of Connection.
+// Strategies of Connection.
 const (
-	// Watched watches a new connection for a moment before anything is sent on it.
+	// Watched watches a new connection for a short time before it sends on it.
 	Watched Strategy = "watched"
 	// Immediate sends on a new connection at once.
 	Immediate Strategy = "fresh"
 )
 
-// All lists the decisions.
+// All is the list of decisions.
 var All = []Decision{
 	{Drop, "half of the prompts are too hard for the smallest model while endpoints are busy", []Strategy{ByPressure, ByTime, ByPrice, ByRating}},
 	{FirstByteTimeout, "an endpoint loses an answer, or stops, while others have room", []Strategy{ByMean, ByError, CallerTimeout}},
@@ -168,40 +168,41 @@
 	return All[i], true
 }
 
-// Strategies holds the ways chosen. The zero value holds those in force by default.
+// Strategies holds the chosen strategies. The zero value holds the defaults.
 type Strategies struct {
-	// chosen holds only known decisions and ways.
+	// chosen holds only known decisions and strategies.
 	chosen map[Name]Strategy
 }
 
-// Choose takes ways by the names of their decisions.
-func Choose(names map[string]string) (w Strategies, err error) {
-	w.chosen = make(map[Name]Strategy, len(names))
-	for _, name := range slices.Sorted(maps.Keys(names)) {
+// Choose returns the strategies given by the names of their decisions, and the defaults for all
+// others. The error is an ErrUnknown.
+func Choose(strategies map[string]string) (s Strategies, err error) {
+	s.chosen = make(map[Name]Strategy, len(strategies))
+	for _, name := range slices.Sorted(maps.Keys(strategies)) {
 		d, ok := find(Name(name))
 		if !ok {
 			return Strategies{}, ErrUnknown.New("there is no decision %q", name)
 		}
-		way := Strategy(names[name])
-		if !slices.Contains(d.Strategies, way) {
-			return Strategies{}, ErrUnknown.New("%s has no way %q", name, way)
+		strategy := Strategy(strategies[name])
+		if !slices.Contains(d.Strategies, strategy) {
+			return Strategies{}, ErrUnknown.New("%s has no way %q", name, strategy)
 		}
-		w.chosen[d.Name] = way
+		s.chosen[d.Name] = strategy
 	}
-	return w, nil
+	return s, nil
 }
 
-// For returns the way of a decision.
-func (w Strategies) For(n Name) Strategy {
-	if way, ok := w.chosen[n]; ok {
-		return way
+// For returns the strategy of a decision, which must be in All.
+func (s Strategies) For(n Name) Strategy {
+	if strategy, ok := s.chosen[n]; ok {
+		return strategy
 	}
 	d, _ := find(n)
 	return d.Strategies[0]
 }
 
-// Disabled reports whether a mechanism is switched off.
-func (w Strategies) Disabled(n Name) bool {
-	// Most processes choose nothing; this is asked for each endpoint of each request.
-	return len(w.chosen) > 0 && w.For(n) == Off
+// Disabled reports whether a mechanism is disabled.
+func (s Strategies) Disabled(n Name) bool {
+	// This runs for each endpoint of each request, and most processes use only defaults.
+	return len(s.chosen) > 0 && s.For(n) == Off
 }
--- a/decision/decision_test.go
+++ b/decision/decision_test.go
@@ -7,23 +7,24 @@
 	"github.com/matryer/is"
 )
 
-// A name that nothing knows would measure nothing, and look like a way that is worth nothing.
+// Guards against unknown names being ignored: a comparison would then measure no difference and
+// make a strategy look useless.
 func TestChooseRejectsUnknownNames(t *testing.T) {
 	is := is.New(t)
 	for _, names := range []map[string]string{{"told-part": "off"}, {"told-parts": "of"}, {"drop": "off"}, {"": ""}} {
-		w, err := Choose(names)
+		s, err := Choose(names)
 		is.True(errorx.IsOfType(err, ErrUnknown))
-		is.True(!w.Disabled(ReportedBlocks))
+		is.True(!s.Disabled(ReportedBlocks))
 	}
-	w, err := Choose(map[string]string{"told-parts": "off", "drop": "by-price"})
+	s, err := Choose(map[string]string{"told-parts": "off", "drop": "by-price"})
 	is.NoErr(err)
-	is.True(w.Disabled(ReportedBlocks))
-	is.True(!w.Disabled(ReportedWork))
-	is.Equal(w.For(Drop), ByPrice)
+	is.True(s.Disabled(ReportedBlocks))
+	is.True(!s.Disabled(ReportedWork))
+	is.Equal(s.For(Drop), ByPrice)
 	is.True(!Strategies{}.Disabled(ReportedBlocks))
 }
 
-// Each decision has two ways at least, one name, and says which load it answers.
+// Each decision has at least two strategies, a unique name and a load pattern.
 func TestDecisionsHaveStrategies(t *testing.T) {
 	is := is.New(t)
 	seen := make(map[Name]bool)
