--- a/fleet/endpoint.go
+++ b/fleet/endpoint.go
@@ -1,35 +1,34 @@
-// Package fleet keeps the endpoints that announced themselves and the zones
-// that operators took out.
+// Package fleet holds the registered endpoints and the zones that operators took out of service.
 package fleet
 
 import "github.com/parsleydeal/parsleydeal/clock"
 
-// Endpoint is one endpoint as it last announced itself.
+// Endpoint is an endpoint as of its last registration.
 type Endpoint struct {
-	// ID is new at most starts of an endpoint.
+	// ID usually differs from one start of an endpoint to the next.
 	ID      string
 	Service string
-	// Address is an IP number and port. Another endpoint may get it later.
+	// Address is an IP address and port. It may be reused by another endpoint later.
 	Address string
 	Zone    string
-	// Version is that of the endpoint's software.
+	// Version is the version of the endpoint's software.
 	Version string
 	Slots   int
+	// Leaving means that the endpoint accepts no new requests.
 	Leaving bool
-	// ColdUntil is the end of its cold start on this process's clock; 0 when it
-	// is warm.
+	// ColdUntil is the end of its cold start on this process's clock; 0 if it is warm.
 	ColdUntil clock.Millis
-	// Incarnation tells one start of an endpoint from the next under the same ID, and
-	// grows; Sequence grows with each announcement of one start.
+	// Incarnation increases with each start of an endpoint under the same ID. Sequence
+	// increases with each registration of one incarnation.
 	Incarnation int64
 	Sequence    int64
 }
 
-// Change is a new announcement of an endpoint, or its end.
+// Change is a new registration of an endpoint or its removal.
 type Change struct {
 	ID string
-	// Endpoint is nil for an entry that was removed or cannot be used.
+	// Endpoint is nil for a record that was removed or is invalid.
 	Endpoint *Endpoint
-	// Reason says why an entry cannot be used; empty for a removed one.
+	// Reason says why a record is invalid; empty for a removed one.
 	Reason string
 }
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -10,35 +10,35 @@
 	"github.com/parsleydeal/parsleydeal/clock"
 )
 
-// Fleet is the set of endpoints and of zones out of service. It is a value of
-// the control state; Snapshot hands traffic a copy.
+// Fleet is the set of endpoints and of zones out of service. It is part of the control state
+// and not safe for concurrent use; requests use the copy that Snapshot returns.
 type Fleet struct {
-	// endpoints holds all that announced themselves and were not removed.
+	// endpoints holds all registered endpoints by ID.
 	endpoints map[string]*Endpoint
-	// out holds the zones that get no new work.
+	// out holds the zones out of service, which get no new requests.
 	out map[string]bool
-	// coldUntil holds until when the endpoints of a zone that came back are taken
-	// to be cold.
+	// coldUntil holds, by zone, until when the endpoints of a zone that came back into service
+	// are treated as cold.
 	coldUntil map[string]clock.Millis
-	// snapshot is the last copy handed out; nil once anything has changed since.
+	// snapshot is the last copy returned; nil if anything has changed since.
 	snapshot *Snapshot
 }
 
-// New makes an empty fleet.
+// New returns an empty fleet.
 func New() *Fleet {
 	return &Fleet{endpoints: make(map[string]*Endpoint), out: make(map[string]bool), coldUntil: make(map[string]clock.Millis)}
 }
 
-// Apply takes changes of the list. A whole list drops every endpoint that it
-// does not name. Moved names the endpoints that became known, changed their
-// state or went.
-func (f *Fleet) Apply(changes []Change, whole bool) (moved []string) {
+// Apply applies changes. A full list of changes also removes every endpoint that it does not
+// contain. It returns the IDs of the endpoints that were added, removed or changed in a way that
+// other processes must know.
+func (f *Fleet) Apply(changes []Change, full bool) (changed []string) {
 	f.snapshot = nil
 	named := make(map[string]bool)
 	for _, c := range changes {
 		named[c.ID] = true
 		if c.Endpoint == nil {
-			moved = f.remove(c.ID, moved)
+			changed = f.remove(c.ID, changed)
 			continue
 		}
 		old := f.endpoints[c.ID]
@@ -46,41 +46,41 @@
 			continue
 		}
 		if old == nil || old.differs(c.Endpoint) {
-			moved = append(moved, c.ID)
+			changed = append(changed, c.ID)
 		}
 		f.endpoints[c.ID] = c.Endpoint
 	}
-	if whole {
+	if full {
 		for _, id := range slices.Sorted(maps.Keys(f.endpoints)) {
 			if !named[id] {
-				moved = f.remove(id, moved)
+				changed = f.remove(id, changed)
 			}
 		}
 	}
-	return moved
+	return changed
 }
 
-func (f *Fleet) remove(id string, moved []string) []string {
+func (f *Fleet) remove(id string, changed []string) []string {
 	if f.endpoints[id] == nil {
-		return moved
+		return changed
 	}
 	delete(f.endpoints, id)
-	return append(moved, id)
+	return append(changed, id)
 }
 
-// coldTolerance is by how much the end of a cold start may seem to move from one
-// announcement to the next, which were on their way for different spans.
+// coldTolerance is by how much the end of a cold start may seem to move between registrations,
+// because these were in transit for different times.
 const coldTolerance = 700 * clock.Millis(1)
 
-// differs reports whether a later announcement says anything that other processes
-// must know. A cold start that began anew is part of it: an entry that took the
-// endpoint for warm would send it more than it bears.
+// differs reports whether a later registration contains a change that other processes must know.
+// That includes a new cold start: an entry that treats the endpoint as warm would send it more
+// than it can accept.
 func (e *Endpoint) differs(later *Endpoint) bool {
 	return e.Leaving != later.Leaving || e.Address != later.Address || e.Incarnation != later.Incarnation || later.ColdUntil > e.ColdUntil+coldTolerance
 }
 
-// older reports whether an announcement was made before the one that is known.
-// One that was held up on its way would take back an endpoint's leaving.
+// older reports whether a registration was made before the known one. A delayed registration must
+// not undo an endpoint's leaving.
 func older(e, known *Endpoint) bool {
 	return e.Incarnation < known.Incarnation || e.Incarnation == known.Incarnation && e.Sequence < known.Sequence
 }
@@ -88,13 +88,13 @@
 // Find returns an endpoint by its ID, or nil.
 func (f *Fleet) Find(id string) *Endpoint { return f.endpoints[id] }
 
-// returnedZoneCold is how long the endpoints of a zone that came back are taken to be
-// cold. They were idle and look the emptiest to every entry, while an announcement
-// of their cold start takes a heartbeat (1.2 s) and the pause between two reads of
-// the store (0.8 s) to be known.
+// returnedZoneCold is how long the endpoints of a zone that came back into service are treated as
+// cold. They were idle and look the least loaded to every entry, but the registration of a cold
+// start arrives only after a heartbeat (1.2 s) and the interval between two reads of the store
+// (0.8 s).
 const returnedZoneCold = 2500 * clock.Millis(1)
 
-// SetZone takes a zone out of service or back in.
+// SetZone takes a zone out of service or back into it and reports whether that is a change.
 func (f *Fleet) SetZone(zone string, out bool, now clock.Millis) (changed bool) {
 	changed = f.out[zone] != out
 	f.snapshot = nil
@@ -112,7 +112,7 @@
 // ZonesOut returns the zones out of service.
 func (f *Fleet) ZonesOut() []string { return slices.Sorted(maps.Keys(f.out)) }
 
-// Snapshot returns an immutable copy, the same one until something changes.
+// Snapshot returns an immutable copy. It returns the same one until something changes.
 func (f *Fleet) Snapshot() *Snapshot {
 	if f.snapshot == nil {
 		f.snapshot = f.copy()
@@ -132,8 +132,8 @@
 	return s
 }
 
-// digestOf digests what processes must agree on. Cold starts are left out, as
-// they end without an announcement.
+// digestOf returns a hash of what processes must agree on. Cold starts are left out because they
+// end without a registration.
 func (s *Snapshot) digestOf() uint64 {
 	d := xxhash.New()
 	var b [9]byte
@@ -152,7 +152,7 @@
 	return d.Sum64()
 }
 
-// Snapshot is a fleet as traffic sees it.
+// Snapshot is an immutable copy of a fleet, safe for concurrent use.
 type Snapshot struct {
 	byService map[string][]*Endpoint
 	byID      map[string]*Endpoint
@@ -161,10 +161,10 @@
 	digest    uint64
 }
 
-// Digest returns a number that is the same for the same endpoints.
+// Digest returns a hash that is equal for equal endpoints. It ignores cold starts.
 func (s *Snapshot) Digest() uint64 { return s.digest }
 
-// Endpoints returns a service's endpoints in the order of their IDs.
+// Endpoints returns a service's endpoints in the order of their IDs. Callers must not change it.
 func (s *Snapshot) Endpoints(service string) []*Endpoint { return s.byService[service] }
 
 // Find returns an endpoint by its ID, or nil.
@@ -173,25 +173,25 @@
 // ZoneOut reports whether a zone is out of service.
 func (s *Snapshot) ZoneOut(zone string) bool { return s.out[zone] }
 
-// Usable reports whether an endpoint may get new work.
+// Usable reports whether an endpoint may get new requests.
 func (s *Snapshot) Usable(e *Endpoint) bool { return !e.Leaving && !s.out[e.Zone] }
 
-// Cold reports whether an endpoint is in an announced cold start, or may be in one
-// since its zone has just come back.
+// Cold reports whether an endpoint has registered a cold start, or may be in one because its
+// zone has just come back into service.
 func (s *Snapshot) Cold(e *Endpoint, now clock.Millis) bool {
 	return e.ColdUntil > now || s.coldUntil[e.Zone] > now
 }
 
-// Services returns the endpoints by service.
+// Services returns the endpoints by service. Callers must not change it.
 func (s *Snapshot) Services() map[string][]*Endpoint { return s.byService }
 
-// All returns the endpoints by ID.
+// All returns the endpoints by ID. Callers must not change it.
 func (s *Snapshot) All() map[string]*Endpoint { return s.byID }
 
 // Size returns the number of endpoints.
 func (s *Snapshot) Size() int { return len(s.byID) }
 
-// Versions returns the versions among a service's endpoints, with their number.
+// Versions returns the number of a service's endpoints by version.
 func (s *Snapshot) Versions(service string) map[string]int {
 	n := make(map[string]int)
 	for _, e := range s.byService[service] {
