--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -1,5 +1,5 @@
-// Package catalog holds the configuration that operators publish for a site:
-// routes, services, organisations and limits, and how a request finds its own.
+// Package catalog holds the configuration that operators publish for a site: routes, services,
+// organisations and limits. It looks up the route and the organisation of a request.
 package catalog
 
 import (
@@ -10,7 +10,7 @@
 	"github.com/parsleydeal/parsleydeal/clock"
 )
 
-// Kind says what may be repeated of a route's requests.
+// Kind says whether a route's requests may be repeated.
 type Kind int
 
 // The kinds of routes.
@@ -19,39 +19,39 @@
 	NonIdempotent Kind = iota
 	// Idempotent requests may run again after any failure.
 	Idempotent
-	// Streaming requests answer with events. They may run again only where the
-	// route is resumable.
+	// Streaming requests are answered with events. They may run again only if the route is
+	// resumable.
 	Streaming
 )
 
-// Target is a service that serves a part of a route.
+// Target is a service that serves a share of a route's requests.
 type Target struct {
 	Service string
-	// Weight is positive; a route's weights need not add up to anything.
+	// Weight is positive. It is relative to the sum of the route's weights.
 	Weight float64
 }
 
-// Route says which service serves the requests below a path of a host.
+// Route maps requests below a path of a host to services.
 type Route struct {
 	Name string
 	Host string
 	// Prefix begins and ends with a slash.
 	Prefix string
 	Kind   Kind
-	// Timeout bounds a request, Aim is the time in which an answer is of full
-	// use, and Gap the longest pause between events of a stream that is on time.
+	// Timeout limits the duration of a request. LatencyTarget is the time within which an answer
+	// is of full use, and TargetGap the longest gap between events of a stream that is on time.
 	Timeout       clock.Millis
 	LatencyTarget clock.Millis
 	TargetGap     clock.Millis
 	// Priority is the route's rank; 0 goes first.
 	Priority int
-	// Models are the names of the models that may answer, the smallest first;
-	// empty where the caller names the model.
+	// Models are the names of the models that may answer, the smallest first; empty if the
+	// caller names the model.
 	Models  []string
 	Targets []Target
 	// MaxAttempts is at least 1.
 	MaxAttempts int
-	// Public routes need no key.
+	// Public means that requests need no key.
 	Public    bool
 	Resumable bool
 }
@@ -61,7 +61,8 @@
 	return r.Kind == Idempotent || r.Kind == Streaming && r.Resumable
 }
 
-// Service returns the service that serves a request, by a hash of its own.
+// Service returns the service for a request, which its hash selects by weight; empty if the route
+// has no targets.
 func (r *Route) Service(hash uint64) string {
 	total := 0.0
 	for _, t := range r.Targets {
@@ -85,27 +86,27 @@
 	return slices.ContainsFunc(r.Targets, func(t Target) bool { return t.Service == service && t.Weight > 0 })
 }
 
-// Fraction maps a hash to [0, 1).
+// Fraction maps a hash to a number in [0, 1).
 func Fraction(hash uint64) float64 {
 	const fraction = 1 << 53
 	return float64(hash>>11) / fraction
 }
 
-// HashOf hashes a name for Fraction.
+// HashOf returns the hash of a name for Fraction.
 func HashOf(name string) uint64 { return xxhash.Sum64String(name) }
 
-// Service is a group of endpoints that serve the same.
+// Service is a group of equivalent endpoints.
 type Service struct {
 	Name string
-	// ColdPerSecond is how many requests a second an endpoint in cold start
-	// takes; 0 where there is no bound.
+	// ColdPerSecond is the maximum number of requests per second for an endpoint in cold start;
+	// 0 for no limit.
 	ColdPerSecond float64
-	// MaxConnections is how many connections an endpoint takes from all entries
-	// together; 0 where there is no bound.
+	// MaxConnections is the maximum number of connections to an endpoint from all entries
+	// together; 0 for no limit.
 	MaxConnections int
 }
 
-// Organisation is a customer with its keys.
+// Organisation is a customer with its API keys.
 type Organisation struct {
 	Name string
 	Keys []string
@@ -114,7 +115,7 @@
 	HasPriority bool
 }
 
-// Limits bound what callers may send; 0 stands for no bound.
+// Limits limit what callers may send; 0 means no limit.
 type Limits struct {
 	MaxHeaderBytes int
 	MaxBodyBytes   int64
@@ -122,8 +123,8 @@
 	IdleTimeout clock.Millis
 }
 
-// Config is one version of the configuration. Nothing in it changes once it
-// was indexed.
+// Config is one version of the configuration. It is immutable after Index and then safe for
+// concurrent use.
 type Config struct {
 	Version       int64
 	Routes        []*Route
@@ -136,7 +137,7 @@
 	byKey map[string]*Organisation
 }
 
-// Index prepares a decoded configuration for lookups.
+// Index prepares a decoded configuration for lookups and returns it.
 func (c *Config) Index() *Config {
 	c.byHost = make(map[string][]*Route)
 	c.byKey = make(map[string]*Organisation)
@@ -155,9 +156,9 @@
 	return c
 }
 
-// Route returns the route with the longest prefix of a path, or nil. The path
-// is compared as it was sent: decoding it first would let %2e or %2f reach a
-// route that the operator did not mean.
+// Route returns the route with the longest prefix of a path, or nil. The path is compared as it
+// was sent: if it were decoded first, %2e or %2f could reach a route that the operator did not
+// intend.
 func (c *Config) Route(host, path string) *Route {
 	name, _, _ := strings.Cut(strings.ToLower(host), ":")
 	for _, r := range c.byHost[name] {
@@ -168,7 +169,7 @@
 	return nil
 }
 
-// OrganisationOf returns the organisation that holds a key.
+// OrganisationOf returns the organisation that owns a key.
 func (c *Config) OrganisationOf(key string) (o *Organisation, ok bool) {
 	if key == "" {
 		return nil, false
@@ -177,5 +178,5 @@
 	return o, ok
 }
 
-// NeedsKeys reports whether requests of routes that are not public need a key.
+// NeedsKeys reports whether requests to routes that are not public need a key.
 func (c *Config) NeedsKeys() bool { return len(c.Organisations) > 0 }
