--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -240,7 +240,7 @@
 	}()
 	l.Info("Entry serves callers", "vm", s.VM, "address", callers.Addr())
 	err = e.Serve(serving, secure(p.certificates.callers, callers))
-	switch handErr := e.HandBurn(inner); {
+	switch handErr := e.HandOverBurnCounts(inner); {
 	case errorx.IsOfType(handErr, node.ErrNoHeir):
 		l.Info("Nobody takes over what was counted for the burn report", "vm", s.VM, "reason", logbook.Text(handErr))
 	case handErr != nil:
--- a/emulator/play.go
+++ b/emulator/play.go
@@ -68,7 +68,7 @@
 	name  string
 	zone  string
 	board *placement.Selector
-	judge *cascade.Judge
+	judge *cascade.Escalator
 	// shares holds its share of what endpoints take, by their zone.
 	shares map[string]placement.Share
 	// toldAt is when it last told others, wholeAt when it last told them all.
@@ -108,7 +108,7 @@
 			f.Apply([]fleet.Change{{ID: id, Endpoint: &fleet.Endpoint{ID: id, Service: "pool", Zone: zone, Version: "v1", Slots: s.Slots}}}, false)
 		}
 		for i := range s.Entries {
-			p.entries = append(p.entries, &entry{name: fmt.Sprintf("entry-%d-%d", z, i), zone: zone, board: placement.NewSelectorWith(ways), judge: cascade.NewJudge(ways), shares: sharesOf(s, z, i)})
+			p.entries = append(p.entries, &entry{name: fmt.Sprintf("entry-%d-%d", z, i), zone: zone, board: placement.NewSelectorWith(ways), judge: cascade.NewEscalator(ways), shares: sharesOf(s, z, i)})
 		}
 	}
 	p.fleet = f.Snapshot()
@@ -288,8 +288,8 @@
 	if r.hard {
 		confidence -= 2 * sureness
 	}
-	answer := cascade.Answer{Confidence: int(min(max(confidence, 0), 100)), Left: r.startedAt + r.kind.aim() - now}
-	return r.entry.judge.Drops(answer, cascade.Larger{First: expected.FirstByte, Wait: expected.Wait})
+	answer := cascade.Answer{Confidence: int(min(max(confidence, 0), 100)), Remaining: r.startedAt + r.kind.aim() - now}
+	return r.entry.judge.ShouldEscalate(answer, cascade.LargerModel{FirstByte: expected.FirstByte, QueueWait: expected.Wait})
 }
 
 func (p *play) answered(r *request, now clock.Millis) {
--- a/quality/plan_test.go
+++ b/quality/plan_test.go
@@ -80,7 +80,7 @@
 	hear(40, 10)
 	hear(100, 80)
 	hear(200, 900) // no possible sum
-	s.Reduce(event.Rated{}, []evidence.Delta{{Key: evidence.Key{Route: "r", Version: "m@1"}, Tally: evidence.Tally{Ratings: 1, RatingSum: 1}}})
+	s.Reduce(event.Rated{}, []evidence.Delta{{Key: evidence.Key{Route: "r", Version: "m@1"}, Stats: evidence.Stats{Ratings: 1, RatingSum: 1}}})
 	is.Equal(s.Book().Sum(Key{"r", "m@1"}).RatingSum, 80.0)
 }
 
--- a/relay/attempt.go
+++ b/relay/attempt.go
@@ -96,17 +96,17 @@
 // call makes the request for the endpoint.
 func (a *attempt) call() upstream.Call {
 	x := a.exchange
-	o := Order{
+	o := AttemptParams{
 		Endpoint: a.endpoint.ID, Address: a.endpoint.Address, Organisation: x.organisation, Model: a.plan.model(),
-		Left: max(x.left(), 1), Priority: x.priority, After: x.req.After, HasAfter: x.req.HasAfter,
+		Remaining: max(x.left(), 1), Priority: x.priority, LastEventID: x.req.LastEventID, Resumes: x.req.Resumes,
 		// A kept connection may be dead, which shows only after the request was sent
 		// on it; a request that may not be repeated would be lost.
-		Fresh: !x.route.Repeatable(),
+		NewConnection: !x.route.Repeatable(),
 	}
 	c := x.server.cfg.Dialect.Call(x.req, o, x.req.body)
 	c.HasBody = x.req.hasBody
 	c.Wait = a.wait
-	if c.Fresh && x.server.cfg.Ways.For(decision.Connection) == decision.Watched {
+	if c.Fresh && x.server.cfg.Strategies.For(decision.Connection) == decision.Watched {
 		c.Settle = settleFor
 	}
 	c.MostIdle = x.server.mostIdle(x.view, x.service)
@@ -144,7 +144,7 @@
 func (a *attempt) wait(waited clock.Millis) clock.Millis {
 	x := a.exchange
 	left := x.left()
-	way := x.server.cfg.Ways.For(decision.FirstByteTimeout)
+	way := x.server.cfg.Strategies.For(decision.FirstByteTimeout)
 	if !x.mayRepeatAfter(1) || way == decision.CallerTimeout {
 		return left
 	}
@@ -155,7 +155,7 @@
 	if x.server.board.ActiveSince(a.endpoint.ID, a.startedAt) {
 		patience = clock.Millis(aliveFactor * float64(patience))
 	}
-	if waited >= patience && !x.server.cfg.Ways.Disabled(decision.StayIfBusy) && !a.roomElsewhere() {
+	if waited >= patience && !x.server.cfg.Strategies.Disabled(decision.StayIfBusy) && !a.roomElsewhere() {
 		return min(recheckAfter, left)
 	}
 	return min(patience-waited, left)
@@ -177,19 +177,19 @@
 func (a *attempt) learn(h Head) {
 	s := a.exchange.server
 	now := s.cfg.Clock.Now()
-	a.held = h.Held
-	if h.HasLoad && !h.Elsewhere {
-		s.board.RecordLoad(a.endpoint.ID, h.Held, h.Slots, now)
-		s.board.RecordQueueLength(a.endpoint.ID, h.Waiting, now)
+	a.held = h.Outstanding
+	if h.HasLoad && !h.WrongEndpoint {
+		s.board.RecordLoad(a.endpoint.ID, h.Outstanding, h.Slots, now)
+		s.board.RecordQueueLength(a.endpoint.ID, h.QueueLength, now)
 	}
-	if !h.Elsewhere && (h.Signed || h.NotRun) {
+	if !h.WrongEndpoint && (h.Signed || h.NotRun) {
 		a.state(h, now)
 	}
 }
 
 // state takes the endpoint's statement, and logs what is new in it.
 func (a *attempt) state(h Head, now clock.Millis) {
-	s, e, said := a.exchange.server, a.endpoint, h.Statement
+	s, e, said := a.exchange.server, a.endpoint, h.Advertisement
 	log := func(message string, fields ...any) {
 		s.cfg.Log.Info(message, append(fields, "endpoint", e.ID, "address", e.Address, "zone", e.Zone, "request", a.exchange.req.ID, "status", h.Status)...)
 	}
@@ -206,8 +206,8 @@
 func (a *attempt) judge(h Head, answer *upstream.Answer) (r result, err error) {
 	x := a.exchange
 	switch {
-	case h.NotRun || h.Elsewhere:
-		a.elsewhere = h.Elsewhere
+	case h.NotRun || h.WrongEndpoint:
+		a.elsewhere = h.WrongEndpoint
 		x.runs--
 		return notRun, refusal.New(refusal.Saturated, "endpoint refused the request with status "+strconv.Itoa(h.Status))
 	case !h.Signed || h.Encoded:
--- a/relay/run.go
+++ b/relay/run.go
@@ -144,14 +144,14 @@
 	version := rule.Version(catalog.Fraction(x.session), s.sessions.version(x.session, x.service, now, x.view))
 	return placement.Query{
 		Service: x.service, Version: version, Rule: rule, Zone: s.cfg.Zone, Avoid: x.tried, Model: p.model(),
-		Blocks: x.req.Parts, Bytes: len(x.req.body), Bounds: s.bounds(x.view, x.service), FullMesh: x.view.AllTold(), FirstByteBudget: x.patience(now), Now: now,
+		Blocks: x.req.Blocks, Bytes: len(x.req.body), Bounds: s.bounds(x.view, x.service), FullMesh: x.view.FullMesh(), FirstByteBudget: x.patience(now), Now: now,
 	}
 }
 
 // patience is how long an endpoint may be expected to take for the first byte; 0
 // for any time, once the caller has a part of its answer.
 func (x *exchange) patience(now clock.Millis) clock.Millis {
-	if x.written || x.route.LatencyTarget <= 0 || x.server.cfg.Ways.Disabled(decision.LatePrompts) {
+	if x.written || x.route.LatencyTarget <= 0 || x.server.cfg.Strategies.Disabled(decision.LatePrompts) {
 		return 0
 	}
 	return placement.FirstByteBudget(x.route.LatencyTarget, now-x.startedAt)
@@ -223,7 +223,7 @@
 	defer s.mu.Unlock()
 	b, ok := s.budgets[service]
 	if !ok {
-		b = limit.NewShare(s.cfg.RetrySpan, s.cfg.RetryRatio*ratioPart, s.cfg.RetrySlack*slackPart/float64(entries))
+		b = limit.NewShare(s.cfg.RetryWindow, s.cfg.RetryRatio*ratioPart, s.cfg.RetrySlack*slackPart/float64(entries))
 		s.budgets[service] = b
 	}
 	return b
--- a/relay/share.go
+++ b/relay/share.go
@@ -47,11 +47,11 @@
 	return clock.Millis(math.Ceil(max(-a.left, 0) * float64(clock.Second) / shareBytes))
 }
 
-// ShareWork tells the entries near by of this one's work at endpoints until the context
+// SendReports tells the entries near by of this one's work at endpoints until the context
 // ends: a long prompt at once, all else now and then. Entries that know only their own
 // work send a prompt where those of others wait, and have its parts read again where
 // another endpoint holds them.
-func (s *Server) ShareWork(ctx context.Context, name string, send func(r *wire.EntryReport, to []string) error) {
+func (s *Server) SendReports(ctx context.Context, name string, send func(r *wire.EntryReport, to []string) error) {
 	spent := allowance{at: s.cfg.Clock.Now()}
 	wholeAt, busy := spent.at, false
 	for s.shareDue(ctx, &spent, wholeAt+sharePause) {
@@ -94,8 +94,8 @@
 	return true
 }
 
-// HearWork takes another entry's word on its work.
-func (s *Server) HearWork(r *wire.EntryReport) {
+// ReceiveReport takes another entry's word on its work.
+func (s *Server) ReceiveReport(r *wire.EntryReport) {
 	if s.hearSnapshot(r) {
 		return
 	}
--- a/relay/snapshot.go
+++ b/relay/snapshot.go
@@ -26,11 +26,11 @@
 	answersWaiting = 8
 )
 
-// AskSnapshot asks one neighbour after another what endpoints keep and how fast models
+// RequestSnapshot asks one neighbour after another what endpoints keep and how fast models
 // read, until one has answered. An entry that knows neither has prompts read again that
 // its neighbours know where to send.
-func (s *Server) AskSnapshot(ctx context.Context, name, address string, send func(r *wire.EntryReport, to []string) error) {
-	if s.cfg.Ways.For(decision.Start) != decision.Snapshot {
+func (s *Server) RequestSnapshot(ctx context.Context, name, address string, send func(r *wire.EntryReport, to []string) error) {
+	if s.cfg.Strategies.For(decision.Start) != decision.Snapshot {
 		return
 	}
 	r := &wire.EntryReport{Process: name, Address: address, AskParts: true, Partial: true}
@@ -52,8 +52,8 @@
 	}
 }
 
-// AnswerSnapshots answers entries that have just started, until the context ends.
-func (s *Server) AnswerSnapshots(ctx context.Context, name string, send func(r *wire.EntryReport, to []string) error) {
+// ServeSnapshots answers entries that have just started, until the context ends.
+func (s *Server) ServeSnapshots(ctx context.Context, name string, send func(r *wire.EntryReport, to []string) error) {
 	for {
 		select {
 		case <-ctx.Done():
--- a/relay/stream.go
+++ b/relay/stream.go
@@ -94,7 +94,7 @@
 	x.events++
 	x.emittedAt = now
 	if e.id != "" {
-		x.req.After, x.req.HasAfter = e.id, true
+		x.req.LastEventID, x.req.Resumes = e.id, true
 	}
 	return nil
 }
