--- a/placement/board.go
+++ b/placement/board.go
@@ -218,7 +218,7 @@
 
 // Load takes an endpoint's own word on its load.
 func (b *Board) Load(id string, held, slots int, now clock.Millis) {
-	b.inflight.Report(&wire.Load{Vm: id, Held: int32(held), Window: int32(slots)}, now)
+	b.inflight.RecordLoad(&wire.Load{Vm: id, Held: int32(held), Window: int32(slots)}, now)
 }
 
 const (
