--- a/quality/plan.go
+++ b/quality/plan.go
@@ -6,13 +6,12 @@
 )
 
 const (
-	// exploreRatings is how many ratings end the exploration of a version that
-	// probably misses the target.
-	exploreRatings = 1000
-	// trial is the part of requests that try a cheaper plan which probably meets
-	// the target. It is no part of the route's explore, since it costs no quality
-	// on average.
-	trial = 0.25
+	// maxExploreRatings is the number of ratings after which a version that probably misses the
+	// target is no longer explored.
+	maxExploreRatings = 1000
+	// trialRatio is the fraction of requests that try a cheaper plan which probably meets the target.
+	// It doesn't count towards the route's explore fraction, since it costs no quality on average.
+	trialRatio = 0.25
 )
 
 // Option is a version that a request may run on.
@@ -20,55 +19,54 @@
 	Version string
 	// Cost is the expected cost of one answer, in micro-units of currency.
 	Cost float64
-	// Prior is the operators' word on the quality.
+	// Prior is the quality that the operators set, between 0 and 1.
 	Prior float64
 	Sum   Sum
 }
 
-// quality estimates the option's own answers.
+// quality estimates the quality of the option's answers.
 func (o Option) quality() Estimate {
 	return estimate(o.Prior, o.Sum.RatingSum, o.Sum.Ratings)
 }
 
-// passing estimates the part of the option's answers that the rater lets pass.
-func (o Option) passing() Estimate {
+// passRate estimates the fraction of the option's answers that the rater accepts in a cascade.
+func (o Option) passRate() Estimate {
 	return estimate(o.quality().Mean, float64(o.Sum.Passed), o.Sum.Judged)
 }
 
-// passed estimates the quality of the answers that passed. The rater lets none
-// pass below the target; before any did, they are taken to lie between the mean
-// and 1.
-func (o Option) passed(target float64) Estimate {
+// passedQuality estimates the quality of the answers that the rater accepted. It accepts none below
+// the target. The prior, for when it has accepted few, is halfway between the mean and 1.
+func (o Option) passedQuality(target float64) Estimate {
 	e := estimate(max((1+o.quality().Mean)/2, target), o.Sum.PassedSum, o.Sum.Passed)
 	return Estimate{Low: max(e.Low, target), Mean: max(e.Mean, target), High: e.High}
 }
 
-// Plan is a way to answer a request: one version, or a first one whose answer
-// the rater judges and a second one that answers again when it is poor.
+// Plan is a way to answer a request: either one version, or a cascade of a first version, whose
+// answer the rater judges, and a second one that answers again if the rater rejects it.
 type Plan struct {
 	First string
-	// Second is empty in a plan of one version.
+	// Second is empty unless the plan is a cascade.
 	Second string
-	// Cost is what a request costs on average, a first step in vain included.
+	// Cost is the average cost of a request in micro-units of currency, rejected first answers
+	// included.
 	Cost    float64
 	Quality Estimate
-	// Trial says that the plan is not known to meet the target and was chosen to
-	// learn of it.
+	// Trial is true if the plan is not known to meet the target and was chosen to collect ratings.
 	Trial bool
-	// ratings is how many ratings of the first version there are.
+	// ratings is the number of ratings of the first version.
 	ratings int64
 }
 
 // Cascade reports whether the plan has a second version.
 func (p Plan) Cascade() bool { return p.Second != "" }
 
-// Plans lists all plans over some options, the cheapest first.
+// Plans lists all plans that the options allow, cheapest first. Cascade allows plans of two versions.
 func Plans(options []Option, target float64, cascade bool) (plans []Plan) {
 	for _, o := range options {
 		plans = append(plans, Plan{First: o.Version, Cost: o.Cost, Quality: o.quality(), ratings: o.Sum.Ratings})
 		for _, second := range options {
 			if cascade && second.Cost > o.Cost {
-				plans = append(plans, cascadeOf(o, second, target))
+				plans = append(plans, newCascade(o, second, target))
 			}
 		}
 	}
@@ -78,27 +76,28 @@
 	return plans
 }
 
-func cascadeOf(first, second Option, target float64) Plan {
-	pass, good, again := first.passing().Mean, first.passed(target), second.quality()
+func newCascade(first, second Option, target float64) Plan {
+	pass, accepted, repeated := first.passRate().Mean, first.passedQuality(target), second.quality()
 	mix := func(a, b float64) float64 { return pass*a + (1-pass)*b }
 	return Plan{
 		First: first.Version, Second: second.Version,
 		Cost:    first.Cost + (1-pass)*second.Cost,
-		Quality: Estimate{Low: mix(good.Low, again.Low), Mean: mix(good.Mean, again.Mean), High: mix(good.High, again.High)},
+		Quality: Estimate{Low: mix(accepted.Low, repeated.Low), Mean: mix(accepted.Mean, repeated.Mean), High: mix(accepted.High, repeated.High)},
 		ratings: first.Sum.Ratings,
 	}
 }
 
-// Choose orders the plans that a request may use, the best first: the cheapest
-// whose lower bound meets the target, then the next ones for when no endpoint
-// can take it. No plan that misses the target stands among them, so that load
-// never lowers the quality below it. When the bounds of all plans miss, the one
-// with the highest bound stands alone if the target lies within its bounds; no
-// plan is left when none can meet it.
+// Choose lists the plans that a request may use, best first: the cheapest one whose lower bound
+// meets the target, then the next cheapest ones, which are used if no endpoint can run the first.
+// Apart from a trial, no plan in the list misses the target, so high load never lowers the quality
+// below it. If the lower bounds of all plans miss the target, the list has only the plan with the
+// highest lower bound among those whose upper bound meets it. The list is empty if no plan can meet
+// the target.
 //
-// Draw is a number of the request's own in [0, 1). Below trial it puts the
-// cheapest plan first that probably meets the target but is not known to, and
-// below explore even one that probably does not but may.
+// Plans must be sorted by cost. Draw is a random number in [0, 1) that is fixed for the request.
+// Below trialRatio, the cheapest plan that probably meets the target but isn't known to do so is
+// put first as a trial; below explore, even one that probably misses the target but may meet it.
+// An explore of 0 turns trials off.
 func Choose(plans []Plan, target, explore, draw float64) (out []Plan) {
 	for _, p := range plans {
 		if p.Quality.Low >= target {
@@ -106,13 +105,13 @@
 		}
 	}
 	if len(out) == 0 {
-		return closest(plans, target)
+		return closestToTarget(plans, target)
 	}
 	for _, p := range plans {
 		if p.Cost >= out[0].Cost {
 			break
 		}
-		if p.open(target, explore, draw) {
+		if p.mayTry(target, explore, draw) {
 			p.Trial = true
 			return append([]Plan{p}, out...)
 		}
@@ -120,15 +119,16 @@
 	return out
 }
 
-// open reports whether a request with this draw may try the plan.
-func (p Plan) open(target, explore, draw float64) bool {
+// mayTry reports whether a request with this draw may use the plan as a trial.
+func (p Plan) mayTry(target, explore, draw float64) bool {
 	if p.Quality.Mean >= target {
-		return draw < trial && explore > 0
+		return draw < trialRatio && explore > 0
 	}
-	return draw < explore && p.Quality.High >= target && p.ratings < exploreRatings
+	return draw < explore && p.Quality.High >= target && p.ratings < maxExploreRatings
 }
 
-func closest(plans []Plan, target float64) (out []Plan) {
+// closestToTarget returns the plan with the highest lower bound among those that may meet the target.
+func closestToTarget(plans []Plan, target float64) (out []Plan) {
 	for _, p := range plans {
 		if p.Quality.High < target {
 			continue
--- a/quality/plan_test.go
+++ b/quality/plan_test.go
@@ -10,13 +10,12 @@
 	"pgregory.net/rapid"
 )
 
-var cheap = Option{Version: "cheap@1", Cost: 1, Prior: 0.7}
+var cheapOption = Option{Version: "cheap@1", Cost: 1, Prior: 0.7}
 
-var dear = Option{Version: "dear@1", Cost: 10, Prior: 0.95}
+var costlyOption = Option{Version: "dear@1", Cost: 10, Prior: 0.95}
 
-// Whatever the raters said, no plan may run that is known to miss the target,
-// except the one on trial, and that only for draws within its bound. Otherwise
-// load, which walks down the list, would lower the quality below the target.
+// Under load a request uses later plans of the list. If the list had plans that miss the target,
+// load would lower the quality below it. Only a trial may miss it, and only for draws that allow one.
 func TestNoPlanBelowTheTarget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		is := is.New(t)
@@ -33,7 +32,7 @@
 			switch {
 			case p.Trial:
 				is.True(i == 0 && p.Quality.High >= target)
-				is.True(draw < 0.02 || p.Quality.Mean >= target && draw < trial)
+				is.True(draw < 0.02 || p.Quality.Mean >= target && draw < trialRatio)
 			case len(chosen) > 1:
 				is.True(p.Quality.Low >= target)
 			default:
@@ -43,61 +42,61 @@
 	})
 }
 
-// A cascade looks cheap by its first step. When that step mostly fails, the
-// request pays for both, and the dear version alone is the cheaper way.
+// A cascade seems cheap by its first step. If the rater rejects most first answers, requests pay for
+// both versions, and the costly version alone is cheaper.
 func TestCascadeCostIncludesFailedFirstStep(t *testing.T) {
 	is := is.New(t)
-	poor := cheap
+	poor := cheapOption
 	poor.Sum = Sum{Ratings: 1000, RatingSum: 20, Judged: 1000, Passed: 20, PassedSum: 20}
-	is.Equal(Choose(Plans([]Option{poor, dear}, 0.9, true), 0.9, 0, 0)[0].Second, "")
-	good := cheap
+	is.Equal(Choose(Plans([]Option{poor, costlyOption}, 0.9, true), 0.9, 0, 0)[0].Second, "")
+	good := cheapOption
 	good.Sum = Sum{Ratings: 1000, RatingSum: 700, Judged: 1000, Passed: 700, PassedSum: 700}
-	first := Choose(Plans([]Option{good, dear}, 0.9, true), 0.9, 0, 0)[0]
+	first := Choose(Plans([]Option{good, costlyOption}, 0.9, true), 0.9, 0, 0)[0]
 	is.Equal(first.Second, "dear@1")
 	is.True(first.Cost > 1+0.25*10 && first.Cost < 1+0.35*10)
 }
 
-// The operators think too well of the cheap version. Ratings come late, and from
-// then on it must not be used although its prior still meets the target.
+// The operators set the quality of the cheap version too high. Once there are ratings that show it,
+// the version must not be used although its prior still meets the target.
 func TestRatingsOutweighThePrior(t *testing.T) {
 	is := is.New(t)
-	praised := cheap
-	praised.Prior = 0.9
-	is.Equal(Choose(Plans([]Option{praised, dear}, 0.85, false), 0.85, 0, 0)[0].First, "cheap@1")
-	praised.Sum = Sum{Ratings: 100, RatingSum: 65}
-	is.Equal(Choose(Plans([]Option{praised, dear}, 0.85, false), 0.85, 0, 0)[0].First, "dear@1")
+	overrated := cheapOption
+	overrated.Prior = 0.9
+	is.Equal(Choose(Plans([]Option{overrated, costlyOption}, 0.85, false), 0.85, 0, 0)[0].First, "cheap@1")
+	overrated.Sum = Sum{Ratings: 100, RatingSum: 65}
+	is.Equal(Choose(Plans([]Option{overrated, costlyOption}, 0.85, false), 0.85, 0, 0)[0].First, "dear@1")
 }
 
-// Judges' sums reach an entry twice, late and from a judge that began anew and
-// knows less. The entry must keep the sum that rests on most ratings.
+// Judges' sums reach an entry twice, late, and from a judge that restarted and has fewer ratings.
+// The entry must keep the sum with the most ratings.
 func TestSumWithMostRatingsIsKept(t *testing.T) {
 	is := is.New(t)
 	s := NewState()
-	hear := func(n int64, sum float64) {
+	receive := func(n int64, sum float64) {
 		s.Reduce(event.DigestReceived{Digest: &wire.Digest{Estimates: []*wire.Estimate{{Route: "r", Version: "m@1", Ratings: n, RatingSum: sum}}}}, nil)
 	}
-	hear(100, 80)
-	hear(40, 10)
-	hear(100, 80)
-	hear(200, 900) // no possible sum
+	receive(100, 80)
+	receive(40, 10)
+	receive(100, 80)
+	receive(200, 900) // exceeds the number of ratings
 	s.Reduce(event.Rated{}, []evidence.Delta{{Key: evidence.Key{Route: "r", Version: "m@1"}, Tally: evidence.Tally{Ratings: 1, RatingSum: 1}}})
 	is.Equal(s.Snapshot().Sum(Key{"r", "m@1"}).RatingSum, 80.0)
 }
 
-// Nearly all answers are of a version known well. The few of a young one must
-// still find room in the rater's limit.
+// Nearly all answers come from an established version and use up the sample rate. The few answers
+// of a new version must still be sampled.
 func TestSamplerReservesCapacityForNewVersions(t *testing.T) {
 	is := is.New(t)
 	s := NewSampler()
 	for range 10_000 {
-		s.Sample(0, youngRatings, false)
+		s.Sample(0, establishedRatings, false)
 	}
 	is.True(s.Sample(0, 0, false))
-	taken := 0
+	sampled := 0
 	for range 10_000 {
 		if s.Sample(0, 0, false) {
-			taken++
+			sampled++
 		}
 	}
-	is.True(taken < sampleBurst) // and the limit holds
+	is.True(sampled < sampleBurst) // the rate stays bounded
 }
--- a/quality/sampler.go
+++ b/quality/sampler.go
@@ -1,5 +1,5 @@
-// Package quality estimates how good versions are from late and lossy ratings,
-// and finds the cheapest plan that meets a route's quality target.
+// Package quality estimates the quality of versions from ratings that may be late or lost, and
+// finds the cheapest plan that meets a route's quality target.
 package quality
 
 import (
@@ -9,49 +9,48 @@
 )
 
 const (
-	// samplesPerSecond bounds the answers that one entry hands to the rater.
+	// samplesPerSecond bounds the answers that one entry sends to the rater.
 	samplesPerSecond = 4.0
-	// sampleBurst is how many it may hand over at once.
+	// sampleBurst is how many answers it may send at once.
 	sampleBurst = 20.0
-	// youngRatings is how many ratings a version must have before it counts as
-	// well known.
-	youngRatings = 400
-	// knownReserve is the part of the bucket that well known versions leave to
-	// young ones.
-	knownReserve = 0.7
-	// knownEvery samples one in so many answers of a well known version.
-	knownEvery = 10
+	// establishedRatings is how many ratings make a version an established one.
+	establishedRatings = 400
+	// establishedReserve is the fraction of the bucket that established versions leave to new ones.
+	establishedReserve = 0.7
+	// establishedInterval is the number of answers of established versions per sampled one.
+	establishedInterval = 10
 )
 
-// Sampler chooses the answers that go to the rater. It bounds their rate and
-// prefers versions of which little is known. It never looks at how an answer
-// came out, so that the ratings speak for all answers.
+// Sampler chooses the answers that are sent to the rater. It bounds their rate with a token bucket
+// and prefers versions with few ratings. It chooses before the answer exists, so the sample is not
+// biased by the outcome. It is safe for concurrent use.
 type Sampler struct {
-	mu     sync.Mutex
-	tokens float64
-	last   clock.Millis
-	turn   int
+	mu         sync.Mutex
+	tokens     float64
+	refilledAt clock.Millis
+	// establishedAnswers counts the answers of established versions.
+	establishedAnswers int
 }
 
-// NewSampler makes a sampler with a full bucket.
+// NewSampler returns a sampler with a full bucket.
 func NewSampler() *Sampler { return &Sampler{tokens: sampleBurst} }
 
-// Sample reports whether the answer about to be made is sampled. Ratings is how
-// many ratings the version has; a version on trial is sampled like a young one.
+// Sample reports whether the next answer is to be rated. Ratings is the number of ratings of the
+// version; a version on trial is sampled like a new one.
 func (s *Sampler) Sample(now clock.Millis, ratings int64, trial bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.tokens = min(s.tokens+samplesPerSecond*float64(now-s.last)/float64(clock.Second), sampleBurst)
-	s.last = now
-	least := 1.0
-	if ratings >= youngRatings && !trial {
-		s.turn++
-		least += knownReserve * sampleBurst
-		if s.turn%knownEvery != 0 {
+	s.tokens = min(s.tokens+samplesPerSecond*float64(now-s.refilledAt)/float64(clock.Second), sampleBurst)
+	s.refilledAt = now
+	required := 1.0
+	if ratings >= establishedRatings && !trial {
+		s.establishedAnswers++
+		required += establishedReserve * sampleBurst
+		if s.establishedAnswers%establishedInterval != 0 {
 			return false
 		}
 	}
-	if s.tokens < least {
+	if s.tokens < required {
 		return false
 	}
 	s.tokens--
