--- a/choice/affinity.go
+++ b/choice/affinity.go
@@ -8,62 +8,61 @@
 )
 
 const (
-	// maxPrefixes bounds the remembered prefixes; the least recently used falls
-	// out first.
+	// maxPrefixes bounds the stored prefixes; the least recently used one is evicted first.
 	maxPrefixes = 16384
-	// prefixLife is how long an engine may be hoped to keep a prefix unused.
-	prefixLife = 5 * clock.Minute
+	// prefixLifetime is how long an engine is expected to cache an unused prefix.
+	prefixLifetime = 5 * clock.Minute
 )
 
-// Affinity remembers which endpoint ran a prompt prefix last, and so probably
-// has it in its cache.
+// Affinity records which endpoint ran a prompt prefix last and so probably has it in its cache. It
+// is safe for concurrent use.
 type Affinity struct {
 	mu    sync.Mutex
 	order *list.List
-	// places holds at most maxPrefixes elements of order.
-	places map[uint64]*list.Element
+	// entries holds at most maxPrefixes elements of order.
+	entries map[uint64]*list.Element
 }
 
-type place struct {
+type affinityEntry struct {
 	prefix uint64
-	vm     string
+	vmID   string
 	usedAt clock.Millis
 }
 
-// NewAffinity makes an empty memory.
+// NewAffinity returns an Affinity without any prefixes.
 func NewAffinity() *Affinity {
-	return &Affinity{order: list.New(), places: make(map[uint64]*list.Element)}
+	return &Affinity{order: list.New(), entries: make(map[uint64]*list.Element)}
 }
 
-// Find returns the endpoint that probably has a prefix, or "".
+// Find returns the ID of the VM whose endpoint probably has the prefix in its cache, or "".
 func (a *Affinity) Find(prefix uint64, now clock.Millis) (vm string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	e, ok := a.places[prefix]
+	e, ok := a.entries[prefix]
 	if !ok {
 		return ""
 	}
-	p := e.Value.(*place)
-	if now-p.usedAt > prefixLife {
+	p := e.Value.(*affinityEntry)
+	if now-p.usedAt > prefixLifetime {
 		return ""
 	}
-	return p.vm
+	return p.vmID
 }
 
-// RecordUse notes that an endpoint runs a prefix.
+// RecordUse records that the endpoint on a VM runs a prompt with this prefix.
 func (a *Affinity) RecordUse(prefix uint64, vm string, now clock.Millis) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if e, ok := a.places[prefix]; ok {
-		p := e.Value.(*place)
-		p.vm, p.usedAt = vm, now
+	if e, ok := a.entries[prefix]; ok {
+		p := e.Value.(*affinityEntry)
+		p.vmID, p.usedAt = vm, now
 		a.order.MoveToFront(e)
 		return
 	}
-	a.places[prefix] = a.order.PushFront(&place{prefix, vm, now})
+	a.entries[prefix] = a.order.PushFront(&affinityEntry{prefix, vm, now})
 	if a.order.Len() > maxPrefixes {
 		last := a.order.Back()
 		a.order.Remove(last)
-		delete(a.places, last.Value.(*place).prefix)
+		delete(a.entries, last.Value.(*affinityEntry).prefix)
 	}
 }
--- a/choice/endpoint.go
+++ b/choice/endpoint.go
@@ -11,60 +11,62 @@
 	"github.com/parsleydeal/parsleydeal/view"
 )
 
-// affinitySlack is how much fuller, in parts of its window, an endpoint may be
-// that probably has the prompt's prefix in its cache.
+// affinitySlack is how much higher the load of the preferred endpoint of a session or prefix may be
+// than that of the endpoint it replaces, as a fraction of the endpoint's window.
 const affinitySlack = 0.5
 
-// Query asks for an endpoint.
+// Query describes the request that SelectEndpoint selects an endpoint for.
 type Query struct {
-	// Pools are the names of the pools that may serve.
+	// Pools are the names of the pools that may serve the request.
 	Pools []string
-	// Avoid holds VMs that this request has tried.
+	// Avoid holds the IDs of VMs that this request has already tried.
 	Avoid map[string]bool
-	// Seed draws the endpoints that are compared.
+	// Seed selects at random the endpoints that are compared, and whether the request may go to a
+	// zone that is ramping up.
 	Seed uint64
 	Now  clock.Millis
-	// SessionVM is the VM that ran the session before, and Prefix names the prompt's
-	// prefix; "" and 0 when there is none.
+	// SessionVM is the ID of the VM that ran the session before, and Prefix the hash of the
+	// prompt's prefix; "" and 0 if there is none.
 	SessionVM string
 	Prefix    uint64
 }
 
-// open is an endpoint that may receive new work.
-type open struct {
+// candidate is an endpoint that may receive new work.
+type candidate struct {
 	vm provider.VM
-	// window is what an endpoint is taken to hold before its own word came.
-	window int
-	// heard is its word by way of control, or nil.
-	heard *wire.Load
-	// suspected says that control could not reach it lately.
+	// coldWindow is the assumed window of an endpoint that has not reported one.
+	coldWindow int
+	// controlLoad is the last load report that control received, or nil.
+	controlLoad *wire.Load
+	// suspected is true if recent calls to the VM failed.
 	suspected bool
 }
 
-func openOf(v *view.View, pool table.Pool, vm provider.VM) open {
-	return open{vm: vm, window: pool.ColdWindow, heard: v.Members().Load(vm.ID), suspected: v.Members().Suspected(vm.ID)}
+func newCandidate(v *view.View, pool table.Pool, vm provider.VM) candidate {
+	return candidate{vm: vm, coldWindow: pool.ColdWindow, controlLoad: v.Members().Load(vm.ID), suspected: v.Members().Suspected(vm.ID)}
 }
 
-// SelectEndpoint picks the endpoint of a request: its session's home, or the one that
-// ran its prefix last, unless that is much fuller than the emptier of two drawn
-// by the seed; else that one. Two drawn ones are compared rather than all, since
-// loads are known late: all entries would rush to the same emptiest endpoint.
+// SelectEndpoint selects the endpoint of a request; ok is false if there is none. It draws two
+// endpoints at random by the seed and takes the less loaded one. The endpoint that ran the session,
+// or else the one that ran the prefix last, is preferred to it unless it is full or its load is
+// higher by more than affinitySlack. It compares two endpoints rather than all because loads are
+// known with a delay: otherwise all entries would send to the same least loaded endpoint at once.
 func SelectEndpoint(v *view.View, f *Inflight, a *Affinity, q Query) (vm provider.VM, ok bool) {
 	all := candidates(v, q)
 	if len(all) == 0 {
 		return vm, false
 	}
-	best, load := drawTwo(all, f, q)
+	best, load := lessLoadedOfTwo(all, f, q)
 	if load >= 1 {
-		best, load = emptiest(append(all, reachable(v, q)...), f, q.Now)
+		best, load = leastLoaded(append(all, rampingCandidates(v, q)...), f, q.Now)
 	}
-	for _, id := range [...]string{q.SessionVM, a.find(q)} {
-		kept, found := find(v, q, id)
+	for _, id := range [...]string{q.SessionVM, a.findPrefix(q)} {
+		preferred, found := findCandidate(v, q, id)
 		if !found {
 			continue
 		}
-		if part := loadOf(kept, f, q.Now); part < 1 && part <= load+affinitySlack {
-			best = kept
+		if preferredLoad := comparedLoad(preferred, f, q.Now); preferredLoad < 1 && preferredLoad <= load+affinitySlack {
+			best = preferred
 			break
 		}
 	}
@@ -74,77 +76,76 @@
 	return best.vm, true
 }
 
-func (a *Affinity) find(q Query) string {
+func (a *Affinity) findPrefix(q Query) string {
 	if q.Prefix == 0 {
 		return ""
 	}
 	return a.Find(q.Prefix, q.Now)
 }
 
-// loadOf is the load by which endpoints are compared; one that could not be
-// reached lately comes after all others.
-func loadOf(o open, f *Inflight, now clock.Millis) float64 {
-	if o.suspected {
+// comparedLoad returns the load by which candidates are compared, where 1 is full. It is infinite
+// for an endpoint that could not be reached recently, so that all others are preferred.
+func comparedLoad(c candidate, f *Inflight, now clock.Millis) float64 {
+	if c.suspected {
 		return math.Inf(1)
 	}
-	part, ok := f.load(o.vm.ID, o.window, o.heard, now)
+	load, ok := f.load(c.vm.ID, c.coldWindow, c.controlLoad, now)
 	if !ok {
 		return math.Inf(1)
 	}
-	return part
+	return load
 }
 
-func drawTwo(all []open, f *Inflight, q Query) (best open, load float64) {
+func lessLoadedOfTwo(all []candidate, f *Inflight, q Query) (best candidate, load float64) {
 	n := uint64(len(all))
 	first := mix(q.Seed) % n
 	second := (first + 1 + mix(q.Seed+1)%max(n-1, 1)) % n
 	a, b := all[first], all[second]
-	la, lb := loadOf(a, f, q.Now), loadOf(b, f, q.Now)
+	la, lb := comparedLoad(a, f, q.Now), comparedLoad(b, f, q.Now)
 	if lb < la {
 		return b, lb
 	}
 	return a, la
 }
 
-func emptiest(all []open, f *Inflight, now clock.Millis) (best open, load float64) {
+func leastLoaded(all []candidate, f *Inflight, now clock.Millis) (best candidate, load float64) {
 	best, load = all[0], math.Inf(1)
-	for _, o := range all {
-		if part := loadOf(o, f, now); part < load {
-			best, load = o, part
+	for _, c := range all {
+		if l := comparedLoad(c, f, now); l < load {
+			best, load = c, l
 		}
 	}
 	return best, load
 }
 
-// find returns a usable endpoint by its VM, also one outside the subset: the
-// balancer may hand a session from entry to entry.
-func find(v *view.View, q Query, id string) (o open, found bool) {
+// findCandidate returns a usable endpoint by its VM ID. It may be outside this entry's subsets,
+// since the load balancer may move a session from one entry to another.
+func findCandidate(v *view.View, q Query, id string) (c candidate, found bool) {
 	if id == "" || q.Avoid[id] {
-		return o, false
+		return c, false
 	}
 	for _, name := range q.Pools {
 		pool := v.Tables().Pools[name]
 		for _, vm := range v.Members().Pool(name) {
 			if vm.ID == id {
-				return openOf(v, pool, vm), usable(v, pool, vm) && !v.Members().Suspected(id) && inShare(v, vm.Zone, q)
+				return newCandidate(v, pool, vm), usable(v, pool, vm) && !v.Members().Suspected(id) && inZoneShare(v, vm.Zone, q)
 			}
 		}
 	}
-	return o, false
+	return c, false
 }
 
-// candidates lists the endpoints of the entry's subsets that may receive new
-// work; when there are none, those of the whole pools, and then also those of
-// zones that came back and whose share the request is not in.
+// candidates lists the endpoints of the entry's subsets that may receive new work. If there are
+// none, it widens the search to the full pools, then to zones that are ramping up and whose share
+// does not include the request.
 //
-// Endpoints that could not be reached lately come last of all. When nothing else
-// is left they are asked all the same: a stall of this process or its network
-// makes all of them suspected at once, and refusing every request until the
-// suspicion lapses would turn a moment's stall into an outage.
-func candidates(v *view.View, q Query) (all []open) {
-	for _, r := range [...]reach{{}, {whole: true}, {whole: true, ramping: true}, {whole: true, ramping: true, suspected: true}} {
+// Suspected endpoints are the last resort. They are used if nothing else is left, because a stall
+// of this process or its network makes all endpoints suspected at once, and refusing every request
+// until the suspicion expires would turn a short stall into an outage.
+func candidates(v *view.View, q Query) (all []candidate) {
+	for _, scope := range [...]searchScope{{}, {wholePool: true}, {wholePool: true, rampingZones: true}, {wholePool: true, rampingZones: true, suspectedVMs: true}} {
 		for _, name := range q.Pools {
-			all = usables(all, v, name, q, r)
+			all = appendCandidates(all, v, name, q, scope)
 		}
 		if len(all) > 0 {
 			break
@@ -153,43 +154,45 @@
 	return all
 }
 
-// reach says how far to look for endpoints.
-type reach struct {
-	// whole looks beyond the entry's subsets.
-	whole bool
-	// ramping takes zones that came back in which the request has no share.
-	ramping bool
-	// suspected takes endpoints that could not be reached lately.
-	suspected bool
+// searchScope limits the search for endpoints. The zero value is the narrowest.
+type searchScope struct {
+	// wholePool includes endpoints outside the entry's subsets.
+	wholePool bool
+	// rampingZones includes zones that are ramping up and whose share does not include the request.
+	rampingZones bool
+	// suspectedVMs includes endpoints to which recent calls failed.
+	suspectedVMs bool
 }
 
-// reachable lists the endpoints of the subsets in all zones. When the drawn ones
-// are full, holding work back from a zone that came back would overrun those
-// that stayed; its gates say what it can take.
-func reachable(v *view.View, q Query) (all []open) {
+// rampingCandidates lists the endpoints of the subsets in all zones, ramping ones included. If the
+// drawn endpoints are full, limiting the share of a ramping zone would overload the other zones;
+// the gates of its endpoints bound what it takes.
+func rampingCandidates(v *view.View, q Query) (all []candidate) {
 	for _, name := range q.Pools {
-		all = usables(all, v, name, q, reach{ramping: true})
+		all = appendCandidates(all, v, name, q, searchScope{rampingZones: true})
 	}
 	return all
 }
 
-// inShare reports whether a request may go to a zone that came back: it does
-// when its draw for that zone lies within the part the zone gets by now.
-func inShare(v *view.View, zone string, q Query) bool {
-	const fraction = 1 << 53
-	draw := float64(mix(q.Seed^xxhash.Sum64String(zone))>>11) / fraction
+// inZoneShare reports whether a request may go to a zone: its draw for that zone must lie within
+// the fraction of the zone's share that the ramp allows by now.
+func inZoneShare(v *view.View, zone string, q Query) bool {
+	const resolution = 1 << 53
+	draw := float64(mix(q.Seed^xxhash.Sum64String(zone))>>11) / resolution
 	return draw < v.Zones().Fraction(zone, q.Now)
 }
 
-func usables(all []open, v *view.View, name string, q Query, r reach) []open {
+// appendCandidates appends the endpoints of a pool within the scope. The share of a ramping zone
+// binds only the first attempt of a request.
+func appendCandidates(all []candidate, v *view.View, name string, q Query, scope searchScope) []candidate {
 	pool := v.Tables().Pools[name]
-	for _, vm := range v.Subset(name, r.whole) {
+	for _, vm := range v.Subset(name, scope.wholePool) {
 		switch {
 		case q.Avoid[vm.ID], !usable(v, pool, vm):
-		case !r.suspected && v.Members().Suspected(vm.ID):
-		case !r.ramping && len(q.Avoid) == 0 && !inShare(v, vm.Zone, q):
+		case !scope.suspectedVMs && v.Members().Suspected(vm.ID):
+		case !scope.rampingZones && len(q.Avoid) == 0 && !inZoneShare(v, vm.Zone, q):
 		default:
-			all = append(all, openOf(v, pool, vm))
+			all = append(all, newCandidate(v, pool, vm))
 		}
 	}
 	return all
--- a/choice/endpoint_test.go
+++ b/choice/endpoint_test.go
@@ -23,7 +23,7 @@
 	return out
 }
 
-func viewOf(endpoints []provider.VM, out ...string) *view.View {
+func newView(endpoints []provider.VM, out ...string) *view.View {
 	s := membership.New("test")
 	s.Reduce(event.VMsListed{VMs: endpoints})
 	t := &table.Tables{Pools: map[string]table.Pool{"p": {ColdWindow: 2, FullWindow: 10}}, Zones: map[string]table.Site{}}
@@ -33,8 +33,8 @@
 	return view.New(t, 0, 0, s.Members(), false)
 }
 
-// picks counts the endpoints that many requests get.
-func picks(v *view.View, f *Inflight, a *Affinity, q Query) map[string]int {
+// countSelections counts, by endpoint, how often 400 requests select it.
+func countSelections(v *view.View, f *Inflight, a *Affinity, q Query) map[string]int {
 	out := make(map[string]int)
 	for seed := range uint64(400) {
 		q.Pools, q.Seed = []string{"p"}, seed*7919
@@ -46,75 +46,75 @@
 	return out
 }
 
-// A VM has vanished and the platform's list still has it. Each request that
-// chooses it loses a try; after the first failure it must be left alone, yet be
-// tried again later, and be used when there is no other.
+// A VM no longer exists, but the platform's list still has it. Each request that selects it wastes
+// an attempt. After the first failure it must not be selected for a while, unless there is no
+// other.
 func TestUnreachableEndpointIsAvoided(t *testing.T) {
 	is := is.New(t)
-	v := viewOf(vms(provider.EndpointRole, 4, 2))
+	v := newView(vms(provider.EndpointRole, 4, 2))
 	f := NewInflight()
 	f.RecordUnreachable("endpoint-1", 0)
-	is.Equal(picks(v, f, NewAffinity(), Query{Now: 1})["endpoint-1"], 0)
-	is.True(picks(v, f, NewAffinity(), Query{Now: lostFirst})["endpoint-1"] > 0)
+	is.Equal(countSelections(v, f, NewAffinity(), Query{Now: 1})["endpoint-1"], 0)
+	is.True(countSelections(v, f, NewAffinity(), Query{Now: minBackoff})["endpoint-1"] > 0)
 	avoid := map[string]bool{"endpoint-0": true, "endpoint-2": true, "endpoint-3": true}
-	is.Equal(picks(v, f, NewAffinity(), Query{Now: 1, Avoid: avoid})["endpoint-1"], 400)
+	is.Equal(countSelections(v, f, NewAffinity(), Query{Now: 1, Avoid: avoid})["endpoint-1"], 400)
 }
 
-// A session comes back. Its home has its cache and must get it, unless the home
-// is full or its zone was taken out; then any other one does.
+// The endpoint that ran a session has its prompt cached. It must get the session's next request,
+// unless it is full or its zone was taken out of service.
 func TestSessionStaysOnItsEndpointIfUsable(t *testing.T) {
 	is := is.New(t)
 	all := vms(provider.EndpointRole, 4, 4)
 	f := NewInflight()
 	q := Query{SessionVM: "endpoint-2"}
-	is.Equal(picks(viewOf(all), f, NewAffinity(), q)["endpoint-2"], 400)
-	is.Equal(picks(viewOf(all, "z2"), f, NewAffinity(), q)["endpoint-2"], 0)
+	is.Equal(countSelections(newView(all), f, NewAffinity(), q)["endpoint-2"], 400)
+	is.Equal(countSelections(newView(all, "z2"), f, NewAffinity(), q)["endpoint-2"], 0)
 	f.RecordLoad(&wire.Load{Vm: "endpoint-2", Held: 10, Window: 10}, 0)
-	is.Equal(picks(viewOf(all), f, NewAffinity(), q)["endpoint-2"], 0)
+	is.Equal(countSelections(newView(all), f, NewAffinity(), q)["endpoint-2"], 0)
 }
 
-// Many callers share a long prompt. It must go where it is cached, but not all
-// to one endpoint while the others stand idle.
+// Many callers share a long prompt. It must go to the endpoint that has it cached, but must not
+// overload that endpoint while others are idle.
 func TestPrefixAffinityYieldsToLoad(t *testing.T) {
 	is := is.New(t)
-	v := viewOf(vms(provider.EndpointRole, 4, 1))
+	v := newView(vms(provider.EndpointRole, 4, 1))
 	f, a := NewInflight(), NewAffinity()
 	a.RecordUse(9, "endpoint-3", 0)
 	f.RecordLoad(&wire.Load{Vm: "endpoint-3", Held: 3, Window: 10}, 0)
-	is.Equal(picks(v, f, a, Query{Prefix: 9})["endpoint-3"], 400)
+	is.Equal(countSelections(v, f, a, Query{Prefix: 9})["endpoint-3"], 400)
 	f.Add("endpoint-3", 6)
-	is.True(picks(v, f, a, Query{Prefix: 9})["endpoint-3"] == 0)
+	is.True(countSelections(v, f, a, Query{Prefix: 9})["endpoint-3"] == 0)
 	a.RecordUse(9, "endpoint-3", 0)
-	is.Equal(a.Find(9, prefixLife+1), "") // the engine has dropped it by then
+	is.Equal(a.Find(9, prefixLifetime+1), "") // the engine has probably evicted it
 }
 
-// A report left an endpoint empty and arrives after this entry sent it twenty
-// requests. Believing it would send the next twenty there too.
+// An idle endpoint sends a load report, which arrives after this entry has sent it many requests.
+// Taking the report at face value would send it as many again.
 func TestLateReportDoesNotHideOwnRequests(t *testing.T) {
 	is := is.New(t)
-	v := viewOf(vms(provider.EndpointRole, 2, 1))
+	v := newView(vms(provider.EndpointRole, 2, 1))
 	f := NewInflight()
 	f.RecordLoad(&wire.Load{Vm: "endpoint-1", Held: 3, Window: 10}, 0)
 	f.Add("endpoint-0", 8)
 	f.RecordLoad(&wire.Load{Vm: "endpoint-0", Held: 0, Window: 10, Sequence: 1}, 0)
-	is.Equal(picks(v, f, NewAffinity(), Query{})["endpoint-0"], 0)
+	is.Equal(countSelections(v, f, NewAffinity(), Query{})["endpoint-0"], 0)
 }
 
-// An endpoint was full when it last answered, and since then nobody asks it. Its
-// word must lose its weight, or it would never be asked again.
+// An endpoint was full when it last answered and has received no request since. If its report did
+// not lose weight, it would never be selected again.
 func TestOldLoadReportDecays(t *testing.T) {
 	is := is.New(t)
-	v := viewOf(vms(provider.EndpointRole, 2, 1))
+	v := newView(vms(provider.EndpointRole, 2, 1))
 	f := NewInflight()
 	f.RecordLoad(&wire.Load{Vm: "endpoint-0", Held: 10, Window: 10}, 0)
 	f.RecordLoad(&wire.Load{Vm: "endpoint-1", Held: 2, Window: 10}, 0)
-	is.Equal(picks(v, f, NewAffinity(), Query{Now: 1})["endpoint-0"], 0)
+	is.Equal(countSelections(v, f, NewAffinity(), Query{Now: 1})["endpoint-0"], 0)
 	f.RecordLoad(&wire.Load{Vm: "endpoint-1", Held: 2, Window: 10}, 10*halfLife)
-	is.True(picks(v, f, NewAffinity(), Query{Now: 10 * halfLife})["endpoint-0"] > 0)
+	is.True(countSelections(v, f, NewAffinity(), Query{Now: 10 * halfLife})["endpoint-0"] > 0)
 }
 
-// Each process computes the subsets by itself, from lists in any order. They
-// must agree, load all endpoints evenly and keep a foot in another zone.
+// Each process computes the subsets by itself, from lists in any order. They must agree, load all
+// endpoints evenly and include another zone.
 func TestSubsetsAgreeAndBalance(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		is := is.New(t)
@@ -138,14 +138,13 @@
 		}
 		mean := float64(len(entries)*min(subsetSize, len(pool))) / float64(len(pool))
 		for _, n := range counts {
-			is.True(float64(n) <= slack*mean+2)
+			is.True(float64(n) <= shareSlack*mean+2)
 		}
 	})
 }
 
-// The list loses one endpoint of many. Only its own places may be filled anew,
-// beside a few that these push on; otherwise every change of the list would
-// close connections and forget loads everywhere.
+// One endpoint of many is removed from the list. Only its slots and a few more may be reassigned;
+// otherwise every change of the list would close connections and discard loads at all entries.
 func TestSubsetsChangeLittleWhenEndpointIsRemoved(t *testing.T) {
 	is := is.New(t)
 	entries, pool := vms(provider.EntryRole, 100, 4), vms(provider.EndpointRole, 310, 4)
@@ -165,22 +164,23 @@
 	is.True(changed < 100*subsetSize/50)
 }
 
-// Control heard an endpoint's load by another way, since no answer came from it
-// for long. It must count, but never against a newer word of its own.
+// No answer has come from an endpoint for a while, but control received its load. That load must be
+// used, but must not replace a newer report from an answer.
 func TestControlLoadUsedWhenAnswersAreOld(t *testing.T) {
 	is := is.New(t)
 	f := NewInflight()
-	heard := &wire.Load{Vm: "e", Held: 9, Window: 10, Sequence: 5}
-	part, _ := f.load("e", 2, heard, 0)
-	is.Equal(part, 0.9)
+	controlLoad := &wire.Load{Vm: "e", Held: 9, Window: 10, Sequence: 5}
+	load, _ := f.load("e", 2, controlLoad, 0)
+	is.Equal(load, 0.9)
 	f.RecordLoad(&wire.Load{Vm: "e", Held: 0, Window: 10, Sequence: 6}, 10*clock.Second)
-	part, _ = f.load("e", 2, heard, 10*clock.Second+1)
-	is.Equal(part, 0.0)
+	load, _ = f.load("e", 2, controlLoad, 10*clock.Second+1)
+	is.Equal(load, 0.0)
 }
 
-// A zone came back a moment ago. New work must go there only in part, though its
-// endpoints look emptiest; yet when the others are full its gates decide, or the
-// zones that stayed would be overrun.
+// A zone has just returned and its endpoints are the least loaded. Only part of its share of new
+// work may go there, or its cold endpoints would be overloaded. If the endpoints of the other
+// zones are full, the ramp must not apply, or those zones would be overloaded; the gates of its
+// endpoints decide.
 func TestReturningZoneGetsPartOfItsShare(t *testing.T) {
 	is := is.New(t)
 	s := membership.New("test")
@@ -192,34 +192,34 @@
 	zones.Reduce(1, in, s.Members())
 	v := view.New(in, 0, 0, s.Members(), false).WithZones(zones.Ramps())
 	f := NewInflight()
-	got := picks(v, f, NewAffinity(), Query{Now: 1})
+	got := countSelections(v, f, NewAffinity(), Query{Now: 1})
 	is.True(got["endpoint-1"]+got["endpoint-3"] < 60)
 	f.RecordLoad(&wire.Load{Vm: "endpoint-0", Held: 10, Window: 10}, 1)
 	f.RecordLoad(&wire.Load{Vm: "endpoint-2", Held: 10, Window: 10}, 1)
-	got = picks(v, f, NewAffinity(), Query{Now: 1})
+	got = countSelections(v, f, NewAffinity(), Query{Now: 1})
 	is.Equal(got["endpoint-1"]+got["endpoint-3"], 400)
 }
 
-// The entry's own network stalls for a second, and all endpoints are suspected at
-// once. Callers must not be refused for as long as the suspicion lasts.
+// The entry's own network stalls for a second, which makes all endpoints suspected at once.
+// Requests must not be refused until the suspicion expires.
 func TestSuspectedEndpointsAreUsedAsLastResort(t *testing.T) {
 	is := is.New(t)
 	s := membership.New("test")
 	s.Reduce(event.VMsListed{VMs: vms(provider.EndpointRole, 2, 2)})
 	tables := &table.Tables{Pools: map[string]table.Pool{"p": {ColdWindow: 2, FullWindow: 10}}}
 	s.Reduce(event.PeerFailed{Now: 1, VM: "endpoint-0"})
-	got := picks(view.New(tables, 0, 0, s.Members(), false), NewInflight(), NewAffinity(), Query{Now: 1})
+	got := countSelections(view.New(tables, 0, 0, s.Members(), false), NewInflight(), NewAffinity(), Query{Now: 1})
 	is.Equal(got["endpoint-0"], 0)
 	s.Reduce(event.PeerFailed{Now: 1, VM: "endpoint-1"})
 	f := NewInflight()
 	f.RecordUnreachable("endpoint-0", 1)
 	f.RecordUnreachable("endpoint-1", 1)
-	got = picks(view.New(tables, 0, 0, s.Members(), false), f, NewAffinity(), Query{Now: 1})
+	got = countSelections(view.New(tables, 0, 0, s.Members(), false), f, NewAffinity(), Query{Now: 1})
 	is.Equal(got["endpoint-0"]+got["endpoint-1"], 400)
 }
 
-// BenchmarkSubsetsOf is what one entry computes when the list of the two-year
-// size changes: 380 entries before 1,000 endpoints in 13 pools.
+// BenchmarkSubsetsOf measures what one entry computes when the VM list of a large site changes: 380
+// entries and 1,000 endpoints in 13 pools.
 func BenchmarkSubsetsOf(b *testing.B) {
 	all := vms(provider.EntryRole, 380, 12)
 	for i, vm := range vms(provider.EndpointRole, 1000, 12) {
--- a/choice/inflight.go
+++ b/choice/inflight.go
@@ -9,153 +9,155 @@
 )
 
 const (
-	// halfLife is how fast a report loses its weight: others' load is not what
-	// it was, and an endpoint that was full once must be tried again.
+	// halfLife is the half-life of the other entries' load in a report. That load changes, and an
+	// endpoint that was full once must be tried again.
 	halfLife = 2 * clock.Second
-	// lostFirst and lostMost bound how long an endpoint that could not be
-	// reached is left alone; the span doubles with each failure in a row.
-	lostFirst = 500 * clock.Millis(1)
-	lostMost  = 10 * clock.Second
-	// heardAfter is how old the word of an answer must be before one that came
-	// by way of control replaces it.
-	heardAfter = clock.Second
-	// maxTracked bounds the endpoints tracked; when it is passed, all that have
-	// nothing in flight here fall out.
+	// minBackoff and maxBackoff bound how long an unreachable endpoint is not used; the duration
+	// doubles with each consecutive failure.
+	minBackoff = 500 * clock.Millis(1)
+	maxBackoff = 10 * clock.Second
+	// answerLoadMaxAge is the age up to which a load report from an answer takes precedence over
+	// one from control.
+	answerLoadMaxAge = clock.Second
+	// maxTracked bounds the endpoints tracked; at the bound, all that have no requests of this
+	// process in flight are evicted.
 	maxTracked = 8192
 )
 
-// track is what this process knows of one endpoint's load.
-type track struct {
-	// own counts this process's requests in flight.
-	own int
-	// others is a smoothed part of the endpoint's own word that others must have
-	// sent; window is its last word on that, 0 before any.
-	others     float64
-	window     int
-	reportedAt clock.Millis
-	generation uint64
-	sequence   uint64
-	lostUntil  clock.Millis
-	losses     int
+// endpointState is the load of one endpoint as this process knows it.
+type endpointState struct {
+	// ownRequests counts this process's requests in flight.
+	ownRequests int
+	// otherRequests is the smoothed number of reported requests that other processes must have
+	// sent. window is the last reported window, 0 before the first report.
+	otherRequests    float64
+	window           int
+	reportedAt       clock.Millis
+	generation       uint64
+	sequence         uint64
+	unreachableUntil clock.Millis
+	failures         int
 }
 
-// Inflight estimates the load of endpoints from their own late word and from
-// what this process sent them since.
+// Inflight estimates the load of endpoints from their load reports, which arrive with a delay, and
+// from this process's own requests in flight. It is safe for concurrent use.
 type Inflight struct {
 	mu sync.Mutex
-	// tracks holds at most maxTracked endpoints and those with requests in
-	// flight.
-	tracks map[string]*track
+	// endpoints is keyed by VM ID and holds at most maxTracked endpoints, plus those with requests
+	// in flight.
+	endpoints map[string]*endpointState
 }
 
-// NewInflight makes an empty estimate.
+// NewInflight returns an Inflight without any endpoints.
 func NewInflight() *Inflight {
-	return &Inflight{tracks: make(map[string]*track)}
+	return &Inflight{endpoints: make(map[string]*endpointState)}
 }
 
-func (f *Inflight) track(vm string) *track {
-	t, ok := f.tracks[vm]
+func (f *Inflight) state(vm string) *endpointState {
+	s, ok := f.endpoints[vm]
 	if ok {
-		return t
+		return s
 	}
-	if len(f.tracks) >= maxTracked {
-		f.forget()
+	if len(f.endpoints) >= maxTracked {
+		f.evictIdle()
 	}
-	t = &track{}
-	f.tracks[vm] = t
-	return t
+	s = &endpointState{}
+	f.endpoints[vm] = s
+	return s
 }
 
-func (f *Inflight) forget() {
-	for vm, t := range f.tracks {
-		if t.own == 0 {
-			delete(f.tracks, vm)
+func (f *Inflight) evictIdle() {
+	for vm, s := range f.endpoints {
+		if s.ownRequests == 0 {
+			delete(f.endpoints, vm)
 		}
 	}
 }
 
-// Add counts one request more (1) or less (-1).
+// Add changes the number of this process's requests in flight to an endpoint by n: 1 when one
+// starts, -1 when it ends.
 func (f *Inflight) Add(vm string, n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.track(vm).own += n
+	f.state(vm).ownRequests += n
 }
 
-// RecordLoad takes an endpoint's own word that came with an answer. All are taken:
-// a sequence that fell back means that the endpoint began anew.
+// RecordLoad records a load report that came with an answer and ends the endpoint's backoff. It
+// accepts any sequence number, since a lower one means that the endpoint restarted. A nil report
+// is ignored.
 func (f *Inflight) RecordLoad(l *wire.Load, now clock.Millis) {
 	if l == nil {
 		return
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	t := f.track(l.GetVm())
-	t.losses = 0
-	t.lostUntil = 0
-	t.take(l, now)
+	s := f.state(l.GetVm())
+	s.failures = 0
+	s.unreachableUntil = 0
+	s.apply(l, now)
 }
 
-// take parts a word into what this process sent, which it knows exactly and at
-// once, and the rest. How old the word is can't be told, so that counting what
-// was sent since would miss all that was sent while it was under way.
-func (t *track) take(l *wire.Load, now clock.Millis) {
+// apply splits the reported load into this process's requests, whose number it knows exactly and at
+// once, and those of others. The age of a report is unknown, so adding only what was sent since the
+// report would miss the requests sent while it was in transit.
+func (s *endpointState) apply(l *wire.Load, now clock.Millis) {
 	const weight = 0.05
-	others := max(float64(l.GetHeld())-float64(t.own), 0)
-	if t.window == 0 || now-t.reportedAt > halfLife {
-		t.others = others
+	others := max(float64(l.GetHeld())-float64(s.ownRequests), 0)
+	if s.window == 0 || now-s.reportedAt > halfLife {
+		s.otherRequests = others
 	}
-	t.others += weight * (others - t.others)
-	t.window = int(l.GetWindow())
-	t.generation, t.sequence = l.GetGeneration(), l.GetSequence()
-	t.reportedAt = now
+	s.otherRequests += weight * (others - s.otherRequests)
+	s.window = int(l.GetWindow())
+	s.generation, s.sequence = l.GetGeneration(), l.GetSequence()
+	s.reportedAt = now
 }
 
-// hear takes a word that came by way of control, when answers have brought none
-// for a while.
-func (t *track) hear(l *wire.Load, now clock.Millis) {
-	if l == nil || t.generation == l.GetGeneration() && t.sequence == l.GetSequence() {
+// applyControlLoad applies a load report received by control if answers have brought none recently.
+func (s *endpointState) applyControlLoad(l *wire.Load, now clock.Millis) {
+	if l == nil || s.generation == l.GetGeneration() && s.sequence == l.GetSequence() {
 		return
 	}
-	if t.window == 0 || now-t.reportedAt > heardAfter {
-		t.take(l, now)
+	if s.window == 0 || now-s.reportedAt > answerLoadMaxAge {
+		s.apply(l, now)
 	}
 }
 
-// RecordUnreachable counts an endpoint that could not be reached. The VM list lags, so that
-// a VM which is gone would get a request at each turn until it is dropped.
+// RecordUnreachable records that an endpoint could not be reached, and starts its backoff. The VM
+// list is updated with a delay, so without a backoff a VM that no longer exists would keep getting
+// requests until the list drops it.
 func (f *Inflight) RecordUnreachable(vm string, now clock.Millis) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	t := f.track(vm)
-	t.lostUntil = now + min(lostFirst<<min(t.losses, 5), lostMost)
-	t.losses++
+	s := f.state(vm)
+	s.unreachableUntil = now + min(minBackoff<<min(s.failures, 5), maxBackoff)
+	s.failures++
 }
 
-// Load is an endpoint's estimated load as a part of a window, for processes that
-// have no other word of it than the answers' and judge by themselves whether an
-// endpoint is lost.
-func (f *Inflight) Load(vm string, window int, now clock.Millis) (part float64) {
-	part, _ = f.load(vm, window, nil, now)
-	return part
+// Load returns an endpoint's estimated load as a fraction of its window; 1 is full. Window is used
+// until the endpoint has reported its own. The load is 0 during a backoff: Load is for callers that
+// get load reports only with answers and track unreachable endpoints themselves.
+func (f *Inflight) Load(vm string, window int, now clock.Millis) (load float64) {
+	load, _ = f.load(vm, window, nil, now)
+	return load
 }
 
-// load is an endpoint's estimated load as a part of its window; 1 is full. Lost
-// endpoints have none.
-func (f *Inflight) load(vm string, window int, heard *wire.Load, now clock.Millis) (part float64, ok bool) {
+// load returns an endpoint's estimated load as a fraction of its window; 1 is full. ok is false
+// during the backoff of an unreachable endpoint.
+func (f *Inflight) load(vm string, window int, controlLoad *wire.Load, now clock.Millis) (load float64, ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if _, known := f.tracks[vm]; !known && heard == nil {
+	if _, known := f.endpoints[vm]; !known && controlLoad == nil {
 		return 0, true
 	}
-	t := f.track(vm)
-	t.hear(heard, now)
-	if now < t.lostUntil {
+	s := f.state(vm)
+	s.applyControlLoad(controlLoad, now)
+	if now < s.unreachableUntil {
 		return 0, false
 	}
-	if t.window > 0 {
-		window = t.window
+	if s.window > 0 {
+		window = s.window
 	}
-	age := float64(max(now-t.reportedAt, 0)) / float64(halfLife)
-	held := float64(t.own) + t.others*math.Exp2(-age)
-	return held / float64(max(window, 1)), true
+	age := float64(max(now-s.reportedAt, 0)) / float64(halfLife)
+	outstanding := float64(s.ownRequests) + s.otherRequests*math.Exp2(-age)
+	return outstanding / float64(max(window, 1)), true
 }
--- a/choice/plan.go
+++ b/choice/plan.go
@@ -6,24 +6,24 @@
 	"github.com/parsleydeal/parsleydeal/view"
 )
 
-// answerTokens is how long an answer is taken to be when plans are priced.
-const answerTokens = 300
+// expectedAnswerTokens is the assumed length of an answer when the cost of plans is computed.
+const expectedAnswerTokens = 300
 
-// Plans lists the plans that may serve a request, the best first. From each
-// model of the route it takes the version on which the request's hash falls.
+// Plans lists the plans that may serve a request, best first. Of each model of the route it uses
+// the version that SelectVersion returns.
 func Plans(v *view.View, r table.Route, q PlanQuery) []quality.Plan {
-	const fraction = 1 << 53
-	draw := float64(again(again(q.Hash))>>11) / fraction
+	const resolution = 1 << 53
+	draw := float64(rehash(rehash(q.Hash))>>11) / resolution
 	return quality.Choose(quality.Plans(options(v, r, q), r.QualityTarget, r.Cascade), r.QualityTarget, r.Explore, draw)
 }
 
-// PlanQuery asks for plans.
+// PlanQuery describes the request that plans are made for.
 type PlanQuery struct {
 	Route        string
 	Organisation string
-	// Hash is the session's or the request's own.
+	// Hash is the hash of the session, or of the request if it has no session.
 	Hash uint64
-	// InputTokens is about how long the prompt is.
+	// InputTokens is the approximate length of the prompt.
 	InputTokens int64
 }
 
@@ -40,14 +40,15 @@
 	row := v.Tables().Versions[version]
 	return quality.Option{
 		Version: version,
-		Cost:    float64(row.Cost(q.InputTokens, answerTokens)),
+		Cost:    float64(row.Cost(q.InputTokens, expectedAnswerTokens)),
 		Prior:   row.Quality,
 		Sum:     v.Quality().Sum(quality.Key{Route: q.Route, Version: version}),
 	}
 }
 
-// SessionPlans lists the plans of a session that keeps a version: the cheapest cascade
-// from it when the route's target asks for one, or the version alone.
+// SessionPlans returns the plan of a session that stays on a version: on a route with cascades, the
+// cheapest plan that starts with the version and meets the quality target; otherwise, or if none
+// meets it, the version alone.
 func SessionPlans(v *view.View, r table.Route, q PlanQuery, version string) []quality.Plan {
 	alone := []quality.Plan{{First: version}}
 	if !r.Cascade {
--- a/choice/subset.go
+++ b/choice/subset.go
@@ -11,34 +11,33 @@
 )
 
 const (
-	// subsetSize is how many endpoints of a pool an entry works with. Smaller
-	// pools are used whole.
+	// subsetSize is the number of endpoints of a pool that an entry uses. Pools of at most this
+	// size are used in full.
 	subsetSize = 24
-	// nearPart is the part of a subset taken from the entry's own zone first;
-	// the rest lies elsewhere, so that a lost zone leaves some at once.
-	nearPart = 0.75
-	// slack is how far above the mean an endpoint's share of entries may lie. More
-	// moves less when the list changes, but loads the endpoints less evenly.
-	slack = 1.0
+	// ownZoneRatio is the fraction of a subset that is first taken from the entry's own zone. The
+	// rest is in other zones, so that the failure of a zone leaves some endpoints at once.
+	ownZoneRatio = 0.75
+	// shareSlack is the maximum number of entries per endpoint, as a multiple of the mean. A higher
+	// value changes subsets less when the list changes, but loads the endpoints less evenly.
+	shareSlack = 1.0
 )
 
-// Subsets gives each entry the endpoints of a pool that it works with. Every
-// process computes the same from the same VM list. Entries choose in the order
-// of their hash; each takes the endpoints that its own hashes rank first, those
-// of its zone before others, and passes over endpoints that have their share of
-// entries already. So the load is balanced, and a VM that comes or goes moves
-// little beside its own places.
+// Subsets returns, by entry ID, the endpoints of a pool that the entry uses. Every process
+// computes the same subsets from the same VM list. Entries choose in the order of their hashes.
+// Each takes the endpoints that rank first by a hash of entry and endpoint, those of its zone
+// before others, and skips endpoints that already have their share of entries. This balances the
+// load, and adding or removing a VM changes little beyond its own slots.
 func Subsets(entries, pool []provider.VM) map[string][]provider.VM {
 	out := make(map[string][]provider.VM, len(entries))
-	p := newPlaces(len(entries), pool)
-	for i, e := range inOrder(entries) {
-		out[e.ID] = p.endpoints(p.give(e, len(entries)-i))
+	p := newAssigner(len(entries), pool)
+	for i, e := range sortedByHash(entries) {
+		out[e.ID] = p.endpoints(p.assign(e, len(entries)-i))
 	}
 	return out
 }
 
-// inOrder sorts entries by the hash of their ID.
-func inOrder(entries []provider.VM) []provider.VM {
+// sortedByHash returns the entries sorted by the hash of their IDs.
+func sortedByHash(entries []provider.VM) []provider.VM {
 	order := slices.Clone(entries)
 	slices.SortFunc(order, func(a, b provider.VM) int {
 		return cmp.Or(cmp.Compare(xxhash.Sum64String(a.ID), xxhash.Sum64String(b.ID)), strings.Compare(a.ID, b.ID))
@@ -46,125 +45,124 @@
 	return order
 }
 
-// earliest is how far below its share an endpoint of a pool may end. The more,
-// the fewer places are given against the order of hashes: at 1 everywhere, the
-// p99 of the first token with 30 entries (bench choice) rose from 721 to 820 ms.
-// In a small pool the entries' choices overlap most, and it must be 1.
-func earliest(pool int) int {
+// maxShortfall returns how many entries an endpoint may have below its share. A higher value
+// assigns fewer slots against the order of hashes: with 1 for all pools and 30 entries, the p99
+// time to first token rises from 721 to 820 ms. In a small pool the entries' choices overlap most,
+// so it must be 1.
+func maxShortfall(pool int) int {
 	if pool < 2*subsetSize {
 		return 1
 	}
 	return 2
 }
 
-// ranked is an endpoint by its index in the pool, with the rank that the entry
-// under way gives it.
+// ranked is an endpoint, by its index in the pool, with its score for the current entry.
 type ranked struct {
 	score uint64
-	at    int32
+	index int32
 }
 
-// places gives out the places of one pool. It works on indices and reuses its
-// slices: at the two-year size a change of the VM list costs 5,000 turns.
-type places struct {
+// assigner assigns the endpoints of one pool to entries. It works on indices and reuses its slices,
+// because at 380 entries and 13 pools a change of the VM list takes about 5,000 calls of assign.
+type assigner struct {
 	pool   []provider.VM
 	hashes []uint64
-	// taken counts the entries that each endpoint has, at most most but for the
-	// last ones.
-	taken []int
-	most  int
-	// in marks the endpoints of the entry under way.
-	in              []bool
-	near, far, rest []ranked
-	out             []int32
+	// assigned counts the entries of each endpoint. It is at most maxAssigned, except when the last
+	// entries find too few endpoints below that.
+	assigned    []int
+	maxAssigned int
+	// selected marks the endpoints of the current entry.
+	selected                 []bool
+	ownZone, otherZones, all []ranked
+	result                   []int32
 }
 
-func newPlaces(entries int, pool []provider.VM) *places {
-	p := &places{pool: pool, hashes: make([]uint64, len(pool)), taken: make([]int, len(pool)), in: make([]bool, len(pool))}
+func newAssigner(entries int, pool []provider.VM) *assigner {
+	p := &assigner{pool: pool, hashes: make([]uint64, len(pool)), assigned: make([]int, len(pool)), selected: make([]bool, len(pool))}
 	for i, vm := range pool {
 		p.hashes[i] = xxhash.Sum64String(vm.ID)
 	}
-	p.most = int(math.Ceil(slack * float64(entries*subsetSize) / float64(max(len(pool), 1))))
+	p.maxAssigned = int(math.Ceil(shareSlack * float64(entries*subsetSize) / float64(max(len(pool), 1))))
 	return p
 }
 
-// whole reports whether every entry works with the whole pool.
-func (p *places) whole() bool { return len(p.pool) <= subsetSize }
+// usesWholePool reports whether every entry works with the whole pool.
+func (p *assigner) usesWholePool() bool { return len(p.pool) <= subsetSize }
 
-func (p *places) endpoints(chosen []int32) []provider.VM {
-	if p.whole() {
+func (p *assigner) endpoints(chosen []int32) []provider.VM {
+	if p.usesWholePool() {
 		return p.pool
 	}
 	out := make([]provider.VM, len(chosen))
-	for i, at := range chosen {
-		out[i] = p.pool[at]
+	for i, index := range chosen {
+		out[i] = p.pool[index]
 	}
 	return out
 }
 
-// give gives an entry its places; left counts the entries that have none yet,
-// this one included. An endpoint that lacks more entries than are left must be
-// taken by each of them. Were it passed over, the last entries would find too
-// few endpoints below their share and crowd on those that have theirs. The
-// result is valid until the next call.
-func (p *places) give(entry provider.VM, left int) []int32 {
-	if p.whole() {
+// assign returns the endpoints of an entry as indices into the pool, nil if it uses the whole
+// pool. Remaining counts the entries without endpoints, this one included. An endpoint that is
+// short of its share by more than the remaining entries can fill must be taken by each of them:
+// otherwise the last entries would find too few endpoints below their share and overload the
+// others. The result is valid until the next call.
+func (p *assigner) assign(entry provider.VM, remaining int) []int32 {
+	if p.usesWholePool() {
 		return nil
 	}
-	const nearest = int(subsetSize * nearPart)
+	const ownZoneSize = int(subsetSize * ownZoneRatio)
 	p.rank(entry)
-	p.out = p.out[:0]
-	due := left + earliest(len(p.pool))
-	p.fill(p.near, nearest, due)
-	p.fill(p.far, subsetSize, due)
-	p.fill(p.near, nearest, 1)
-	p.fill(p.far, subsetSize, 1)
-	p.fill(p.near, subsetSize, 1)
-	p.rest = append(append(p.rest[:0], p.near...), p.far...)
-	slices.SortStableFunc(p.rest, func(a, b ranked) int { return cmp.Compare(p.taken[a.at], p.taken[b.at]) })
-	p.fill(p.rest, subsetSize, math.MinInt)
-	for _, at := range p.out {
-		p.in[at] = false
+	p.result = p.result[:0]
+	required := remaining + maxShortfall(len(p.pool))
+	p.fill(p.ownZone, ownZoneSize, required)
+	p.fill(p.otherZones, subsetSize, required)
+	p.fill(p.ownZone, ownZoneSize, 1)
+	p.fill(p.otherZones, subsetSize, 1)
+	p.fill(p.ownZone, subsetSize, 1)
+	p.all = append(append(p.all[:0], p.ownZone...), p.otherZones...)
+	slices.SortStableFunc(p.all, func(a, b ranked) int { return cmp.Compare(p.assigned[a.index], p.assigned[b.index]) })
+	p.fill(p.all, subsetSize, math.MinInt)
+	for _, index := range p.result {
+		p.selected[index] = false
 	}
-	return p.out
+	return p.result
 }
 
-// rank sorts the pool for an entry, its own zone apart.
-func (p *places) rank(entry provider.VM) {
-	p.near, p.far = p.near[:0], p.far[:0]
+// rank fills ownZone and otherZones with the pool, sorted by score for an entry.
+func (p *assigner) rank(entry provider.VM) {
+	p.ownZone, p.otherZones = p.ownZone[:0], p.otherZones[:0]
 	h := xxhash.Sum64String(entry.ID)
 	for i, vm := range p.pool {
-		r := ranked{score: mix(h ^ p.hashes[i]), at: int32(i)}
+		r := ranked{score: mix(h ^ p.hashes[i]), index: int32(i)}
 		if vm.Zone == entry.Zone {
-			p.near = append(p.near, r)
+			p.ownZone = append(p.ownZone, r)
 		} else {
-			p.far = append(p.far, r)
+			p.otherZones = append(p.otherZones, r)
 		}
 	}
 	byScore := func(a, b ranked) int {
-		return cmp.Or(cmp.Compare(b.score, a.score), strings.Compare(p.pool[a.at].ID, p.pool[b.at].ID))
+		return cmp.Or(cmp.Compare(b.score, a.score), strings.Compare(p.pool[a.index].ID, p.pool[b.index].ID))
 	}
-	slices.SortFunc(p.near, byScore)
-	slices.SortFunc(p.far, byScore)
+	slices.SortFunc(p.ownZone, byScore)
+	slices.SortFunc(p.otherZones, byScore)
 }
 
-// fill takes endpoints in order that lack at least so many entries, until the
-// entry has a number of places.
-func (p *places) fill(from []ranked, size, lacks int) {
+// fill adds endpoints in order until the entry has size of them. It takes only those that are at
+// least missing entries below maxAssigned.
+func (p *assigner) fill(from []ranked, size, missing int) {
 	for _, r := range from {
-		if len(p.out) >= size {
+		if len(p.result) >= size {
 			return
 		}
-		if p.in[r.at] || p.most-p.taken[r.at] < lacks {
+		if p.selected[r.index] || p.maxAssigned-p.assigned[r.index] < missing {
 			continue
 		}
-		p.in[r.at] = true
-		p.taken[r.at]++
-		p.out = append(p.out, r.at)
+		p.selected[r.index] = true
+		p.assigned[r.index]++
+		p.result = append(p.result, r.index)
 	}
 }
 
-// mix spreads the bits of a number.
+// mix is the 64-bit finalizer of MurmurHash3.
 func mix(x uint64) uint64 {
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
@@ -173,8 +171,8 @@
 	return x ^ x>>33
 }
 
-// SubsetsOf returns the subsets of one entry by pool; nil when the VM is no
-// entry of the list.
+// SubsetsOf returns the subsets of the entry on VM self by pool name, nil if the list has no such
+// entry.
 func SubsetsOf(self string, vms []provider.VM) map[string][]provider.VM {
 	var entries []provider.VM
 	pools := make(map[string][]provider.VM)
@@ -188,7 +186,7 @@
 	if !slices.ContainsFunc(entries, func(v provider.VM) bool { return v.ID == self }) {
 		return nil
 	}
-	order := inOrder(entries)
+	order := sortedByHash(entries)
 	out := make(map[string][]provider.VM, len(pools))
 	for name, pool := range pools {
 		out[name] = subsetOf(self, order, pool)
@@ -196,12 +194,12 @@
 	return out
 }
 
-// subsetOf returns the endpoints of one entry; those before it in the order must
-// have had their turn.
+// subsetOf returns the endpoints of one entry. It assigns those of all entries before it in the
+// order first, since the result depends on them.
 func subsetOf(self string, order, pool []provider.VM) []provider.VM {
-	p := newPlaces(len(order), pool)
+	p := newAssigner(len(order), pool)
 	for i, e := range order {
-		chosen := p.give(e, len(order)-i)
+		chosen := p.assign(e, len(order)-i)
 		if e.ID == self {
 			return p.endpoints(chosen)
 		}
--- a/choice/version.go
+++ b/choice/version.go
@@ -1,4 +1,4 @@
-// Package choice picks the version and the endpoint of a request.
+// Package choice selects the version and the endpoint of a request.
 package choice
 
 import (
@@ -10,35 +10,35 @@
 	"github.com/parsleydeal/parsleydeal/table"
 )
 
-// SelectVersion picks the version of a model on which a hash falls, so that shares hold
-// over all processes without shared state. A hash that falls on a version that
-// is withdrawn or held for the organisation falls a second time, on the others
-// alone; all other hashes stay where they were. Share returns "" when no version
-// is left.
+// SelectVersion maps a hash to a version of a model by the versions' shares, so that all processes
+// keep to the shares without shared state. If that version is withdrawn or held for the
+// organisation, a second hash selects among the remaining versions; all other hashes keep their
+// version. SelectVersion returns "" if no version is left.
 func SelectVersion(t *table.Tables, holds *rollout.Holds, m table.RouteModel, organisation string, hash uint64) (version string) {
 	usable := func(version string) bool {
 		return !t.Versions[version].Withdrawn && !holds.Held(version, organisation)
 	}
-	version = fall(m, hash, func(string) bool { return true })
+	version = versionAtHash(m, hash, func(string) bool { return true })
 	if version != "" && usable(version) {
 		return version
 	}
-	return fall(m, again(hash), usable)
+	return versionAtHash(m, rehash(hash), usable)
 }
 
-// again makes a second hash that does not follow from the first one's place.
-func again(hash uint64) uint64 {
+// rehash returns a second hash that is independent of the range the first one falls into.
+func rehash(hash uint64) uint64 {
 	var b [8]byte
 	binary.LittleEndian.PutUint64(b[:], hash)
 	return xxhash.Sum64(b[:])
 }
 
-// fall returns the version on whose share a hash falls among those that pass.
-func fall(m table.RouteModel, hash uint64, pass func(version string) bool) (version string) {
+// versionAtHash returns the version, among those that the filter accepts, whose share contains the
+// hash, or "" if there is none.
+func versionAtHash(m table.RouteModel, hash uint64, accept func(version string) bool) (version string) {
 	numbers := make([]string, 0, len(m.Shares))
 	sum := 0.0
 	for number, share := range m.Shares {
-		if share > 0 && pass(table.VersionName(m.Model, number)) {
+		if share > 0 && accept(table.VersionName(m.Model, number)) {
 			numbers = append(numbers, number)
 			sum += share
 		}
--- a/quality/plan.go
+++ b/quality/plan.go
@@ -9,8 +9,9 @@
 	// maxExploreRatings is the number of ratings after which a version that probably misses the
 	// target is no longer explored.
 	maxExploreRatings = 1000
-	// trialRatio is the fraction of requests that try a cheaper plan which probably meets the target.
-	// It doesn't count towards the route's explore fraction, since it costs no quality on average.
+	// trialRatio is the fraction of requests that try a cheaper plan which probably meets the
+	// target. It doesn't count towards the route's explore fraction, since it costs no quality on
+	// average.
 	trialRatio = 0.25
 )
 
@@ -60,7 +61,8 @@
 // Cascade reports whether the plan has a second version.
 func (p Plan) Cascade() bool { return p.Second != "" }
 
-// Plans lists all plans that the options allow, cheapest first. Cascade allows plans of two versions.
+// Plans lists all plans that the options allow, cheapest first. Cascade allows plans of two
+// versions.
 func Plans(options []Option, target float64, cascade bool) (plans []Plan) {
 	for _, o := range options {
 		plans = append(plans, Plan{First: o.Version, Cost: o.Cost, Quality: o.quality(), ratings: o.Sum.Ratings})
@@ -127,7 +129,8 @@
 	return draw < explore && p.Quality.High >= target && p.ratings < maxExploreRatings
 }
 
-// closestToTarget returns the plan with the highest lower bound among those that may meet the target.
+// closestToTarget returns the plan with the highest lower bound among those that may meet the
+// target.
 func closestToTarget(plans []Plan, target float64) (out []Plan) {
 	for _, p := range plans {
 		if p.Quality.High < target {
--- a/quality/plan_test.go
+++ b/quality/plan_test.go
@@ -15,7 +15,8 @@
 var costlyOption = Option{Version: "dear@1", Cost: 10, Prior: 0.95}
 
 // Under load a request uses later plans of the list. If the list had plans that miss the target,
-// load would lower the quality below it. Only a trial may miss it, and only for draws that allow one.
+// load would lower the quality below it. Only a trial may miss it, and only for draws that allow
+// one.
 func TestNoPlanBelowTheTarget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		is := is.New(t)
@@ -42,8 +43,8 @@
 	})
 }
 
-// A cascade seems cheap by its first step. If the rater rejects most first answers, requests pay for
-// both versions, and the costly version alone is cheaper.
+// A cascade seems cheap by its first step. If the rater rejects most first answers, requests pay
+// for both versions, and the costly version alone is cheaper.
 func TestCascadeCostIncludesFailedFirstStep(t *testing.T) {
 	is := is.New(t)
 	poor := cheapOption
