--- a/spread/counts.go
+++ b/spread/counts.go
@@ -15,68 +15,67 @@
 )
 
 const (
-	// tellEvery is the pace at which an entry of a small site tells a judge.
-	tellEvery = clock.Second
-	// judgeBytes bounds the bytes a second that a judge gets of all entries,
-	// taking messageBytes for one message and its answer.
-	judgeBytes   = 12 << 10
-	messageBytes = 600
+	// minReportInterval is how often an entry of a small site reports to a judge.
+	minReportInterval = clock.Second
+	// judgeBytesPerSecond bounds the traffic of a judge with all entries, where bytesPerMessage is the
+	// size of one message and its reply.
+	judgeBytesPerSecond = 12 << 10
+	bytesPerMessage     = 600
 	// countsPerMessage bounds the counts of one message to a judge.
 	countsPerMessage = 6
-	// maxTold bounds the keys whose telling is remembered; above it all are
-	// forgotten and told again.
-	maxTold = 4096
+	// maxReported bounds the keys stored as reported; above it all are cleared and reported again.
+	maxReported = 4096
 )
 
-// CountReporter plans which evidence goes to which judge and when. Counts are
-// cumulative, so one that is lost, repeated or late does no harm.
+// CountReporter plans which evidence is reported to which judge and when. Counts are cumulative,
+// so a lost, repeated or late report does no harm.
 type CountReporter struct {
 	self string
-	// told holds what each key counted when it was last told, and in which
-	// round.
-	told  map[evidence.Key]toldCount
-	round int
-	// nextAt is the instant of the next message by model.
+	// reported holds the last reported count of each key and the round it was reported in.
+	reported map[evidence.Key]reportedCount
+	round    int
+	// nextAt is the time of the next message by model.
 	nextAt map[string]clock.Millis
-	// plans holds the judges and the pace by model among the members planned.
-	plans   map[string]plan
-	planned *membership.Members
+	// plans holds the judges and the report interval by model, as computed from plannedMembers.
+	plans          map[string]plan
+	plannedMembers *membership.Members
 }
 
-type toldCount struct {
+type reportedCount struct {
 	count *wire.Count
 	round int
 }
 
-// plan is who judges a model and how often this process tells them.
+// plan holds the judges of a model and how often this process reports to them.
 type plan struct {
-	judges []provider.VM
-	every  clock.Millis
+	judges   []provider.VM
+	interval clock.Millis
 }
 
-// NewCountReporter returns the state of a process that has told nothing.
+// NewCountReporter returns the state of process self that has reported nothing yet.
 func NewCountReporter(self string) CountReporter {
-	return CountReporter{self: self, told: make(map[evidence.Key]toldCount), nextAt: make(map[string]clock.Millis)}
+	return CountReporter{self: self, reported: make(map[evidence.Key]reportedCount), nextAt: make(map[string]clock.Millis)}
 }
 
-// Reduce plans messages at a tick. Report is this process's own evidence.
+// Reduce plans the messages due at a tick and ignores all other events. Report is this process's
+// own evidence.
 func (s *CountReporter) Reduce(e event.Event, report []*wire.Count, m *membership.Members) (effects []event.Effect) {
 	t, ok := e.(event.Tick)
 	if !ok || len(report) == 0 {
 		return nil
 	}
-	if s.planned != m {
-		s.planned = m
+	if s.plannedMembers != m {
+		s.plannedMembers = m
 		s.plans = make(map[string]plan)
 	}
 	for _, model := range s.due(t.Now, report) {
 		p := s.plan(model, m)
 		if first := s.nextAt[model] == 0; first {
-			s.nextAt[model] = t.Now + clock.Millis(xxhash.Sum64String(s.self+"/"+model)%uint64(p.every))
+			s.nextAt[model] = t.Now + clock.Millis(xxhash.Sum64String(s.self+"/"+model)%uint64(p.interval))
 			continue
 		}
-		s.nextAt[model] = t.Now + p.every
-		counts := s.choose(model, report)
+		s.nextAt[model] = t.Now + p.interval
+		counts := s.selectCounts(model, report)
 		if len(counts) == 0 {
 			continue
 		}
@@ -89,7 +88,7 @@
 	return effects
 }
 
-// due lists the models whose evidence is to be told now, sorted.
+// due lists the models whose evidence is to be reported now, sorted.
 func (s *CountReporter) due(now clock.Millis, report []*wire.Count) (models []string) {
 	for _, c := range report {
 		model := modelOf(c)
@@ -98,7 +97,7 @@
 		}
 	}
 	slices.Sort(models)
-	if len(s.nextAt) > maxTold {
+	if len(s.nextAt) > maxReported {
 		clear(s.nextAt)
 	}
 	return models
@@ -109,16 +108,15 @@
 	return model
 }
 
-// plan finds the judges of a model and this process's pace. All entries telling
-// each second would take a judge at 380 entries over its share of the network,
-// so the pace slows with their number. Their instants are spread over it: a
-// judge hears some at any time.
+// plan returns the judges of a model and the report interval. The interval grows with the number of
+// entries: if 380 entries reported every second, a judge would exceed its share of the network. The
+// reports of the entries are spread over the interval, so that a judge receives some at any time.
 func (s *CountReporter) plan(model string, m *membership.Members) plan {
 	if p, ok := s.plans[model]; ok {
 		return p
 	}
-	entries := clock.Millis(len(entriesOf(m)))
-	p := plan{every: max(tellEvery, entries*messageBytes*clock.Second/judgeBytes)}
+	entries := clock.Millis(len(activeEntries(m)))
+	p := plan{interval: max(minReportInterval, entries*bytesPerMessage*clock.Second/judgeBytesPerSecond)}
 	for _, id := range evidence.Judges(m.VMs(), model+"@") {
 		if v, ok := m.Find(id); ok {
 			p.judges = append(p.judges, v)
@@ -128,7 +126,7 @@
 	return p
 }
 
-func entriesOf(m *membership.Members) (out []provider.VM) {
+func activeEntries(m *membership.Members) (out []provider.VM) {
 	for _, v := range m.VMs() {
 		if v.Role == provider.EntryRole && !v.Leaving {
 			out = append(out, v)
@@ -137,14 +135,14 @@
 	return out
 }
 
-// choose takes the counts of one message: of each version in turn those that
-// changed and were told least recently. A new version with few requests is so
-// never crowded out by the one it shall replace.
-func (s *CountReporter) choose(model string, report []*wire.Count) (counts []*wire.Count) {
+// selectCounts returns the counts of one message. It takes from each version in turn the counts
+// that changed and were reported least recently, so that a new version with few requests is not
+// crowded out by the one it replaces.
+func (s *CountReporter) selectCounts(model string, report []*wire.Count) (counts []*wire.Count) {
 	byVersion := make(map[string][]*wire.Count)
 	var versions []string
 	for _, c := range report {
-		if modelOf(c) != model || s.same(c) {
+		if modelOf(c) != model || s.recentlyReported(c) {
 			continue
 		}
 		if byVersion[c.GetVersion()] == nil {
@@ -155,44 +153,44 @@
 	slices.Sort(versions)
 	for _, v := range versions {
 		slices.SortStableFunc(byVersion[v], func(a, b *wire.Count) int {
-			return cmp.Or(cmp.Compare(s.told[keyOf(a)].round, s.told[keyOf(b)].round), cmp.Compare(hashOf(a), hashOf(b)))
+			return cmp.Or(cmp.Compare(s.reported[keyOf(a)].round, s.reported[keyOf(b)].round), cmp.Compare(hashOf(a), hashOf(b)))
 		})
 	}
 	s.round++
 	for i := 0; len(counts) < countsPerMessage; i++ {
-		more := false
+		added := false
 		for _, v := range versions {
 			if i < len(byVersion[v]) && len(counts) < countsPerMessage {
 				counts = append(counts, byVersion[v][i])
-				more = true
+				added = true
 			}
 		}
-		if !more {
+		if !added {
 			break
 		}
 	}
-	s.remember(counts)
+	s.recordReported(counts)
 	return counts
 }
 
-func (s *CountReporter) remember(counts []*wire.Count) {
-	if len(s.told) > maxTold {
-		clear(s.told)
+func (s *CountReporter) recordReported(counts []*wire.Count) {
+	if len(s.reported) > maxReported {
+		clear(s.reported)
 	}
 	for _, c := range counts {
-		s.told[keyOf(c)] = toldCount{count: c, round: s.round}
+		s.reported[keyOf(c)] = reportedCount{count: c, round: s.round}
 	}
 }
 
-// same reports whether a count was told as it stands within the last rounds.
-// Later it is told once more, which makes a lost message good.
-func (s *CountReporter) same(c *wire.Count) bool {
-	const again = 4
-	old := s.told[keyOf(c)]
-	return old.count != nil && s.round-old.round < again && total(old.count) == total(c)
+// recentlyReported reports whether a count was reported unchanged within the last rounds. After
+// that it is reported again, in case the message was lost.
+func (s *CountReporter) recentlyReported(c *wire.Count) bool {
+	const repeatRounds = 4
+	old := s.reported[keyOf(c)]
+	return old.count != nil && s.round-old.round < repeatRounds && total(old.count) == total(c)
 }
 
-// total grows with any evidence.
+// total returns a sum that grows with any new evidence.
 func total(c *wire.Count) int64 {
 	return c.GetStarted() + c.GetGood() + c.GetErrors() + c.GetRatings() + c.GetJudged()
 }
--- a/spread/peers.go
+++ b/spread/peers.go
@@ -12,17 +12,18 @@
 )
 
 const (
-	// smallSite is the number of processes up to which all read the log.
-	smallSite = 16
-	// readersPerZone is how many processes of a zone read the log beyond that.
+	// maxDirectReaders is the number of processes up to which all of them read the log.
+	maxDirectReaders = 16
+	// readersPerZone is how many processes of a zone read the log in larger sites.
 	readersPerZone = 2
-	// readerEvery is how often an exchange goes to a reader of the own zone.
-	readerEvery = 4
-	// awayEvery is how often an exchange goes to another zone.
-	awayEvery = 3
+	// readerInterval is the number of exchanges per one with a reader of the own zone.
+	readerInterval = 4
+	// otherZoneInterval is the number of exchanges per one with a peer in another zone.
+	otherZoneInterval = 3
 )
 
-// RendezvousTop returns the best n VMs for a duty in rendezvous order.
+// RendezvousTop returns the n VMs with the highest rendezvous hash for a duty, highest first;
+// fewer if there are fewer VMs. All processes get the same result from the same VMs.
 func RendezvousTop(duty string, n int, vms []provider.VM) []provider.VM {
 	best := make([]provider.VM, 0, n+1)
 	scores := make([]uint64, 0, n+1)
@@ -41,9 +42,9 @@
 	return best
 }
 
-// fit returns the VMs that may carry a duty: neither leaving nor suspected. The
+// eligible returns the VMs that may have a duty: those that are neither leaving nor suspected. A
 // process never suspects itself.
-func fit(m *membership.Members, vms []provider.VM) (out []provider.VM) {
+func eligible(m *membership.Members, vms []provider.VM) (out []provider.VM) {
 	for _, v := range vms {
 		if !m.Leaving(v) && !m.Suspected(v.ID) {
 			out = append(out, v)
@@ -52,10 +53,9 @@
 	return out
 }
 
-// endpointsFirst leaves the entries out where there are endpoints enough: an
-// entry may have versions to judge, and both duties together would take it over
-// its share of the network.
-func endpointsFirst(vms []provider.VM) (out []provider.VM) {
+// preferEndpoints removes the entries if there are enough endpoints. An entry may also be a judge,
+// and both duties together would exceed its share of the network.
+func preferEndpoints(vms []provider.VM) (out []provider.VM) {
 	for _, v := range vms {
 		if v.Role == provider.EndpointRole {
 			out = append(out, v)
@@ -67,72 +67,71 @@
 	return out
 }
 
-// readers returns the processes of this zone that read the log. Everyone in the
-// zone calls them in turn, so that a reader that is gone is suspected by the
-// next in rank, which then reads in its place; when it answers again, the duty
-// goes back.
+// readers returns the processes of this zone that read the log. All processes of the zone call
+// them in turn. So an unreachable reader is also suspected by the next one in rank, which then
+// reads in its place until the reader replies again.
 func (s *State) readers(m *membership.Members) []provider.VM {
-	if s.ranked != m {
-		s.ranked = m
-		s.rank = RendezvousTop("read-config", readersPerZone, endpointsFirst(fit(m, m.Zone(s.zone))))
+	if s.readersOf != m {
+		s.readersOf = m
+		s.readerVMs = RendezvousTop("read-config", readersPerZone, preferEndpoints(eligible(m, m.Zone(s.zone))))
 	}
-	return s.rank
+	return s.readerVMs
 }
 
-// follow decides whether this process reads the log.
+// follow returns an effect when this process must start or stop reading the log.
 func (s *State) follow(m *membership.Members) (effects []event.Effect) {
-	on := !s.started || len(m.VMs()) <= smallSite
+	on := !s.started || len(m.VMs()) <= maxDirectReaders
 	if !on {
 		on = slices.ContainsFunc(s.readers(m), func(v provider.VM) bool { return v.ID == s.self })
 	}
-	if on == s.following && s.followed {
+	if on == s.following && s.followSent {
 		return nil
 	}
-	s.following, s.followed = on, true
+	s.following, s.followSent = on, true
 	return []event.Effect{event.Follow{Stream: provider.ConfigStream, On: on}}
 }
 
-// next chooses the peer of the next exchange. While starting, other zones come
-// first: a parted zone would agree with itself.
-func (s *State) next(m *membership.Members) (v provider.VM, ok bool) {
-	seed := s.asks
+// nextPeer selects the peer of the next exchange. A starting process prefers other zones, since the
+// processes of a partitioned zone would only confirm one another.
+func (s *State) nextPeer(m *membership.Members) (v provider.VM, ok bool) {
+	seed := s.exchanges
 	switch {
 	case !s.started && seed%2 == 1:
-		return s.away(seed, m)
-	case seed%readerEvery == 0 && len(m.VMs()) > smallSite:
+		return s.otherZonePeer(seed, m)
+	case seed%readerInterval == 0 && len(m.VMs()) > maxDirectReaders:
 		readers := s.readers(m)
 		if len(readers) > 0 {
-			v = readers[(seed/readerEvery)%uint64(len(readers))]
+			v = readers[(seed/readerInterval)%uint64(len(readers))]
 		}
 		if v.ID != "" && v.ID != s.self {
 			return v, true
 		}
-		return s.away(seed, m)
-	case seed%awayEvery == 0:
-		return s.away(seed, m)
+		return s.otherZonePeer(seed, m)
+	case seed%otherZoneInterval == 0:
+		return s.otherZonePeer(seed, m)
 	default:
-		return s.near(seed, m)
+		return s.sameZonePeer(seed, m)
 	}
 }
 
-// near draws a peer of the own zone, or any when the zone has no other.
-func (s *State) near(seed uint64, m *membership.Members) (v provider.VM, ok bool) {
-	anyone := func(provider.VM) bool { return true }
-	if v, ok = s.pick(seed, anyone, m.Zone(s.zone), m); ok {
+// sameZonePeer draws a peer of the own zone, or any peer if the zone has no other process.
+func (s *State) sameZonePeer(seed uint64, m *membership.Members) (v provider.VM, ok bool) {
+	anyVM := func(provider.VM) bool { return true }
+	if v, ok = s.drawPeer(seed, anyVM, m.Zone(s.zone), m); ok {
 		return v, true
 	}
-	return s.pick(seed, anyone, m.VMs(), m)
+	return s.drawPeer(seed, anyVM, m.VMs(), m)
 }
 
-// away draws a peer of another zone, or any when there is none.
-func (s *State) away(seed uint64, m *membership.Members) (v provider.VM, ok bool) {
-	return s.pick(seed, func(v provider.VM) bool { return v.Zone != s.zone }, m.VMs(), m)
+// otherZonePeer draws a peer of another zone, or any peer if there is none.
+func (s *State) otherZonePeer(seed uint64, m *membership.Members) (v provider.VM, ok bool) {
+	return s.drawPeer(seed, func(v provider.VM) bool { return v.Zone != s.zone }, m.VMs(), m)
 }
 
-// pick draws a peer by hash among those wanted, trying a few times, and falls
-// back on any other. A suspected peer is drawn only when there is no other, so
-// that two parted halves find each other again.
-func (s *State) pick(seed uint64, wanted func(provider.VM) bool, vms []provider.VM, m *membership.Members) (v provider.VM, ok bool) {
+// drawPeer draws a few VMs by hash and returns the best one: a preferred peer rather than another
+// one, and a suspected peer only if no other was drawn. Suspected peers remain possible so that
+// two halves of a partitioned network find each other again.
+func (s *State) drawPeer(seed uint64, preferred func(provider.VM) bool, vms []provider.VM, m *membership.Members) (v provider.VM, ok bool) {
 	const tries = 12
 	best := 0
 	for try := range uint64(tries) {
@@ -140,15 +139,15 @@
 			break
 		}
 		x := vms[xxhash.Sum64String(s.self+"/"+strconv.FormatUint(seed*tries+try, 10))%uint64(len(vms))]
-		worth := 1
+		score := 1
 		if !m.Suspected(x.ID) {
-			worth += 2
+			score += 2
 		}
-		if wanted(x) {
-			worth++
+		if preferred(x) {
+			score++
 		}
-		if x.ID != s.self && worth > best {
-			v, ok, best = x, true, worth
+		if x.ID != s.self && score > best {
+			v, ok, best = x, true, score
 		}
 		if best == 4 {
 			break
@@ -157,21 +156,21 @@
 	return v, ok
 }
 
-// tell begins exchanges with a few peers, half of them in other zones. A
-// draining process tells more: it is its last word.
-func (s *State) tell(m *membership.Members) (effects []event.Effect) {
+// notifyPeers starts exchanges with a few peers, half of them in other zones. A draining process
+// notifies twice as many, since it has no later chance to do so.
+func (s *State) notifyPeers(m *membership.Members) (effects []event.Effect) {
 	n := fanOut
 	if s.draining {
 		n = 2 * fanOut
 	}
 	seen := map[string]bool{s.self: true}
 	for i := range n {
-		s.told++
-		draw := s.near
+		s.notifications++
+		draw := s.sameZonePeer
 		if i%2 == 1 {
-			draw = s.away
+			draw = s.otherZonePeer
 		}
-		v, ok := draw(1<<32+s.told, m)
+		v, ok := draw(1<<32+s.notifications, m)
 		if !ok || seen[v.ID] {
 			continue
 		}
--- a/spread/spread.go
+++ b/spread/spread.go
@@ -1,9 +1,9 @@
-// Package spread brings the configuration to every process within seconds,
-// though most cannot read the log, and never takes a process back.
+// Package spread distributes the configuration to every process within seconds, although most
+// processes don't read the log, and never moves a process back to an older revision.
 //
-// A few processes of each availability zone read the log. Who learns something
-// new tells a few peers at once, and every process asks one peer each second.
-// Who turns out to be behind fetches the records from the other.
+// A few processes of each availability zone read the log. A process that receives new records
+// notifies a few peers at once, and every process starts an exchange with one peer each second.
+// The one that is behind fetches the records from the other.
 package spread
 
 import (
@@ -17,135 +17,138 @@
 )
 
 const (
-	// askEvery is the span between two exchanges that a process begins.
-	askEvery = clock.Second
-	// askStarting is the same before the process has started.
-	askStarting = 300 * clock.Millis(1)
-	// fetchTimeout is when an unanswered fetch is given up.
+	// exchangeInterval is the time between two exchanges that a process starts.
+	exchangeInterval = clock.Second
+	// startingExchangeInterval is the same while the process is starting.
+	startingExchangeInterval = 300 * clock.Millis(1)
+	// fetchTimeout is the timeout of a fetch of records from a peer.
 	fetchTimeout = 3 * clock.Second
-	// fanOut is how many peers are told of news at once.
+	// fanOut is how many peers are notified of an update at once.
 	fanOut = 4
-	// maxAhead bounds the peers remembered to be ahead; the oldest falls out.
+	// maxAhead bounds the stored peers that are ahead; the oldest is dropped first.
 	maxAhead = 8
-	// startVoices is how many peers a process hears before it starts without
-	// the log.
-	startVoices = 3
+	// minStartReplies is how many peers must reply before a process starts without the log.
+	minStartReplies = 3
 )
 
-// NeverConfirmed stands for no confirmation at all: long before any instant.
+// NeverConfirmed is the confirmation time of tables that were never confirmed; it is before any
+// clock time.
 const NeverConfirmed = clock.Millis(-1 << 50)
 
-// Local is what the process itself has reduced.
+// Local is the state that the process itself has reduced.
 type Local struct {
 	// Offset is the next offset of the log to reduce.
 	Offset int64
-	// HasTables is true once there are tables.
+	// HasTables is true once tables are in force.
 	HasTables bool
-	// Holds is the set of holds in force; another set is another pointer.
+	// Holds is the set of holds in force. Its pointer changes when the set does.
 	Holds *rollout.Holds
 }
 
-// State reduces how far this process and its peers have read.
+// State tracks how far this process and its peers have read the log.
 type State struct {
 	self string
 	zone string
 	now  clock.Millis
-	// offset is Local.Offset as of the last event; it never goes back.
+	// offset is Local.Offset as of the last event; it never decreases.
 	offset int64
-	// confirmedAt is the latest instant, on this process's clock, at which the
-	// log's head was provably no further than offset.
+	// confirmedAt is the latest time, on this process's clock, at which the log's head was known
+	// to be no further than offset.
 	confirmedAt clock.Millis
-	// started is true once the process knows the tables in force; it stays.
-	started   bool
-	following bool
-	followed  bool
-	draining  bool
-	askAt     clock.Millis
-	// asks counts the exchanges begun, to choose the next peer.
-	asks uint64
-	// told counts the news told.
-	told uint64
-	// voices holds the zone of each started peer that replied before the start.
-	voices map[string]string
-	// ahead holds peers known to be further, at most maxAhead.
-	ahead []lead
-	// fetching is the VM that a fetch is under way from, until fetchUntil.
+	// started is true once the process has the tables in force; it is never reset.
+	started bool
+	// following is the last Follow effect, once followSent is true.
+	following  bool
+	followSent bool
+	draining   bool
+	// exchangeAt is the time of the next exchange.
+	exchangeAt clock.Millis
+	// exchanges counts the periodic exchanges started; it selects the next peer.
+	exchanges uint64
+	// notifications counts the peers drawn for notifications; it selects the next one.
+	notifications uint64
+	// startReplies holds the zone, by VM ID, of each started peer that replied while this process
+	// was starting.
+	startReplies map[string]string
+	// ahead holds at most maxAhead peers that have read further.
+	ahead []peerAhead
+	// fetching is the VM that records are being fetched from, with a timeout at fetchUntil; "" if
+	// none.
 	fetching   string
 	fetchUntil clock.Millis
-	// rank holds the readers among the members ranked.
-	rank   []provider.VM
-	ranked *membership.Members
+	// readerVMs holds the readers of this zone, as computed from readersOf.
+	readerVMs []provider.VM
+	readersOf *membership.Members
 	// holds is Local.Holds as of the last event.
 	holds *rollout.Holds
-	// words is how many words on leaving had been heard at the last event.
-	words int
+	// leavingChanges is Members.LeavingChanges as of the last event.
+	leavingChanges int
 }
 
-// lead is a peer that is further than this process.
-type lead struct {
+// peerAhead is a peer that has read further than this process.
+type peerAhead struct {
 	vm      string
 	address string
 	offset  int64
 }
 
-// New returns the state of a process that has just begun.
+// New returns the state of a process on VM self that has just started.
 func New(self, zone string) State {
-	return State{self: self, zone: zone, confirmedAt: NeverConfirmed, voices: make(map[string]string)}
+	return State{self: self, zone: zone, confirmedAt: NeverConfirmed, startReplies: make(map[string]string)}
 }
 
-// Started reports whether the process knows the tables in force, so far as the
-// log or several peers could tell.
+// Started reports whether the process has the tables in force, according to the log or to several
+// peers.
 func (s *State) Started() bool { return s.started }
 
-// ConfirmedAt returns the latest instant, on this process's clock, at which the
-// tables were provably current.
+// ConfirmedAt returns the latest time, on this process's clock, at which the tables were known to
+// be current; NeverConfirmed if there is none.
 func (s *State) ConfirmedAt() clock.Millis { return s.confirmedAt }
 
-// Reduce takes one event, after the tables have reduced it. Changed is true
-// when a view must tell traffic.
+// Reduce applies one event. The tables must have reduced it before, so that l includes it. Changed
+// is true if Started or ConfirmedAt changed, so that a new view must be published.
 func (s *State) Reduce(e event.Event, l Local, m *membership.Members) (effects []event.Effect, changed bool) {
 	started, confirmed := s.started, s.confirmedAt
 	grown := l.Offset > s.offset || l.Holds != s.holds
 	s.holds = l.Holds
 	s.offset = max(s.offset, l.Offset)
-	effects = s.take(e, m)
-	s.start(l, m)
-	if news := s.news(grown, m); news {
-		effects = append(effects, s.tell(m)...)
+	effects = s.apply(e, m)
+	s.tryStart(l, m)
+	if notify := s.hasUpdates(grown, m); notify {
+		effects = append(effects, s.notifyPeers(m)...)
 	}
 	return effects, s.started != started || s.confirmedAt != confirmed
 }
 
-func (s *State) take(e event.Event, m *membership.Members) (effects []event.Effect) {
+func (s *State) apply(e event.Event, m *membership.Members) (effects []event.Effect) {
 	switch e := e.(type) {
 	case event.Tick:
 		s.now = e.Now
 		return s.tick(m)
 	case event.LogRead:
-		s.read(e)
+		s.logRead(e)
 	case event.DigestReceived:
-		s.digest(e, m)
+		s.digestReceived(e, m)
 		return s.fetch()
 	case event.Behind:
 		s.behind(e, m)
 		return s.fetch()
 	case event.RecordsReceived:
-		s.received(e)
+		s.recordsReceived(e)
 		return s.fetch()
 	case event.PeerFailed:
-		s.failed(e)
+		s.peerFailed(e)
 		return s.fetch()
 	case event.Draining:
 		s.draining = true
-		return s.tell(m)
+		return s.notifyPeers(m)
 	}
 	return nil
 }
 
-// read confirms the revision at the log's head. A log that shows less than this
-// process has reduced was cut short: the process stays where it is and confirms
-// nothing by it.
-func (s *State) read(e event.LogRead) {
+// logRead confirms the tables if this process is at the log's head. A log that ends before the
+// process's offset was truncated: the process keeps its offset and confirms nothing.
+func (s *State) logRead(e event.LogRead) {
 	if e.Stream != provider.ConfigStream {
 		return
 	}
@@ -157,25 +160,25 @@
 	s.started = s.started || len(s.ahead) == 0
 }
 
-// digest compares a peer's offset with this process's own.
+// digestReceived compares a peer's offset with this process's own.
 //
-// Staleness travels as a span. A reply's age is at most the peer's staleness
-// plus the whole round trip, both spans on one clock each, so no two clocks are
-// compared. A digest that came unasked may have waited on the way for an
-// unknown time, so it confirms nothing.
-func (s *State) digest(e event.DigestReceived, m *membership.Members) {
+// Staleness is sent as a duration. The age of a reply is at most the peer's staleness plus the
+// round trip time. Each of the two is measured on one clock, so clocks of different processes are
+// never compared. A digest that is not a reply may have been delayed for an unknown time, so it
+// confirms nothing.
+func (s *State) digestReceived(e event.DigestReceived, m *membership.Members) {
 	d := e.Digest
 	if d.GetVm() == s.self {
 		return
 	}
 	if d.GetOffset() > s.offset {
-		s.lead(d.GetVm(), "", d.GetOffset(), m)
+		s.addAhead(d.GetVm(), "", d.GetOffset(), m)
 	}
 	if !e.Reply || !d.GetStarted() {
 		return
 	}
 	if !s.started {
-		s.voices[d.GetVm()] = d.GetZone()
+		s.startReplies[d.GetVm()] = d.GetZone()
 	}
 	if d.GetOffset() <= s.offset && d.GetStalenessMillis() >= 0 {
 		s.confirmedAt = max(s.confirmedAt, e.Sent-clock.Millis(d.GetStalenessMillis()))
@@ -184,12 +187,12 @@
 
 func (s *State) behind(e event.Behind, m *membership.Members) {
 	if e.Revision >= s.offset {
-		s.lead(e.VM, e.Address, e.Revision+1, m)
+		s.addAhead(e.VM, e.Address, e.Revision+1, m)
 	}
 }
 
-// lead remembers a peer that is further.
-func (s *State) lead(vm, address string, offset int64, m *membership.Members) {
+// addAhead records a peer that has read further. A peer without a known address is ignored.
+func (s *State) addAhead(vm, address string, offset int64, m *membership.Members) {
 	if v, ok := m.Find(vm); ok {
 		address = v.Address
 	}
@@ -202,31 +205,31 @@
 			return
 		}
 	}
-	s.ahead = append(s.ahead, lead{vm: vm, address: address, offset: offset})
+	s.ahead = append(s.ahead, peerAhead{vm: vm, address: address, offset: offset})
 	if len(s.ahead) > maxAhead {
 		s.ahead = s.ahead[1:]
 	}
 }
 
-func (s *State) received(e event.RecordsReceived) {
+func (s *State) recordsReceived(e event.RecordsReceived) {
 	if e.From != s.fetching {
 		return
 	}
 	s.fetching = ""
 	if e.Reply.GetFrom() > s.offset {
-		s.drop(e.From)
+		s.removeAhead(e.From)
 	}
 }
 
-func (s *State) failed(e event.PeerFailed) {
-	s.drop(e.VM)
-	delete(s.voices, e.VM)
+func (s *State) peerFailed(e event.PeerFailed) {
+	s.removeAhead(e.VM)
+	delete(s.startReplies, e.VM)
 	if e.VM == s.fetching {
 		s.fetching = ""
 	}
 }
 
-func (s *State) drop(vm string) {
+func (s *State) removeAhead(vm string) {
 	for i := range s.ahead {
 		if s.ahead[i].vm == vm {
 			s.ahead = append(s.ahead[:i], s.ahead[i+1:]...)
@@ -235,20 +238,20 @@
 	}
 }
 
-// fetch asks the furthest peer for what this process lacks, one at a time.
+// fetch requests the missing records from the peer that has read furthest, one fetch at a time.
 func (s *State) fetch() (effects []event.Effect) {
-	best := lead{offset: s.offset}
-	kept := s.ahead[:0]
+	best := peerAhead{offset: s.offset}
+	remaining := s.ahead[:0]
 	for _, a := range s.ahead {
 		if a.offset <= s.offset {
 			continue
 		}
-		kept = append(kept, a)
+		remaining = append(remaining, a)
 		if a.offset > best.offset {
 			best = a
 		}
 	}
-	s.ahead = kept
+	s.ahead = remaining
 	if best.vm == "" || s.fetching != "" {
 		return nil
 	}
@@ -257,80 +260,80 @@
 	return []event.Effect{event.FetchRecords{VM: best.vm, Address: best.address, From: s.offset}}
 }
 
-// start ends the starting phase without the log: enough peers have replied, one
-// of them in another availability zone where there is one, and this process
-// stands where the furthest of them stands. Fewer voices could all be behind,
-// and a process without disks has no memory of its own to tell.
-func (s *State) start(l Local, m *membership.Members) {
+// tryStart ends the starting phase without the log if enough peers have replied, one of them in
+// another availability zone if there is one, and this process has read as far as the furthest of
+// them. Fewer peers could all be behind, which this process can't detect, since it has no disk
+// that keeps its offset across restarts.
+func (s *State) tryStart(l Local, m *membership.Members) {
 	if s.started || !l.HasTables || len(s.ahead) > 0 {
 		return
 	}
-	others, elsewhere := 0, false
+	peers, otherZones := 0, false
 	for _, v := range m.VMs() {
 		if v.ID == s.self || m.Suspected(v.ID) {
 			continue
 		}
-		others++
-		elsewhere = elsewhere || v.Zone != s.zone
+		peers++
+		otherZones = otherZones || v.Zone != s.zone
 	}
-	heardElsewhere := false
-	for _, zone := range s.voices {
-		heardElsewhere = heardElsewhere || zone != s.zone
+	otherZoneReplied := false
+	for _, zone := range s.startReplies {
+		otherZoneReplied = otherZoneReplied || zone != s.zone
 	}
-	if len(s.voices) == 0 || len(s.voices) < min(startVoices, others) || elsewhere && !heardElsewhere {
+	if len(s.startReplies) == 0 || len(s.startReplies) < min(minStartReplies, peers) || otherZones && !otherZoneReplied {
 		return
 	}
 	s.started = true
 }
 
-// news reports whether peers should hear at once: records that were new here,
-// or a process that says that it leaves.
-func (s *State) news(grown bool, m *membership.Members) bool {
-	more := m.LeavingChanges() > s.words
-	s.words = m.LeavingChanges()
-	return grown || more
+// hasUpdates reports whether peers must be notified at once: of new records or holds, or of a
+// process that leaves or joins again.
+func (s *State) hasUpdates(grown bool, m *membership.Members) bool {
+	changed := m.LeavingChanges() > s.leavingChanges
+	s.leavingChanges = m.LeavingChanges()
+	return grown || changed
 }
 
 func (s *State) tick(m *membership.Members) (effects []event.Effect) {
 	if s.fetching != "" && s.now >= s.fetchUntil {
-		s.drop(s.fetching)
+		s.removeAhead(s.fetching)
 		s.fetching = ""
 		effects = s.fetch()
 	}
-	if s.now < s.askAt {
+	if s.now < s.exchangeAt {
 		return effects
 	}
-	every := askEvery
+	every := exchangeInterval
 	if !s.started {
-		every = askStarting
+		every = startingExchangeInterval
 	}
-	s.askAt = s.now + every
-	if s.asks == 0 {
-		s.askAt += clock.Millis(xxhash.Sum64String(s.self) % uint64(askEvery))
+	s.exchangeAt = s.now + every
+	if s.exchanges == 0 {
+		s.exchangeAt += clock.Millis(xxhash.Sum64String(s.self) % uint64(exchangeInterval))
 	}
 	effects = append(effects, s.follow(m)...)
-	s.asks++
-	if v, ok := s.next(m); ok {
+	s.exchanges++
+	if v, ok := s.nextPeer(m); ok {
 		effects = append(effects, event.Exchange{VM: v.ID, Address: v.Address})
 	}
 	return effects
 }
 
-// Snapshot is what traffic and peers may know of State; it never changes.
+// Snapshot is an immutable snapshot of State for request handling and for peers.
 type Snapshot struct {
 	VM    string
 	Zone  string
 	Epoch uint64
 	Tail  Tail
-	// Starting is true until the process knows the tables in force.
+	// Starting is true until the process has the tables in force.
 	Starting bool
 }
 
-// Digest returns what a process tells its peers, but for its load.
-func (p Snapshot) Digest(revision int64, staleness clock.Millis, leaving bool, m *membership.Members) *wire.Digest {
+// Digest returns the digest that a process sends its peers, without its load.
+func (sn Snapshot) Digest(revision int64, staleness clock.Millis, leaving bool, m *membership.Members) *wire.Digest {
 	return &wire.Digest{
-		Vm: p.VM, Zone: p.Zone, Epoch: p.Epoch,
-		Revision: revision, Offset: p.Tail.End(), Started: !p.Starting,
+		Vm: sn.VM, Zone: sn.Zone, Epoch: sn.Epoch,
+		Revision: revision, Offset: sn.Tail.End(), Started: !sn.Starting,
 		Leaving: leaving, Leavings: m.Leavings(),
 		StalenessMillis: int64(staleness),
 	}
--- a/spread/tail.go
+++ b/spread/tail.go
@@ -5,37 +5,37 @@
 )
 
 const (
-	// maxTailRecords and maxTailBytes bound the records kept for peers; the
-	// oldest fall out.
+	// maxTailRecords and maxTailBytes bound the records stored for peers; the oldest are dropped
+	// first.
 	maxTailRecords = 512
 	maxTailBytes   = 1 << 20
-	// maxReplyBytes bounds the records of one reply; a peer asks again for more.
+	// maxReplyBytes bounds the records of one reply; a peer requests more with its next fetch.
 	maxReplyBytes = 256 << 10
 )
 
-// Tail holds the last records of a stream for peers that are behind. A value
-// never changes; Add returns the next one.
+// Tail holds the last records of a stream for peers that are behind. It is immutable; Add returns
+// a new value. The zero value is an empty tail at offset 0.
 type Tail struct {
-	// from is the offset from which on the records are complete.
+	// from is the offset of the first record; the records up to end are complete.
 	from    int64
 	end     int64
 	records []*wire.Record
 	bytes   int
-	// restarts counts the checkpoints from which the tail began anew.
+	// restarts counts the checkpoints at which the tail restarted.
 	restarts int
 }
 
-// Restart returns an empty tail that begins at an offset: what lay before it is
-// in the checkpoint that the process has just taken.
+// Restart returns an empty tail that starts at an offset. The records before it are part of the
+// checkpoint that the process has just loaded.
 func (t Tail) Restart(offset int64) Tail {
 	return Tail{from: offset, end: offset, restarts: t.restarts + 1}
 }
 
-// Restarts counts how often the tail began anew. A reader of the log goes back
-// to End when it changes: it has passed records that could not be reduced.
+// Restarts returns how often the tail restarted. When it changes, a reader of the log must go back
+// to End, because it has read past records that could not be reduced.
 func (t Tail) Restarts() int { return t.restarts }
 
-// From returns the offset from which on the records are complete.
+// From returns the first offset from which the records are complete.
 func (t Tail) From() int64 { return t.from }
 
 // End returns the offset after the last record.
@@ -54,9 +54,9 @@
 	return t
 }
 
-// Reply returns the records from an offset on, as many as one reply bears. When
-// they are no longer kept it returns no record, and From says from where on
-// they are.
+// Reply returns the records from an offset on, as many as fit into one reply. If the tail no
+// longer has the record at that offset, the reply has no records, and its From is the first offset
+// available.
 func (t Tail) Reply(from int64) *wire.RecordsReply {
 	out := &wire.RecordsReply{Head: t.end, From: max(from, t.from)}
 	if from < t.from {
