--- a/membership/member.go
+++ b/membership/member.go
@@ -10,73 +10,75 @@
 )
 
 const (
-	// suspectFirst is how long the first failed call keeps a VM suspected; each
-	// further failure doubles it up to suspectMost.
-	suspectFirst = clock.Second
-	suspectMost  = 30 * clock.Second
-	// epochSilence is how long an epoch must be silent before a retired one is
-	// believed again.
-	epochSilence = 5 * clock.Second
-	// maxRetired bounds the retired epochs kept of one VM; the oldest falls out.
+	// minSuspicion is how long a VM is suspected after the first failed call. Each consecutive
+	// failure doubles the duration, up to maxSuspicion.
+	minSuspicion = clock.Second
+	maxSuspicion = 30 * clock.Second
+	// retiredEpochSilence is how long the current epoch must be silent before messages of a
+	// retired one are accepted again.
+	retiredEpochSilence = 5 * clock.Second
+	// maxRetired bounds the stored retired epochs of one VM; the oldest is dropped first.
 	maxRetired = 4
-	// wordTold is how long a changed word on leaving stands in digests.
-	wordTold = 30 * clock.Second
-	// leavingMost is when a word on leaving lapses, should the VM stay listed: a
-	// process that took so long is gone, and the gate refuses if it is not.
-	leavingMost = 10 * clock.Minute
+	// leavingReportDuration is how long digests report a leaving change.
+	leavingReportDuration = 30 * clock.Second
+	// maxLeavingDuration is when leaving expires if the VM stays listed. A process that leaves has
+	// ended by then; if it hasn't, its gate refuses requests.
+	maxLeavingDuration = 10 * clock.Minute
 )
 
-// slot holds what traffic reads in place. It outlives pictures, so that a load
-// report costs no new picture.
-type slot struct {
+// sharedLoad holds the newest load of a VM. All snapshots share it, so that a load report needs no
+// new snapshot.
+type sharedLoad struct {
 	load atomic.Pointer[wire.Load]
 }
 
-// member is what is known of one VM.
+// member is the state of one VM.
 type member struct {
-	vm   provider.VM
-	slot *slot
-	// epoch is that of the process believed to run on the VM; 0 before its
-	// first word.
+	vm         provider.VM
+	sharedLoad *sharedLoad
+	// epoch identifies the current process on the VM; 0 if unknown.
 	epoch uint64
-	// retired holds epochs that another one followed, at most maxRetired.
+	// retired holds at most maxRetired epochs of previous processes.
 	retired []uint64
-	// heardAt is when the VM, under its present epoch, last gave word.
-	heardAt clock.Millis
-	// answered is true once the VM gave word at all.
+	// lastSeenAt is when the last message of the current process arrived, at first when the VM was
+	// listed.
+	lastSeenAt clock.Millis
+	// answered is true once a message of the VM has arrived.
 	answered bool
-	// leaving is the VM's own word, valid for its present epoch only.
+	// leaving is true if the VM's process reported that it leaves; it is valid for the current
+	// epoch only.
 	leaving bool
-	// worded is true since wordAt, when the VM's word on leaving changed.
-	worded bool
-	wordAt clock.Millis
+	// leavingChanged is true for leavingReportDuration after a leaving change, which is a process
+	// that leaves or a new one that has joined. leavingChangedAt is the time of the last such
+	// change.
+	leavingChanged   bool
+	leavingChangedAt clock.Millis
 	// absent is true while the list lacks the VM, since absentAt.
 	absent   bool
 	absentAt clock.Millis
-	// failures counts the failed calls since the last word.
+	// failures counts the failed calls since the last message.
 	failures     int
 	suspected    bool
 	suspectUntil clock.Millis
-	// usedAt is when an answer to a request of this process last came from the
-	// VM.
+	// usedAt is when the VM last answered a request of this process.
 	usedAt clock.Millis
-	// used is true while the VM stands among those that may be polled.
+	// used is true while the member is in polls.used.
 	used bool
-	// pollAt is when the VM is next asked for its load, should it be quiet.
+	// pollAt is the earliest time of the next poll.
 	pollAt clock.Millis
 }
 
-// replace forgets what was known of the process that ran on the VM before.
-func (m *member) replace() {
-	m.slot.load.Store(nil)
-	m.retire()
+// resetProcess discards the state of the process that ran on the VM before.
+func (m *member) resetProcess() {
+	m.sharedLoad.load.Store(nil)
+	m.retireEpoch()
 	m.leaving = false
 	m.failures = 0
 	m.suspected = false
 	m.answered = false
 }
 
-func (m *member) retire() {
+func (m *member) retireEpoch() {
 	if m.epoch == 0 {
 		return
 	}
@@ -87,27 +89,27 @@
 	m.epoch = 0
 }
 
-// current reports whether word under an epoch is that of the process now on the
-// VM. Two processes may speak under one VM: an old one that was paused and came
-// back beside its successor. Its word is late by the whole pause, so a retired
-// epoch is believed only once the present one has fallen silent.
-func (m *member) current(now clock.Millis, epoch uint64) bool {
+// fromCurrentProcess reports whether a message with this epoch is from the current process on the
+// VM; 0 is unknown and accepted. Two processes may send messages for one VM if an old one was
+// paused and resumes beside its successor. Its messages are outdated by the whole pause, so a
+// retired epoch is accepted only after retiredEpochSilence without a message of the current one.
+func (m *member) fromCurrentProcess(now clock.Millis, epoch uint64) bool {
 	if epoch == 0 || epoch == m.epoch || m.epoch == 0 && !slices.Contains(m.retired, epoch) {
 		return true
 	}
-	return !slices.Contains(m.retired, epoch) || now-m.heardAt >= epochSilence
+	return !slices.Contains(m.retired, epoch) || now-m.lastSeenAt >= retiredEpochSilence
 }
 
-// hear takes any word of the VM; it ends suspicion. It reports whether the
-// picture changed.
-func (m *member) hear(now clock.Millis, epoch uint64) (changed bool) {
-	if !m.current(now, epoch) {
+// recordContact records that a message of the VM arrived, which ends suspicion. It reports whether
+// the snapshot changes.
+func (m *member) recordContact(now clock.Millis, epoch uint64) (changed bool) {
+	if !m.fromCurrentProcess(now, epoch) {
 		return false
 	}
 	if epoch != 0 && epoch != m.epoch {
-		changed = m.succeed(now, epoch)
+		changed = m.switchEpoch(now, epoch)
 	}
-	m.heardAt = now
+	m.lastSeenAt = now
 	m.answered = true
 	m.failures = 0
 	changed = changed || m.suspected
@@ -115,39 +117,39 @@
 	return changed
 }
 
-// succeed takes the process of another epoch for the one on the VM. It reports
-// whether one was known before.
-func (m *member) succeed(now clock.Millis, epoch uint64) (changed bool) {
-	m.retire()
+// switchEpoch makes the process of another epoch the current one. It reports whether the VM had a
+// process before.
+func (m *member) switchEpoch(now clock.Millis, epoch uint64) (changed bool) {
+	m.retireEpoch()
 	changed = len(m.retired) > 0
 	m.retired = slices.DeleteFunc(m.retired, func(e uint64) bool { return e == epoch })
 	m.epoch = epoch
 	m.leaving = false
-	m.slot.load.Store(nil)
+	m.sharedLoad.load.Store(nil)
 	if changed {
-		m.word(now)
+		m.markLeavingChange(now)
 	}
 	return changed
 }
 
-func (m *member) word(now clock.Millis) {
-	m.worded = true
-	m.wordAt = now
+func (m *member) markLeavingChange(now clock.Millis) {
+	m.leavingChanged = true
+	m.leavingChangedAt = now
 }
 
-// join takes a relayed word that a process has begun on the VM. Without it, a
-// VM that was left and came back under its old address would stay out of use:
-// nobody sends to a leaving VM, so nobody would hear of its new process.
-func (m *member) join(now clock.Millis, epoch uint64) (changed bool) {
+// applyJoin applies a peer's report that a new process has started on the VM. Without it, a VM
+// whose process left and was replaced under the same address would stay unused: no entry sends to
+// a leaving VM, so none would receive a message of its new process.
+func (m *member) applyJoin(now clock.Millis, epoch uint64) (changed bool) {
 	if epoch == 0 || epoch == m.epoch || slices.Contains(m.retired, epoch) {
 		return false
 	}
-	return m.succeed(now, epoch)
+	return m.switchEpoch(now, epoch)
 }
 
-// leave takes the VM's word that it leaves. Word under another epoch is of a
-// process before the present one and says nothing about it.
-func (m *member) leave(now clock.Millis, epoch uint64) (changed bool) {
+// applyLeaving applies a report that the VM's process leaves. A report with another epoch is about
+// a previous process and is ignored.
+func (m *member) applyLeaving(now clock.Millis, epoch uint64) (changed bool) {
 	if m.leaving || epoch != 0 && m.epoch != 0 && epoch != m.epoch || slices.Contains(m.retired, epoch) {
 		return false
 	}
@@ -155,25 +157,25 @@
 		m.epoch = epoch
 	}
 	m.leaving = true
-	m.word(now)
+	m.markLeavingChange(now)
 	return true
 }
 
-// takeLoad keeps the newer load. Answers cross on the way, so a late one with a
-// lower sequence is dropped.
-func (m *member) takeLoad(l *wire.Load) (taken bool) {
+// applyLoad stores a load if it is newer than the stored one. Answers may arrive out of order, so
+// a late one with a lower sequence is dropped.
+func (m *member) applyLoad(l *wire.Load) (stored bool) {
 	if l.GetEpoch() != 0 && l.GetEpoch() != m.epoch {
 		return false
 	}
-	if old := m.slot.load.Load(); old != nil && !newer(l, old) {
+	if old := m.sharedLoad.load.Load(); old != nil && !newer(l, old) {
 		return false
 	}
-	m.slot.load.Store(l)
+	m.sharedLoad.load.Store(l)
 	return true
 }
 
-// newer orders the loads of one epoch. Loads that carry no order at all are
-// taken as they come.
+// newer reports whether l is newer than old, a load of the same epoch. A load without epoch and
+// sequence counts as newer.
 func newer(l, old *wire.Load) bool {
 	if l.GetEpoch() == 0 && l.GetSequence() == 0 {
 		return true
@@ -184,28 +186,29 @@
 	return l.GetSequence() > old.GetSequence()
 }
 
-// fail takes a failed call. It reports whether the picture changed.
-func (m *member) fail(now clock.Millis) (changed bool) {
-	span := suspectFirst << min(m.failures, 5)
+// recordFailure records a failed call. It reports whether the snapshot changes.
+func (m *member) recordFailure(now clock.Millis) (changed bool) {
+	duration := minSuspicion << min(m.failures, 5)
 	m.failures++
-	m.suspectUntil = now + min(span, suspectMost)
+	m.suspectUntil = now + min(duration, maxSuspicion)
 	changed = !m.suspected
 	m.suspected = true
 	return changed
 }
 
-// lapse ends what has run out. It reports whether the picture changed.
-func (m *member) lapse(now clock.Millis) (changed bool) {
+// expire ends suspicion, leaving and the report of a leaving change once they have expired. It
+// reports whether the snapshot changes.
+func (m *member) expire(now clock.Millis) (changed bool) {
 	if m.suspected && now >= m.suspectUntil {
 		m.suspected = false
 		changed = true
 	}
-	if m.leaving && now-m.wordAt >= leavingMost && !m.absent {
+	if m.leaving && now-m.leavingChangedAt >= maxLeavingDuration && !m.absent {
 		m.leaving = false
 		changed = true
 	}
-	if m.worded && now-m.wordAt >= wordTold {
-		m.worded = false
+	if m.leavingChanged && now-m.leavingChangedAt >= leavingReportDuration {
+		m.leavingChanged = false
 		changed = true
 	}
 	return changed
--- a/membership/members.go
+++ b/membership/members.go
@@ -8,34 +8,34 @@
 	"github.com/parsleydeal/parsleydeal/provider"
 )
 
-// Members is an immutable picture of the VMs for traffic. Only the loads in it
-// move on.
+// Members is an immutable snapshot of the VMs for request handling, except that Load returns the
+// newest loads.
 type Members struct {
-	vms       []provider.VM
-	slots     map[string]*slot
-	leaving   map[string]bool
-	suspected map[string]bool
-	byPool    map[string][]provider.VM
-	byZone    map[string][]provider.VM
-	leavings  []*wire.Leaving
-	words     int
+	vms            []provider.VM
+	sharedLoads    map[string]*sharedLoad
+	leaving        map[string]bool
+	suspected      map[string]bool
+	byPool         map[string][]provider.VM
+	byZone         map[string][]provider.VM
+	leavings       []*wire.Leaving
+	leavingChanges int
 }
 
 func emptyMembers() *Members { return &Members{} }
 
-// draw makes the lasting part of a picture: who there is and where.
-func (s *State) draw() *Members {
+// newSnapshot returns a snapshot of the VMs by pool and zone, without leaving and suspicion.
+func (s *State) newSnapshot() *Members {
 	m := &Members{
-		vms:    make([]provider.VM, 0, len(s.order)),
-		slots:  make(map[string]*slot, len(s.order)),
-		byPool: make(map[string][]provider.VM),
-		byZone: make(map[string][]provider.VM),
+		vms:         make([]provider.VM, 0, len(s.order)),
+		sharedLoads: make(map[string]*sharedLoad, len(s.order)),
+		byPool:      make(map[string][]provider.VM),
+		byZone:      make(map[string][]provider.VM),
 	}
 	for _, id := range s.order {
 		x := s.vms[id]
 		v := x.vm
 		m.vms = append(m.vms, v)
-		m.slots[id] = x.slot
+		m.sharedLoads[id] = x.sharedLoad
 		m.byZone[v.Zone] = append(m.byZone[v.Zone], v)
 		if v.Role == provider.EndpointRole {
 			m.byPool[v.Pool] = append(m.byPool[v.Pool], v)
@@ -44,12 +44,12 @@
 	return m
 }
 
-// mark returns a picture with the same VMs and the present marks on them.
-func (s *State) mark(old *Members) *Members {
+// withFlags returns a copy of a snapshot with the current leaving and suspected VMs.
+func (s *State) withFlags(old *Members) *Members {
 	m := *old
 	m.leaving = make(map[string]bool)
 	m.suspected = make(map[string]bool)
-	for id, x := range s.marked {
+	for id, x := range s.flagged {
 		if x.leaving {
 			m.leaving[id] = true
 		}
@@ -58,18 +58,17 @@
 		}
 	}
 	m.leavings = s.leavings()
-	m.words = s.words
+	m.leavingChanges = s.leavingChanges
 	return &m
 }
 
-// maxLeavings bounds the words on leaving that one digest tells.
+// maxLeavings bounds the leaving changes that one digest reports.
 const maxLeavings = 32
 
-// leavings lists the words on leaving that lately changed, the first
-// maxLeavings by VM.
+// leavings lists the recent leaving changes, sorted by VM ID and at most maxLeavings.
 func (s *State) leavings() (out []*wire.Leaving) {
-	for id, m := range s.marked {
-		if m.worded && m.epoch != 0 && s.now-m.wordAt < wordTold {
+	for id, m := range s.flagged {
+		if m.leavingChanged && m.epoch != 0 && s.now-m.leavingChangedAt < leavingReportDuration {
 			out = append(out, &wire.Leaving{Vm: id, Epoch: m.epoch, Joined: !m.leaving})
 		}
 	}
@@ -77,7 +76,7 @@
 	return out[:min(len(out), maxLeavings)]
 }
 
-// VMs returns all VMs sorted by ID. Callers may not change it.
+// VMs returns all VMs sorted by ID. Callers must not change the slice.
 func (m *Members) VMs() []provider.VM { return m.vms }
 
 // Pool returns the endpoint VMs of a pool sorted by ID, leaving ones included.
@@ -86,29 +85,29 @@
 // Zone returns the VMs of an availability zone sorted by ID.
 func (m *Members) Zone(name string) []provider.VM { return m.byZone[name] }
 
-// Leaving reports whether the list or the VM itself says that it leaves.
+// Leaving reports whether the VM leaves, according to the platform's list or its own process.
 func (m *Members) Leaving(v provider.VM) bool { return v.Leaving || m.leaving[v.ID] }
 
-// Suspected reports whether calls to the VM failed and nothing was heard of it
-// since. Suspicion lapses after a while, so that the VM is tried again.
+// Suspected reports whether recent calls to the VM failed and no message of it arrived since.
+// Suspicion expires, so that the VM is tried again.
 func (m *Members) Suspected(vm string) bool { return m.suspected[vm] }
 
-// Leavings lists the words of processes on leaving that lately changed.
+// Leavings lists the recent leaving changes: processes that leave, and new ones that have joined.
 func (m *Members) Leavings() []*wire.Leaving { return m.leavings }
 
-// LeavingChanges counts the changed words on leaving that were ever heard.
-func (m *Members) LeavingChanges() int { return m.words }
+// LeavingChanges returns the number of leaving changes so far.
+func (m *Members) LeavingChanges() int { return m.leavingChanges }
 
-// Load returns the newest known load of a VM, or nil. It reads in place and
-// never blocks.
+// Load returns the newest known load of a VM, or nil. It never blocks, and later calls may return
+// a newer load.
 func (m *Members) Load(vm string) *wire.Load {
-	if s := m.slots[vm]; s != nil {
+	if s := m.sharedLoads[vm]; s != nil {
 		return s.load.Load()
 	}
 	return nil
 }
 
-// Find returns the VM with an ID.
+// Find returns the VM with an ID; ok is false if there is none.
 func (m *Members) Find(id string) (v provider.VM, ok bool) {
 	i, ok := slices.BinarySearchFunc(m.vms, id, func(v provider.VM, id string) int { return strings.Compare(v.ID, id) })
 	if !ok {
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -1,6 +1,6 @@
-// Package membership knows which VMs there are and which of them may receive
-// new work, from the platform's lagging list, the processes' own word and what
-// became of calls to them.
+// Package membership tracks which VMs there are and which of them may receive new work. Its
+// sources are the platform's VM list, which is updated with a delay, the messages of the processes
+// themselves and the results of calls to them.
 package membership
 
 import (
@@ -13,52 +13,54 @@
 )
 
 const (
-	// maxVMs bounds the VMs known; of a longer list the last by ID fall out.
+	// maxVMs bounds the VMs tracked; further ones of a longer list are ignored.
 	maxVMs = 8192
-	// absentKeep is how long a VM that the list dropped is kept after its last
-	// word, or after the drop when it said nothing.
-	absentKeep = 30 * clock.Second
-	// outageKeep is how long VMs are kept after a list that lost more than half
-	// of them at once, which looks like a fault of the list.
-	outageKeep = 10 * clock.Minute
-	// sweepEvery is the span between two looks for what has lapsed.
-	sweepEvery = clock.Second
+	// absentRetention is how long a VM that is missing from the list is retained after its last
+	// message, or after it was first missing if that is later.
+	absentRetention = 30 * clock.Second
+	// outageRetention is how long VMs are retained after more than half of them are missing from
+	// the list at once, which is probably a fault of the list.
+	outageRetention = 10 * clock.Minute
+	// sweepInterval is the time between two checks for expired state.
+	sweepInterval = clock.Second
 )
 
-// State reduces what is known of the VMs.
+// State is the reducer of the VMs.
 type State struct {
-	// self is this process's VM; nothing is judged of it.
+	// self is this process's VM ID. Failed calls and leaving changes reported by peers don't apply
+	// to it.
 	self string
-	// vms holds at most maxVMs; an entry goes once the list has lacked the VM
-	// and the VM has said nothing for a while.
+	// vms holds at most maxVMs. A VM is removed once it has been missing from the list and silent
+	// for absentRetention.
 	vms map[string]*member
 	// order holds the IDs of vms, sorted.
 	order []string
-	// words counts the changed words on leaving.
-	words int
-	// marked holds the members that are absent, leaving, suspected or
-	// lately worded, so that a tick need not look at all.
-	marked map[string]*member
-	// reshaped is true while vms has lines that the picture lacks.
-	reshaped bool
-	// picture is what traffic sees; it is replaced when it changes.
-	picture *Members
-	// listedAt is when the last list that was believed came.
+	// leavingChanges counts the leaving changes.
+	leavingChanges int
+	// flagged holds the members that are absent, leaving, suspected or have a recent leaving
+	// change, so that a tick need not check all members.
+	flagged map[string]*member
+	// vmsChanged is true while vms has changes that the snapshot lacks.
+	vmsChanged bool
+	// snapshot is replaced when it changes.
+	snapshot *Members
+	// listedAt is when the last list that was not empty arrived.
 	listedAt clock.Millis
-	// shrunkAt is when the list first lost more than half; 0 when it has not.
+	// shrunkAt is when more than half of the VMs were first missing from the list; 0 if they are
+	// not.
 	shrunkAt clock.Millis
 	sweptAt  clock.Millis
 	now      clock.Millis
 	polls    polls
 }
 
-// New returns the state of a process that knows no VMs yet.
+// New returns the state of the process on VM self, without any VMs.
 func New(self string) State {
-	return State{self: self, vms: make(map[string]*member), marked: make(map[string]*member), picture: emptyMembers()}
+	return State{self: self, vms: make(map[string]*member), flagged: make(map[string]*member), snapshot: emptyMembers()}
 }
 
-// Reduce takes one event and reports whether the members changed. A load
-// report changes no member: traffic reads loads in place.
+// Reduce applies one event and reports whether Members returns a new snapshot. A load alone makes
+// no new snapshot, since snapshots share the loads.
 func (s *State) Reduce(e event.Event) (effects []event.Effect, changed bool) {
 	switch e := e.(type) {
 	case event.Tick:
@@ -66,26 +68,26 @@
 		changed = s.sweep()
 		effects = s.poll()
 	case event.VMsListed:
-		changed = s.list(e)
+		changed = s.applyList(e)
 	case event.DigestReceived:
-		changed = s.digest(e)
+		changed = s.applyDigest(e)
 	case event.LoadReceived:
-		changed = s.load(e.Now, e.Load)
-		s.use(e)
+		changed = s.applyLoad(e.Now, e.Load)
+		s.recordUse(e)
 	case event.PeerFailed:
-		changed = s.fail(e)
+		changed = s.recordFailure(e)
 	}
 	if changed {
-		s.redraw()
+		s.refreshSnapshot()
 	}
 	return effects, changed
 }
 
-// list takes in the platform's list. An empty list, or one that lost more than
-// half of the VMs at once, is a fault of the list far more often than of the
-// VMs: emptying the members would refuse every request while all endpoints are
-// well. The VMs are kept then, and direct evidence alone takes them out.
-func (s *State) list(e event.VMsListed) (changed bool) {
+// applyList applies the platform's list. If it is empty, or more than half of the VMs are missing
+// at once, the fault is far more often in the list than in the VMs, and removing the VMs would
+// refuse every request although all endpoints are healthy. The VMs are retained then, and only
+// failed calls and the VMs' own messages exclude them.
+func (s *State) applyList(e event.VMsListed) (changed bool) {
 	if len(e.VMs) == 0 {
 		return false
 	}
@@ -96,7 +98,7 @@
 			continue
 		}
 		listed[v.ID] = true
-		changed = s.see(e.Now, v) || changed
+		changed = s.applyListed(e.Now, v) || changed
 	}
 	missing := 0
 	for id, m := range s.vms {
@@ -107,14 +109,14 @@
 		if !m.absent {
 			m.absent = true
 			m.absentAt = e.Now
-			s.marked[id] = m
+			s.flagged[id] = m
 		}
 	}
-	s.noteShrink(e.Now, missing)
-	return s.drop(e.Now) || changed
+	s.recordShrink(e.Now, missing)
+	return s.removeAbsent(e.Now) || changed
 }
 
-func (s *State) noteShrink(now clock.Millis, missing int) {
+func (s *State) recordShrink(now clock.Millis, missing int) {
 	if 2*missing <= len(s.vms) {
 		s.shrunkAt = 0
 		return
@@ -124,99 +126,99 @@
 	}
 }
 
-// see takes one line of the list.
-func (s *State) see(now clock.Millis, v provider.VM) (changed bool) {
+// applyListed applies one VM of the list.
+func (s *State) applyListed(now clock.Millis, v provider.VM) (changed bool) {
 	m := s.vms[v.ID]
 	if m == nil {
-		s.vms[v.ID] = &member{vm: v, slot: &slot{}, heardAt: now}
-		s.reshaped = true
+		s.vms[v.ID] = &member{vm: v, sharedLoad: &sharedLoad{}, lastSeenAt: now}
+		s.vmsChanged = true
 		return true
 	}
 	m.absent = false
 	if m.vm == v {
 		return false
 	}
-	s.reshaped = true
+	s.vmsChanged = true
 	if m.vm.Address != v.Address {
-		m.replace()
+		m.resetProcess()
 	}
 	m.vm = v
 	return true
 }
 
-// drop forgets VMs that the list has lacked for long enough.
-func (s *State) drop(now clock.Millis) (changed bool) {
-	if s.shrunkAt != 0 && now-s.shrunkAt < outageKeep {
+// removeAbsent removes the VMs that have been missing from the list for long enough.
+func (s *State) removeAbsent(now clock.Millis) (changed bool) {
+	if s.shrunkAt != 0 && now-s.shrunkAt < outageRetention {
 		return false
 	}
-	for id, m := range s.marked {
-		if m.absent && now-max(m.absentAt, m.heardAt) >= absentKeep {
+	for id, m := range s.flagged {
+		if m.absent && now-max(m.absentAt, m.lastSeenAt) >= absentRetention {
 			delete(s.vms, id)
-			delete(s.marked, id)
-			s.reshaped = true
+			delete(s.flagged, id)
+			s.vmsChanged = true
 			changed = true
 		}
 	}
 	return changed
 }
 
-// sweep lets suspicions and absent VMs lapse.
+// sweep removes absent VMs and expires the state of flagged members.
 func (s *State) sweep() (changed bool) {
-	if s.now-s.sweptAt < sweepEvery {
+	if s.now-s.sweptAt < sweepInterval {
 		return false
 	}
 	s.sweptAt = s.now
-	changed = s.drop(s.now) || len(s.picture.leavings) != len(s.leavings())
-	for id, m := range s.marked {
-		changed = m.lapse(s.now) || changed
-		if !m.suspected && !m.absent && !m.leaving && !m.worded {
-			delete(s.marked, id)
+	changed = s.removeAbsent(s.now) || len(s.snapshot.leavings) != len(s.leavings())
+	for id, m := range s.flagged {
+		changed = m.expire(s.now) || changed
+		if !m.suspected && !m.absent && !m.leaving && !m.leavingChanged {
+			delete(s.flagged, id)
 		}
 	}
 	return changed
 }
 
-func (s *State) digest(e event.DigestReceived) (changed bool) {
+func (s *State) applyDigest(e event.DigestReceived) (changed bool) {
 	d := e.Digest
 	if m := s.vms[d.GetVm()]; m != nil {
-		changed = s.hear(e.Now, m, d.GetEpoch())
+		changed = s.recordContact(e.Now, m, d.GetEpoch())
 		if d.GetLeaving() {
-			changed = s.leave(e.Now, m, d.GetEpoch()) || changed
+			changed = s.applyLeaving(e.Now, m, d.GetEpoch()) || changed
 		}
 	}
 	for _, l := range d.GetLoads() {
-		changed = s.load(e.Now, l) || changed
+		changed = s.applyLoad(e.Now, l) || changed
 	}
 	for _, l := range d.GetLeavings() {
 		m := s.vms[l.GetVm()]
 		switch {
 		case m == nil || l.GetVm() == s.self:
 		case l.GetJoined():
-			changed = s.noteWord(m, m.join(e.Now, l.GetEpoch())) || changed
+			changed = s.recordLeavingChange(m, m.applyJoin(e.Now, l.GetEpoch())) || changed
 		default:
-			changed = s.leave(e.Now, m, l.GetEpoch()) || changed
+			changed = s.applyLeaving(e.Now, m, l.GetEpoch()) || changed
 		}
 	}
 	return changed
 }
 
-func (s *State) load(now clock.Millis, l *wire.Load) (changed bool) {
+func (s *State) applyLoad(now clock.Millis, l *wire.Load) (changed bool) {
 	m := s.vms[l.GetVm()]
 	if m == nil {
 		return false
 	}
-	changed = s.hear(now, m, l.GetEpoch())
-	if !m.takeLoad(l) {
+	changed = s.recordContact(now, m, l.GetEpoch())
+	if !m.applyLoad(l) {
 		return changed
 	}
 	if l.GetLeaving() {
-		changed = s.leave(now, m, l.GetEpoch()) || changed
+		changed = s.applyLeaving(now, m, l.GetEpoch()) || changed
 	}
 	return changed
 }
 
-// use notes that requests of this process reach the VM.
-func (s *State) use(e event.LoadReceived) {
+// recordUse records that the VM answered a request of this process, so that it may be polled.
+func (s *State) recordUse(e event.LoadReceived) {
 	m := s.vms[e.Load.GetVm()]
 	if m == nil {
 		return
@@ -228,53 +230,52 @@
 	}
 }
 
-func (s *State) leave(now clock.Millis, m *member, epoch uint64) (changed bool) {
-	return s.noteWord(m, m.leave(now, epoch))
+func (s *State) applyLeaving(now clock.Millis, m *member, epoch uint64) (changed bool) {
+	return s.recordLeavingChange(m, m.applyLeaving(now, epoch))
 }
 
-func (s *State) hear(now clock.Millis, m *member, epoch uint64) (changed bool) {
-	known := m.epoch
-	changed = m.hear(now, epoch)
-	s.noteWord(m, changed && known != m.epoch)
+func (s *State) recordContact(now clock.Millis, m *member, epoch uint64) (changed bool) {
+	previous := m.epoch
+	changed = m.recordContact(now, epoch)
+	s.recordLeavingChange(m, changed && previous != m.epoch)
 	return changed
 }
 
-// noteWord counts a changed word on leaving, which peers are told.
-func (s *State) noteWord(m *member, changed bool) bool {
+// recordLeavingChange counts a leaving change, which is reported to peers. It returns changed.
+func (s *State) recordLeavingChange(m *member, changed bool) bool {
 	if changed {
-		s.words++
-		s.marked[m.vm.ID] = m
+		s.leavingChanges++
+		s.flagged[m.vm.ID] = m
 	}
 	return changed
 }
 
-func (s *State) fail(e event.PeerFailed) (changed bool) {
+func (s *State) recordFailure(e event.PeerFailed) (changed bool) {
 	m := s.vms[e.VM]
 	if m == nil || e.VM == s.self {
 		return false
 	}
-	s.marked[e.VM] = m
-	return m.fail(e.Now)
+	s.flagged[e.VM] = m
+	return m.recordFailure(e.Now)
 }
 
-// redraw makes a new picture. It runs when a VM comes, goes, leaves or is
-// suspected, never for a load report.
-func (s *State) redraw() {
-	if s.reshaped {
+// refreshSnapshot replaces the snapshot. It runs when a VM is added, removed, leaves or is
+// suspected, but not for a load alone.
+func (s *State) refreshSnapshot() {
+	if s.vmsChanged {
 		s.order = s.order[:0]
 		for id := range s.vms {
 			s.order = append(s.order, id)
 		}
 		slices.Sort(s.order)
-		s.picture = s.draw()
+		s.snapshot = s.newSnapshot()
 	}
-	s.reshaped = false
-	s.picture = s.mark(s.picture)
+	s.vmsChanged = false
+	s.snapshot = s.withFlags(s.snapshot)
 }
 
-// Members returns the newest picture; later events do not change it, but the
-// loads in it move on.
-func (s *State) Members() *Members { return s.picture }
+// Members returns the current snapshot. Later events do not change it, except for its loads.
+func (s *State) Members() *Members { return s.snapshot }
 
-// ListedAt returns when the list last came.
+// ListedAt returns when the last list that was not empty arrived, 0 before the first.
 func (s *State) ListedAt() clock.Millis { return s.listedAt }
--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -13,8 +13,8 @@
 	"github.com/parsleydeal/parsleydeal/provider"
 )
 
-// Each script tells the story of one failure of the list, of a VM or of a
-// message, and shows whom traffic may reach afterwards.
+// Each script goes through failures of the list, of a VM or of a message, and shows the resulting
+// members.
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		s := New("self")
@@ -41,9 +41,9 @@
 			case "list":
 				do(event.VMsListed{Now: now, VMs: parseVMs(d.Input)})
 			case "wait":
-				var span int64
-				scan("seconds", &span)
-				now += clock.Millis(span) * clock.Second
+				var seconds int64
+				scan("seconds", &seconds)
+				now += clock.Millis(seconds) * clock.Second
 				do(event.Tick{Now: now})
 			case "fail":
 				do(event.PeerFailed{Now: now, VM: vm})
@@ -52,12 +52,12 @@
 			case "digest":
 				do(event.DigestReceived{Now: now, Digest: &wire.Digest{Vm: vm, Epoch: epoch, Leaving: d.HasArg("leaving")}})
 			}
-			return show(s.Members(), changed)
+			return describe(s.Members(), changed)
 		})
 	})
 }
 
-// parseVMs reads lines of "id zone address", with "leaving" at the end of some.
+// parseVMs parses lines of "id zone address", optionally followed by "leaving".
 func parseVMs(input string) (vms []provider.VM) {
 	for _, line := range strings.Split(strings.TrimSpace(input), "\n") {
 		f := strings.Fields(line)
@@ -69,7 +69,7 @@
 	return vms
 }
 
-func show(m *Members, changed bool) string {
+func describe(m *Members, changed bool) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "new picture: %v\n", changed)
 	for _, v := range m.VMs() {
@@ -88,11 +88,11 @@
 	return b.String()
 }
 
-// Every answer carries a load. At the two-year size, a new picture for each
-// would cost more than all else that control does.
+// Every answer carries a load. In a large site, a new snapshot for each would cost more than
+// everything else that control does.
 func TestLoadReportBuildsNoSnapshot(t *testing.T) {
 	is := is.New(t)
-	s := large()
+	s := newLargeState()
 	e := event.LoadReceived{Now: 1, Load: &wire.Load{Vm: "vm-0007", Epoch: 1}}
 	s.Reduce(e)
 	before := s.Members()
@@ -101,11 +101,11 @@
 	is.True(allocs < 1)
 }
 
-// Polls beyond the budget would take a node over its share of the network, and
-// polls of busy endpoints would tell what the answers told already.
+// Polls beyond the budget would make a node exceed its share of the network, and polls of busy
+// endpoints would only repeat the loads that came with answers.
 func TestPollsAreBounded(t *testing.T) {
 	is := is.New(t)
-	s := large()
+	s := newLargeState()
 	busy := "vm-0009"
 	polls := 0
 	for now := clock.Millis(0); now < clock.Minute; now += 200 {
@@ -121,10 +121,10 @@
 		}
 	}
 	is.True(polls > 100)
-	is.True(polls <= 60*5*pollsPerTick)
+	is.True(polls <= 60*5*maxPollsPerTick)
 }
 
-func large() State {
+func newLargeState() State {
 	s := New("self")
 	var vms []provider.VM
 	for i := range 1380 {
@@ -134,9 +134,9 @@
 	return s
 }
 
-// BenchmarkEvents shows the cost of each kind of event at 1,380 VMs.
+// BenchmarkEvents measures the cost of each kind of event with 1,380 VMs.
 func BenchmarkEvents(b *testing.B) {
-	s := large()
+	s := newLargeState()
 	vms := s.Members().VMs()
 	load := &wire.Load{Vm: "vm-0007", Epoch: 1}
 	now := clock.Millis(0)
--- a/membership/poll.go
+++ b/membership/poll.go
@@ -8,34 +8,34 @@
 )
 
 const (
-	// quietAfter is how long an endpoint may say nothing before it is polled.
-	quietAfter = 3 * clock.Second
-	// useFor is how long after its last answer an endpoint counts as in use here.
-	useFor = 5 * clock.Minute
-	// pollsPerTick bounds the polls of one tick, and so the bytes they cost.
-	pollsPerTick = 1
-	// looksPerTick bounds the VMs looked at for that.
-	looksPerTick = 32
+	// pollAfterSilence is how long an endpoint may send no message before it is polled.
+	pollAfterSilence = 3 * clock.Second
+	// useDuration is how long after its last answer an endpoint counts as used by this process.
+	useDuration = 5 * clock.Minute
+	// maxPollsPerTick bounds the polls of one tick, and so their network traffic.
+	maxPollsPerTick = 1
+	// maxChecksPerTick bounds the VMs checked in one tick.
+	maxChecksPerTick = 32
 )
 
-// polls plans the polls of quiet endpoints.
+// polls plans the polls of silent endpoints.
 type polls struct {
-	// used holds the members whose answers came lately; at most all members.
+	// used holds the members that answered recently; at most all members.
 	used []*member
-	// next is where in used the last look stopped.
+	// next is the index in used of the member checked last.
 	next int
 }
 
-// poll asks quiet endpoints that this process uses for their load. Answers to
-// requests carry loads, so busy endpoints are never asked. Each VM has an
-// instant of its own, spread by hash over the quiet span, so that the polls of
-// many entries neither meet at one endpoint nor leave one in a burst.
+// poll starts exchanges with silent endpoints that this process uses, to get their loads. Answers
+// to requests carry loads, so busy endpoints are never polled. The polls are spread by a hash of
+// process and VM over pollAfterSilence, so that those of many entries don't reach an endpoint at
+// once, and those of one entry aren't sent in a burst.
 func (s *State) poll() (effects []event.Effect) {
 	p := &s.polls
-	for looked := 0; looked < looksPerTick && len(p.used) > 0 && len(effects) < pollsPerTick; looked++ {
+	for checked := 0; checked < maxChecksPerTick && len(p.used) > 0 && len(effects) < maxPollsPerTick; checked++ {
 		p.next = (p.next + 1) % len(p.used)
 		m := p.used[p.next]
-		if s.now-m.usedAt >= useFor || s.vms[m.vm.ID] != m {
+		if s.now-m.usedAt >= useDuration || s.vms[m.vm.ID] != m {
 			m.used = false
 			p.used[p.next] = p.used[len(p.used)-1]
 			p.used = p.used[:len(p.used)-1]
@@ -44,7 +44,7 @@
 		if !s.pollDue(m) {
 			continue
 		}
-		m.pollAt = s.now + quietAfter/2 + phase(s.self, m.vm.ID)
+		m.pollAt = s.now + pollAfterSilence/2 + pollPhase(s.self, m.vm.ID)
 		effects = append(effects, event.Exchange{VM: m.vm.ID, Address: m.vm.Address})
 	}
 	return effects
@@ -54,10 +54,10 @@
 	if m.vm.Role != provider.EndpointRole || m.vm.ID == s.self || m.suspected {
 		return false
 	}
-	return s.now-m.heardAt >= quietAfter && s.now >= m.pollAt
+	return s.now-m.lastSeenAt >= pollAfterSilence && s.now >= m.pollAt
 }
 
-// phase spreads instants over one quiet span.
-func phase(self, vm string) clock.Millis {
-	return clock.Millis(xxhash.Sum64String(self+"/"+vm) % uint64(quietAfter))
+// pollPhase returns a delay between 0 and pollAfterSilence that is fixed for the pair of VMs.
+func pollPhase(self, vm string) clock.Millis {
+	return clock.Millis(xxhash.Sum64String(self+"/"+vm) % uint64(pollAfterSilence))
 }
