--- a/choice/endpoint_test.go
+++ b/choice/endpoint_test.go
@@ -177,10 +177,9 @@
 	is.Equal(load, 0.0)
 }
 
-// A zone has just returned and its endpoints are the least loaded. Only part of its share of new
-// work may go there, or its cold endpoints would be overloaded. If the endpoints of the other
-// zones are full, the ramp must not apply, or those zones would be overloaded; the gates of its
-// endpoints decide.
+// A zone has just returned and its endpoints are the least loaded. Only part of its share of new work
+// may go there. If the endpoints of the other zones are full, the ramp must not apply, or those zones
+// would be overloaded; the gates of the returning endpoints decide what they take.
 func TestReturningZoneGetsPartOfItsShare(t *testing.T) {
 	is := is.New(t)
 	s := membership.New("test")
--- a/zone/zone.go
+++ b/zone/zone.go
@@ -1,5 +1,4 @@
-// Package zone lets availability zones that come back take their share of work
-// step by step.
+// Package zone ramps up the share of work of availability zones that return to service.
 package zone
 
 import (
@@ -13,71 +12,70 @@
 )
 
 const (
-	// rampFirst is the part of its share that a zone gets when it comes back.
-	rampFirst = 0.1
-	// rampSpan is how long a zone takes to its whole share; it doubles with each
-	// return in a row, up to rampMost.
-	rampSpan = 20 * clock.Second
-	rampMost = 5 * clock.Minute
-	// calmSpan is how long a zone must stay before its returns are forgotten.
-	calmSpan = 10 * clock.Minute
-	// maxZones bounds the zones known; further ones get their share at once.
+	// rampStartFraction is the fraction of its share that a zone gets when it returns.
+	rampStartFraction = 0.1
+	// minRampDuration is how long a zone takes to ramp up to its full share. The duration doubles
+	// with each return within stableDuration of the last one, up to maxRampDuration.
+	minRampDuration = 20 * clock.Second
+	maxRampDuration = 5 * clock.Minute
+	// stableDuration is how long after its last return a zone's returns are no longer counted.
+	stableDuration = 10 * clock.Minute
+	// maxZones bounds the zones tracked; further ones get their full share at once.
 	maxZones = 256
 )
 
-// site is what is known of one zone.
-type site struct {
+// zoneState is the state of one zone.
+type zoneState struct {
 	down bool
-	// returns counts how often the zone came back without a calm span between.
+	// returns counts the returns that were no more than stableDuration apart.
 	returns int
-	// backAt and span are the last return and its ramp; span is 0 for a zone
-	// that was never seen down.
-	backAt clock.Millis
-	span   clock.Millis
+	// returnedAt is the time of the last return and rampDuration the length of its ramp, 0 for a
+	// zone that was never down.
+	returnedAt   clock.Millis
+	rampDuration clock.Millis
 }
 
-// State reduces the tables and the members to the ramps of zones.
+// State computes the ramps of zones from the tables and the members.
 type State struct {
-	// sites holds at most maxZones zones.
-	sites map[string]*site
+	// zones holds at most maxZones zones.
+	zones map[string]*zoneState
 	ramps *Ramps
-	// tables and members are those looked at last. Both are replaced when they
-	// change, so nothing has to be looked at again while they are the same.
+	// tables and members are those of the last Reduce. Both are immutable, so the zones need no
+	// check while the pointers are the same.
 	tables  *table.Tables
 	members *membership.Members
 }
 
-// NewState returns the state of a process that knows no zone. Zones that it
-// finds up at its start are open: it can't know that they just came back.
+// NewState returns a state without zones. Zones that are up when they are first seen get their full
+// share, since the process can't know whether they have just returned.
 func NewState() State {
-	return State{sites: make(map[string]*site), ramps: &Ramps{}}
+	return State{zones: make(map[string]*zoneState), ramps: &Ramps{}}
 }
 
-// Reduce looks at all zones when the tables or the members have changed, and
-// reports whether a ramp changed. It must run before the tables that the event
-// brought are published: otherwise a zone taken in again would get its whole
-// share until the next look.
+// Reduce updates all zones if the tables or the members have changed, and reports whether a ramp
+// changed. It must run before new tables are published: otherwise a zone that is put back into
+// service would get its full share until the next call.
 func (s *State) Reduce(now clock.Millis, t *table.Tables, m *membership.Members) (changed bool) {
 	if t == nil || t == s.tables && m == s.members {
 		return false
 	}
 	s.tables, s.members = t, m
 	for _, vm := range m.VMs() {
-		if _, known := s.sites[vm.Zone]; !known && len(s.sites) < maxZones {
-			s.sites[vm.Zone] = &site{down: down(vm.Zone, t, m)}
+		if _, known := s.zones[vm.Zone]; !known && len(s.zones) < maxZones {
+			s.zones[vm.Zone] = &zoneState{down: down(vm.Zone, t, m)}
 		}
 	}
-	for name, z := range s.sites {
-		changed = z.look(now, down(name, t, m)) || changed
+	for name, z := range s.zones {
+		changed = z.update(now, down(name, t, m)) || changed
 	}
 	if changed {
-		s.ramps = s.draw()
+		s.ramps = s.newRamps()
 	}
 	return changed
 }
 
-// down reports whether a zone gets no work: operators took it out, or none of
-// its endpoints is listed, staying and reachable.
+// down reports whether a zone gets no work: operators took it out of service, or it has no listed
+// endpoint that is neither leaving nor suspected.
 func down(name string, t *table.Tables, m *membership.Members) bool {
 	if t.ZoneOut(name) {
 		return true
@@ -87,8 +85,9 @@
 	})
 }
 
-// look takes a zone's state and reports whether its ramp changed.
-func (z *site) look(now clock.Millis, isDown bool) (changed bool) {
+// update records whether the zone is down and starts a ramp if it has returned. It reports whether
+// the ramp changed.
+func (z *zoneState) update(now clock.Millis, isDown bool) (changed bool) {
 	if z.down == isDown {
 		return false
 	}
@@ -96,41 +95,41 @@
 	if isDown {
 		return false
 	}
-	if z.span > 0 && now-z.backAt > calmSpan {
+	if z.rampDuration > 0 && now-z.returnedAt > stableDuration {
 		z.returns = 0
 	}
-	const mostDoublings = 8
-	z.span = min(rampSpan<<min(z.returns, mostDoublings), rampMost)
+	const maxDoublings = 8
+	z.rampDuration = min(minRampDuration<<min(z.returns, maxDoublings), maxRampDuration)
 	z.returns++
-	z.backAt = now
+	z.returnedAt = now
 	return true
 }
 
-func (s *State) draw() *Ramps {
+func (s *State) newRamps() *Ramps {
 	r := &Ramps{ramps: make(map[string]ramp)}
-	for _, name := range slices.Sorted(maps.Keys(s.sites)) {
-		if z := s.sites[name]; z.span > 0 {
-			r.ramps[name] = ramp{from: z.backAt, span: z.span}
+	for _, name := range slices.Sorted(maps.Keys(s.zones)) {
+		if z := s.zones[name]; z.rampDuration > 0 {
+			r.ramps[name] = ramp{from: z.returnedAt, duration: z.rampDuration}
 		}
 	}
 	return r
 }
 
-// Ramps returns the ramps, which later events do not change.
+// Ramps returns the current ramps; later events do not change the returned value.
 func (s *State) Ramps() *Ramps { return s.ramps }
 
 type ramp struct {
-	from clock.Millis
-	span clock.Millis
+	from     clock.Millis
+	duration clock.Millis
 }
 
-// Ramps is an immutable picture of the zones that came back. The nil value has
-// none.
+// Ramps is an immutable snapshot of the ramps of zones. The nil value has none.
 type Ramps struct {
 	ramps map[string]ramp
 }
 
-// Fraction is the part of its share that a zone gets at an instant, between 0 and 1.
+// Fraction returns the fraction of its share that a zone gets at a time, between 0 and 1. It is 1
+// for a zone without a ramp.
 func (r *Ramps) Fraction(name string, now clock.Millis) float64 {
 	if r == nil {
 		return 1
@@ -139,11 +138,11 @@
 	if !ok {
 		return 1
 	}
-	done := float64(max(now-z.from, 0)) / float64(z.span)
-	return min(rampFirst+(1-rampFirst)*done, 1)
+	elapsed := float64(max(now-z.from, 0)) / float64(z.duration)
+	return min(rampStartFraction+(1-rampStartFraction)*elapsed, 1)
 }
 
-// Names lists the zones that ever came back, sorted.
+// Names lists the zones with a ramp, completed ones included, sorted.
 func (r *Ramps) Names() []string {
 	if r == nil {
 		return nil
--- a/zone/zone_test.go
+++ b/zone/zone_test.go
@@ -11,7 +11,7 @@
 	"github.com/parsleydeal/parsleydeal/table"
 )
 
-// site drives the reducer with tables and members.
+// fixture drives the reducer with tables and members.
 type fixture struct {
 	state   State
 	members membership.State
@@ -25,36 +25,36 @@
 		{ID: "b", Role: provider.EndpointRole, Zone: "b", Pool: "p"},
 		{ID: "c", Role: provider.EndpointRole, Zone: "b", Pool: "p"},
 	}})
-	f.at(0)
+	f.reduceAt(0)
 	return f
 }
 
-func (f *fixture) at(now clock.Millis) (changed bool) {
+func (f *fixture) reduceAt(now clock.Millis) (changed bool) {
 	return f.state.Reduce(now, f.tables, f.members.Members())
 }
 
-func (f *fixture) place(zone string, p table.Placement, now clock.Millis) {
+func (f *fixture) setPlacement(zone string, p table.Placement, now clock.Millis) {
 	f.tables = &table.Tables{Zones: map[string]table.Site{zone: {State: p}}}
-	f.at(now)
+	f.reduceAt(now)
 }
 
-// Operators bring a zone back whose engines are all cold. Were it given its
-// whole share at once, its gates would refuse a third of all requests.
+// Operators put a zone back into service whose engines are all cold. If it got its full share at
+// once, its gates would refuse a third of all requests.
 func TestReturningZoneRampsUp(t *testing.T) {
 	is := is.New(t)
 	f := newFixture()
-	is.Equal(f.state.Ramps().Fraction("b", 0), 1.0) // up since before this process
-	f.place("b", table.Out, 1000)
-	f.place("b", table.In, 5000)
-	is.Equal(f.state.Ramps().Fraction("b", 5000), rampFirst)
-	is.True(f.state.Ramps().Fraction("b", 5000+rampSpan/2) < 0.6)
-	is.Equal(f.state.Ramps().Fraction("b", 5000+rampSpan), 1.0)
+	is.Equal(f.state.Ramps().Fraction("b", 0), 1.0) // up when first seen
+	f.setPlacement("b", table.Out, 1000)
+	f.setPlacement("b", table.In, 5000)
+	is.Equal(f.state.Ramps().Fraction("b", 5000), rampStartFraction)
+	is.True(f.state.Ramps().Fraction("b", 5000+minRampDuration/2) < 0.6)
+	is.Equal(f.state.Ramps().Fraction("b", 5000+minRampDuration), 1.0)
 	is.Equal(f.state.Ramps().Fraction("a", 5000), 1.0)
 }
 
-// A zone's switch fails: all its endpoints can't be reached, while the tables
-// and the list say nothing. When they answer again the zone ramps as a whole; one
-// endpoint alone that comes back is its gate's matter.
+// A zone's network switch fails: none of its endpoints can be reached, while the tables and the list
+// still include them. When they become reachable the zone must ramp up as a whole. A single endpoint
+// that returns causes no ramp; its gate bounds what it takes.
 func TestUnreachableZoneRampsUpOnRecovery(t *testing.T) {
 	is := is.New(t)
 	f := newFixture()
@@ -64,33 +64,33 @@
 		}
 	}
 	fail("b")
-	is.True(!f.at(1000))
+	is.True(!f.reduceAt(1000))
 	fail("c")
-	f.at(1001)
+	f.reduceAt(1001)
 	is.True(f.members.Members().Suspected("b") && f.members.Members().Suspected("c"))
 	for now := clock.Millis(1200); f.members.Members().Suspected("b") && now < clock.Hour; now += 200 {
 		f.members.Reduce(event.Tick{Now: now})
-		f.at(now)
+		f.reduceAt(now)
 	}
 	is.True(f.state.Ramps().Fraction("b", 1200) < 1)
 }
 
-// Two zones come and go every few seconds. Each return must be trusted less than
-// the one before, or the load would swing with them; a calm time forgives.
+// A zone goes down and returns every few seconds. Each ramp must be longer than the one before, or
+// the load would swing with the zone. After a stable period the ramp must be short again.
 func TestFlappingZoneRampsSlowerEachTime(t *testing.T) {
 	is := is.New(t)
 	f := newFixture()
 	now := clock.Millis(0)
 	last := clock.Millis(0)
 	for range 4 {
-		f.place("b", table.Out, now+1000)
-		f.place("b", table.In, now+2000)
+		f.setPlacement("b", table.Out, now+1000)
+		f.setPlacement("b", table.In, now+2000)
 		now += 2000
-		is.True(f.state.sites["b"].span > last)
-		last = f.state.sites["b"].span
+		is.True(f.state.zones["b"].rampDuration > last)
+		last = f.state.zones["b"].rampDuration
 	}
-	now += calmSpan + 1
-	f.place("b", table.Out, now)
-	f.place("b", table.In, now+1)
-	is.Equal(f.state.sites["b"].span, rampSpan)
+	now += stableDuration + 1
+	f.setPlacement("b", table.Out, now)
+	f.setPlacement("b", table.In, now+1)
+	is.Equal(f.state.zones["b"].rampDuration, minRampDuration)
 }
