--- a/control/control.go
+++ b/control/control.go
@@ -129,7 +129,7 @@
 func (s *State) reduceEvidence(e event.Event) (effects []event.Effect, changed bool) {
 	deltas, told := s.evidence.Reduce(e)
 	s.quality.Reduce(e, deltas)
-	known := rollout.Known{Self: s.self, Now: s.now, Tables: s.tables.Tables(), VMs: s.members.Members().VMs()}
+	known := rollout.Env{Self: s.self, Now: s.now, Tables: s.tables.Tables(), VMs: s.members.Members().VMs()}
 	effects, changed = s.rollout.Reduce(e, deltas, known)
 	effects = append(effects, s.counts.Reduce(e, s.evidence.Report(), s.members.Members())...)
 	return effects, changed || told
--- a/quality/estimate.go
+++ b/quality/estimate.go
@@ -60,7 +60,7 @@
 // Reduce applies an event and the evidence derived from it.
 func (s *State) Reduce(e event.Event, deltas []evidence.Delta) {
 	for _, d := range deltas {
-		s.add(Key{Route: d.Key.Route, Version: d.Key.Version}, d.Tally)
+		s.add(Key{Route: d.Key.Route, Version: d.Key.Version}, d.Stats)
 	}
 	if e, ok := e.(event.DigestReceived); ok {
 		for _, x := range e.Digest.GetEstimates() {
@@ -69,7 +69,7 @@
 	}
 }
 
-func (s *State) add(k Key, t evidence.Tally) {
+func (s *State) add(k Key, t evidence.Stats) {
 	old, known := s.own[k]
 	if t.Ratings == 0 && t.Judged == 0 || !known && len(s.own) >= maxEstimates {
 		return
--- a/view/view.go
+++ b/view/view.go
@@ -129,7 +129,7 @@
 // Digest returns what this process tells its peers at an instant.
 func (v *View) Digest(now clock.Millis) *wire.Digest {
 	d := v.spread.Digest(v.revision, now-v.confirmedAt, v.draining, v.members)
-	d.Holds = v.holds.Told()
+	d.Holds = v.holds.Logged()
 	return d
 }
 
