--- a/endpoint/admit.go
+++ b/endpoint/admit.go
@@ -14,22 +14,21 @@
 )
 
 const (
-	// catchUp is how long a request waits for tables that the entry has and this
+	// catchUpTimeout is how long a request waits for tables that the entry has and this
 	// endpoint lacks.
-	catchUp = 300 * clock.Millis(1)
-	// queueWait is how long a request waits for a place when its pool does not
-	// say.
-	queueWait   = 250 * clock.Millis(1)
-	behindRetry = 500 * clock.Millis(1)
+	catchUpTimeout = 300 * clock.Millis(1)
+	// defaultQueueWait is how long a request waits for a slot if its pool sets no queue-wait.
+	defaultQueueWait   = 250 * clock.Millis(1)
+	notReadyRetryAfter = 500 * clock.Millis(1)
 )
 
-// admit checks an attempt against the endpoint's own tables and takes a place in
-// the window. A refusal here comes before dispatch, so "not run" is true.
+// admit checks an attempt against the endpoint's tables and acquires a slot in the window. It
+// runs before dispatch, so a request refused here has not run.
 //
-// The tables are checked again after every wait: a zone taken out, a version
-// withdrawn or a stop begun while the request waited must stop it. The place is
-// taken before the last check, so a stop that finds no place taken has been
-// published before that check reads the view.
+// The tables are checked again after each wait: the request must not run if a zone was taken
+// out, a version was withdrawn or a drain started in the meantime. The slot is acquired
+// before the last check, so a drain that finds no slot in use was published before that check
+// reads the view.
 func (e *Endpoint) admit(ctx context.Context, a *attempt) (err error) {
 	if err = e.catchUp(ctx, a.head); err != nil {
 		return err
@@ -37,7 +36,7 @@
 	if err = e.check(e.node.View(), a.head); err != nil {
 		return err
 	}
-	if err = e.take(ctx, a); err != nil {
+	if err = e.acquireSlot(ctx, a); err != nil {
 		return err
 	}
 	a.version = a.head.GetVersion()
@@ -45,33 +44,33 @@
 	return e.check(e.node.View(), a.head)
 }
 
-// catchUp waits for the tables on which the entry decided. Without it an endpoint
-// that lags would run a version withdrawn a moment ago, or refuse one just
+// catchUp waits for the tables that the entry's decision is based on. Without it an outdated
+// endpoint would run a version that was just withdrawn, or refuse one that was just
 // published.
 func (e *Endpoint) catchUp(ctx context.Context, head *wire.RunHead) (err error) {
 	if e.node.View().Revision() >= head.GetRevision() {
 		return nil
 	}
 	e.node.Behind(head.GetEntry(), "", head.GetRevision())
-	ctx, cancel := context.WithTimeout(ctx, catchUp.Duration())
+	ctx, cancel := context.WithTimeout(ctx, catchUpTimeout.Duration())
 	defer cancel()
 	if !e.node.Loop().Await(ctx, func(v *view.View) bool { return v.Revision() >= head.GetRevision() }) {
-		return refusal.New(refusal.Behind, "endpoint's tables are behind the entry's").WithRetryAfter(behindRetry)
+		return refusal.New(refusal.Behind, "endpoint's tables are behind the entry's").WithRetryAfter(notReadyRetryAfter)
 	}
 	return nil
 }
 
-// check holds an attempt against one view.
+// check validates an attempt against one view.
 func (e *Endpoint) check(v *view.View, head *wire.RunHead) (err error) {
 	t := v.Tables()
 	if !v.Started() {
-		return refusal.New(refusal.Starting, "endpoint has no tables yet").WithRetryAfter(behindRetry)
+		return refusal.New(refusal.Starting, "endpoint has no tables yet").WithRetryAfter(notReadyRetryAfter)
 	}
 	if v.Draining() {
 		return refusal.New(refusal.Leaving, "endpoint is leaving")
 	}
 	if v.Revision() < head.GetRevision() {
-		return refusal.New(refusal.Behind, "endpoint's tables are behind the entry's").WithRetryAfter(behindRetry)
+		return refusal.New(refusal.Behind, "endpoint's tables are behind the entry's").WithRetryAfter(notReadyRetryAfter)
 	}
 	s := e.node.Settings()
 	if t.ZoneOut(s.Zone) || t.VMOut(s.VM) {
@@ -122,27 +121,27 @@
 	return nil
 }
 
-// checkEngine refuses a version that the engine says it has not loaded. An
-// engine that does not tell its versions is taken to have what the tables say.
+// checkEngine refuses a version that the engine reports as not loaded. An engine that does
+// not report its versions is assumed to have loaded those in the tables.
 func (e *Endpoint) checkEngine(version string) error {
 	s := e.status.Load()
 	if s == nil || s.Versions == nil || slices.Contains(s.Versions, version) {
 		return nil
 	}
-	return refusal.New(refusal.NoEndpoint, "engine has not loaded this version").WithRetryAfter(behindRetry)
+	return refusal.New(refusal.NoEndpoint, "engine has not loaded this version").WithRetryAfter(notReadyRetryAfter)
 }
 
-// take waits for a place in the window.
-func (e *Endpoint) take(ctx context.Context, a *attempt) (err error) {
+// acquireSlot waits for a slot in the window.
+func (e *Endpoint) acquireSlot(ctx context.Context, a *attempt) (err error) {
 	pool, ok := e.pool()
 	if !ok {
 		return refusal.New(refusal.NoEndpoint, "endpoint's pool is not in the tables")
 	}
 	e.gate.SetLimits(limitsOf(pool, a.head.GetService() != ""))
-	a.ticket = e.gate.Submit(e.node.Clock().Now(), e.request(a))
+	a.ticket = e.gate.Submit(e.node.Clock().Now(), e.gateRequest(a))
 	wait := pool.QueueWait
 	if wait == 0 {
-		wait = queueWait
+		wait = defaultQueueWait
 	}
 	t := time.NewTimer(wait.Duration())
 	defer t.Stop()
@@ -159,8 +158,8 @@
 	return nil
 }
 
-// limitsOf reads the window from the tables. A plain service has no cold start
-// that its first-token time could tell of, so its window is full from the start.
+// limitsOf returns the window limits from the tables. The first-token time of a plain service
+// cannot reveal a cold start, so its window is fully open from the start.
 func limitsOf(p table.Pool, plain bool) gate.Limits {
 	l := gate.Limits{Cold: p.ColdWindow, Full: p.FullWindow, Queue: p.Queue}
 	if plain {
@@ -172,7 +171,7 @@
 	return l
 }
 
-func (e *Endpoint) request(a *attempt) gate.Request {
+func (e *Endpoint) gateRequest(a *attempt) gate.Request {
 	org := a.head.GetOrganisation()
 	return gate.Request{
 		Organisation: org,
--- a/endpoint/attempt.go
+++ b/endpoint/attempt.go
@@ -11,52 +11,53 @@
 	"github.com/parsleydeal/parsleydeal/refusal"
 )
 
-// attempt is one attempt at this endpoint. One goroutine owns it.
+// attempt is one attempt at this endpoint. It is owned by one goroutine.
 type attempt struct {
 	e      *Endpoint
 	head   *wire.RunHead
 	stream wire.DRPCGate_RunStream
-	// heartbeat sends the pieces and keeps the stream from falling silent.
+	// heartbeat sends the pieces, and heartbeats while there are none.
 	heartbeat heartbeat
 	bytes     int
-	// deadline is when the caller stops waiting, counted from receipt on this VM's
-	// clock.
+	// deadline is when the caller's timeout ends, counted from receipt on this VM's clock.
 	deadline time.Time
-	// ticket is the attempt's place at the gate; nil before it arrived there.
+	// ticket is the attempt's ticket at the gate; nil before it is submitted.
 	ticket *gate.Ticket
-	// version is set while the attempt counts as busy with it.
+	// version is the version that the attempt is counted under in Endpoint.busy; empty while
+	// it is not counted.
 	version string
-	// kept takes the pieces of a run that goes on without its entry.
-	kept *answer.Kept
-	// remembered is true once the memory of attempts holds this one.
-	remembered bool
-	// cut is true once the entry's connection is lost.
-	cut bool
-	// bodyRead is true once the last frame of the body was received; until then
-	// only the body's reader receives from the stream.
-	bodyRead atomic.Bool
-	// number and tokens count what was sent.
+	// retained stores the pieces of a detached run.
+	retained *answer.Kept
+	// registered is true once Endpoint.attempts contains this attempt.
+	registered bool
+	// disconnected is true once a detached run has lost the connection to its entry. Its
+	// pieces are then only retained.
+	disconnected bool
+	// bodyReceived is true once the last frame of the body was received; until then only the
+	// reader of the body receives from the stream.
+	bodyReceived atomic.Bool
+	// number and tokens count the pieces and tokens sent.
 	number uint32
 	tokens int32
 	reason string
-	// piece is used again for each piece that is not kept.
+	// piece is reused by emptyPiece.
 	piece wire.Piece
 	usage wire.Usage
-	// step is set once the attempt ran and is to be billed.
+	// step is set once the attempt ran and must be billed.
 	step *wire.Step
 }
 
 func newAttempt(e *Endpoint, stream wire.DRPCGate_RunStream, first *wire.RunFrame) *attempt {
 	a := &attempt{e: e, head: first.GetHead(), stream: stream, bytes: len(first.GetBody())}
 	a.heartbeat.send = stream.Send
-	a.bodyRead.Store(first.GetLast())
+	a.bodyReceived.Store(first.GetLast())
 	a.deadline = time.Now().Add(clock.Millis(a.head.GetDeadlineMillis()).Duration())
 	return a
 }
 
-// once reports whether the run must go on without its entry: it may not be
-// repeated, or its caller can ask for the answer again.
-func (a *attempt) once() bool {
+// detached reports whether the run continues without its entry: it may not be repeated, or
+// its caller can request the answer again.
+func (a *attempt) detached() bool {
 	return !a.head.GetRepeatable() || a.head.GetIdempotencyKey() != ""
 }
 
@@ -68,53 +69,53 @@
 	return answer.Claim{Stream: a.head.GetClaimStream(), Offset: a.head.GetClaim()}
 }
 
-// dispatch marks the attempt as run, unless it was refused for ever while it
-// waited. Nothing may be sent to the engine before it.
+// dispatch marks the attempt as run, unless it was permanently refused while it waited. It
+// must be called before anything is sent to the engine.
 func (a *attempt) dispatch() (err error) {
-	if !a.once() {
+	if !a.detached() {
 		return nil
 	}
-	if !a.e.memory.Dispatch(a.id()) {
+	if !a.e.attempts.Dispatch(a.id()) {
 		return refusal.New(refusal.Tombstoned, "attempt was refused for ever")
 	}
-	a.kept = a.e.keeping.Start(answer.Owner{
+	a.retained = a.e.answers.Start(answer.Owner{
 		Request: a.head.GetRequest(), Organisation: a.head.GetOrganisation(), Key: a.head.GetIdempotencyKey(),
 	})
 	return nil
 }
 
-// send numbers a piece and hands it on. It blocks while the entry takes no more,
-// which holds back the engine's stream in turn.
+// send numbers a piece and sends it to the entry. It blocks while the entry does not read,
+// which in turn slows down reading from the engine.
 func (a *attempt) send(p *wire.Piece) (err error) {
 	p.Request = a.head.GetRequest()
 	p.Attempt = a.head.GetAttempt()
 	p.Number = a.number
 	a.number++
 	a.tokens += p.GetTokens()
-	if a.kept != nil {
-		a.kept.Add(p)
+	if a.retained != nil {
+		a.retained.Add(p)
 	}
-	if a.cut {
+	if a.disconnected {
 		return nil
 	}
-	err = a.heartbeat.piece(p)
-	if err != nil && a.kept != nil {
-		a.cut = true
+	err = a.heartbeat.sendPiece(p)
+	if err != nil && a.retained != nil {
+		a.disconnected = true
 		return nil
 	}
 	return err
 }
 
-// next returns an empty piece, the same each time: by the time that send returns
-// it has been encoded, and what is kept of it is a copy.
-func (a *attempt) next() *wire.Piece {
+// emptyPiece returns an empty piece, the same one each time: once send has returned, the
+// piece has been encoded, and only a copy of it is retained.
+func (a *attempt) emptyPiece() *wire.Piece {
 	a.piece.Reset()
 	return &a.piece
 }
 
-// last sends the final piece of a whole answer. The place is given back before,
-// so that the load in the piece is that without this request.
-func (a *attempt) last(step *wire.Step, p *wire.Piece) (err error) {
+// sendLast sends the final piece of a complete answer. The slot is released first, so that
+// the load in the piece excludes this request.
+func (a *attempt) sendLast(step *wire.Step, p *wire.Piece) (err error) {
 	a.release(gate.Served)
 	a.step = step
 	p.Last = true
@@ -126,7 +127,7 @@
 	return a.send(p)
 }
 
-// refuse ends the attempt without a whole answer.
+// refuse ends the attempt without a complete answer.
 func (a *attempt) refuse(cause error) (err error) {
 	r, ok := refusal.As(cause)
 	if !ok {
@@ -141,7 +142,7 @@
 	if err = a.send(p); err != nil {
 		return err
 	}
-	return a.settle()
+	return a.awaitBilling()
 }
 
 func (a *attempt) release(o gate.Outcome) {
@@ -150,11 +151,11 @@
 	}
 }
 
-func (a *attempt) firstToken() {
+func (a *attempt) recordFirstToken() {
 	a.e.gate.RecordFirstToken(a.e.node.Clock().Now(), a.ticket)
 }
 
-// outcomeOf says what a refusal tells about the endpoint.
+// outcomeOf maps a refusal to the outcome that the gate records for the endpoint.
 func outcomeOf(r *refusal.Refusal) gate.Outcome {
 	switch r.Code() {
 	case refusal.EngineFailed:
--- a/endpoint/busy.go
+++ b/endpoint/busy.go
@@ -2,29 +2,29 @@
 
 import "sync"
 
-// busy counts the attempts held by version, so that no version is unloaded under
-// them. It has no more entries than the window has places.
+// busy counts the admitted attempts per version, so that no version is unloaded while it is
+// in use. It has at most as many entries as the window has slots.
 type busy struct {
-	mu   sync.Mutex
-	held map[string]int
+	mu       sync.Mutex
+	attempts map[string]int
 }
 
 func (b *busy) add(version string, n int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.held == nil {
-		b.held = make(map[string]int)
+	if b.attempts == nil {
+		b.attempts = make(map[string]int)
 	}
-	b.held[version] += n
-	if b.held[version] == 0 {
-		delete(b.held, version)
+	b.attempts[version] += n
+	if b.attempts[version] == 0 {
+		delete(b.attempts, version)
 	}
 }
 
 func (b *busy) versions() (names []string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for name := range b.held {
+	for name := range b.attempts {
 		names = append(names, name)
 	}
 	return names
--- a/endpoint/cache.go
+++ b/endpoint/cache.go
@@ -12,21 +12,21 @@
 )
 
 const (
-	// cachePart is how much of a cache one part carries.
-	cachePart = 256 << 10
-	// maxCache bounds the bytes of one session's cache that are moved.
-	maxCache = 256 << 20
-	// cacheWait bounds how long a request waits for its session's cache. Beyond
-	// it the engine reads the prompt again, which costs time and nothing else.
-	cacheWait = 2 * clock.Second
+	// cachePartBytes is the maximum size of one part of a cache.
+	cachePartBytes = 256 << 10
+	// maxCacheBytes bounds the size of a session's cache that may be transferred.
+	maxCacheBytes = 256 << 20
+	// cacheTimeout bounds how long a request waits for its session's cache. After it the
+	// engine prefills the prompt again, which costs only time.
+	cacheTimeout = 2 * clock.Second
 )
 
 var (
 	errNoCache    = engine.Errors.NewType("no-cache").New("the session's last endpoint has no cache of it")
-	errCacheLarge = engine.Errors.NewType("cache-large").New("the session's cache has more than %d bytes", maxCache)
+	errCacheLarge = engine.Errors.NewType("cache-large").New("the session's cache has more than %d bytes", maxCacheBytes)
 )
 
-// Export streams a session's KV cache to the endpoint that runs the session now.
+// Export streams a session's KV cache to the endpoint that now runs the session.
 func (e *Endpoint) Export(in *wire.ExportRequest, stream wire.DRPCGate_ExportStream) (err error) {
 	e.active.Add(1)
 	defer e.active.Add(-1)
@@ -35,7 +35,7 @@
 		return stream.Send(&wire.CachePart{Missing: true})
 	}
 	defer body.Close()
-	buf := make([]byte, cachePart)
+	buf := make([]byte, cachePartBytes)
 	for {
 		n, readErr := io.ReadFull(body, buf)
 		last := readErr == io.EOF || readErr == io.ErrUnexpectedEOF
@@ -48,8 +48,8 @@
 	}
 }
 
-// moveCache brings a session's KV cache from the endpoint that ran it before.
-// Whatever goes wrong, the request runs: without the cache it only takes longer.
+// moveCache fetches a session's KV cache from the endpoint that ran the session before. The
+// request runs even if this fails: without the cache it only takes longer.
 func (e *Endpoint) moveCache(ctx context.Context, head *wire.RunHead) {
 	from := head.GetCacheFrom()
 	pool, ok := e.pool()
@@ -60,7 +60,7 @@
 	result := "moved"
 	if err != nil {
 		result = "failed"
-		e.node.Log().Debug("Session's cache was not moved", "session", head.GetSession(), "from", from, "error", err)
+		e.node.Log().Debug("Could not transfer session cache", "session", head.GetSession(), "from", from, "error", err)
 	}
 	e.node.Metrics().GetOrCreateCounter(fmt.Sprintf("parsleydeal_cache_moves_total{result=%q}", result)).Inc()
 }
@@ -70,7 +70,7 @@
 	if !ok {
 		return errNoCache
 	}
-	ctx, cancel := context.WithTimeout(ctx, cacheWait.Duration())
+	ctx, cancel := context.WithTimeout(ctx, cacheTimeout.Duration())
 	defer cancel()
 	in := &wire.ExportRequest{Session: head.GetSession(), Version: head.GetVersion()}
 	stream, err := e.node.Peers().Gate(ctx, vm.Address).Export(ctx, in)
@@ -85,21 +85,21 @@
 	if first.GetMissing() {
 		return errNoCache
 	}
-	parts := &partReader{recv: stream.Recv, rest: first.GetData(), last: first.GetLast()}
+	parts := &partReader{recv: stream.Recv, unread: first.GetData(), last: first.GetLast()}
 	return e.engine.Import(ctx, head.GetSession(), head.GetVersion(), parts)
 }
 
-// partReader reads a cache from its parts. It ends with io.EOF only after the
-// last part: an engine must not take half a cache for a whole one.
+// partReader reads a cache from its parts. It returns io.EOF only after the last part: an
+// engine must not accept a truncated cache as a complete one.
 type partReader struct {
-	recv func() (*wire.CachePart, error)
-	rest []byte
-	last bool
-	read int
+	recv   func() (*wire.CachePart, error)
+	unread []byte
+	last   bool
+	read   int
 }
 
 func (p *partReader) Read(buf []byte) (n int, err error) {
-	for len(p.rest) == 0 {
+	for len(p.unread) == 0 {
 		if p.last {
 			return 0, io.EOF
 		}
@@ -107,12 +107,12 @@
 		if err != nil {
 			return 0, errorx.Decorate(err, "cache broke off after %d bytes", p.read)
 		}
-		p.rest, p.last = part.GetData(), part.GetLast()
+		p.unread, p.last = part.GetData(), part.GetLast()
 	}
-	n = copy(buf, p.rest)
-	p.rest = p.rest[n:]
+	n = copy(buf, p.unread)
+	p.unread = p.unread[n:]
 	p.read += n
-	if p.read > maxCache {
+	if p.read > maxCacheBytes {
 		return n, errCacheLarge
 	}
 	return n, nil
--- a/endpoint/cache_test.go
+++ b/endpoint/cache_test.go
@@ -20,18 +20,18 @@
 	}}
 }
 
-// A session's old endpoint is lost in the middle of handing its cache over. Had
-// the reader ended there as at an end, the engine would take half a cache for a
-// whole one and answer from it.
+// The endpoint that exports a cache becomes unreachable in the middle of the transfer. If the
+// reader returned io.EOF, the engine would accept the truncated cache as complete and answer
+// from it.
 func TestTruncatedCacheIsAnError(t *testing.T) {
 	is := is.New(t)
-	whole, err := io.ReadAll(partsOf(&wire.CachePart{Data: []byte("ab")}, &wire.CachePart{}, &wire.CachePart{Data: []byte("c"), Last: true}))
+	complete, err := io.ReadAll(partsOf(&wire.CachePart{Data: []byte("ab")}, &wire.CachePart{}, &wire.CachePart{Data: []byte("c"), Last: true}))
 	is.NoErr(err)
-	is.Equal(string(whole), "abc")
+	is.Equal(string(complete), "abc")
 	_, err = io.ReadAll(partsOf(&wire.CachePart{Data: []byte("ab")}))
 	is.True(err != nil)
 	big := partsOf(&wire.CachePart{Data: []byte("ab"), Last: true})
-	big.read = maxCache
+	big.read = maxCacheBytes
 	_, err = io.ReadAll(big)
 	is.Equal(err, errCacheLarge)
 }
--- a/endpoint/chat.go
+++ b/endpoint/chat.go
@@ -27,7 +27,7 @@
 	if err = e.engine.Chat(ctx, o, a.chunk); err != nil {
 		return a.engineRefusal(ctx, err)
 	}
-	return a.lastOfChat()
+	return a.sendLastOfChat()
 }
 
 func (a *attempt) engineRefusal(ctx context.Context, err error) error {
@@ -49,8 +49,8 @@
 	}
 }
 
-// chunk hands on one part of the engine's stream. What holds more than text
-// passes through as the engine wrote it.
+// chunk forwards one chunk of the engine's stream. Chunks that contain more than text are
+// passed through unchanged.
 func (a *attempt) chunk(c engine.Chunk) error {
 	if c.Usage != nil {
 		a.usage.InputTokens = c.Usage.PromptTokens
@@ -63,13 +63,13 @@
 	if c.Text == "" && c.Raw == nil {
 		return nil
 	}
-	a.firstToken()
-	p := a.next()
+	a.recordFirstToken()
+	p := a.emptyPiece()
 	p.Text, p.Data, p.Tokens = c.Text, c.Raw, 1
 	return a.send(p)
 }
 
-func (a *attempt) lastOfChat() error {
+func (a *attempt) sendLastOfChat() error {
 	version := a.e.node.View().Tables().Versions[a.head.GetVersion()]
 	step := &wire.Step{
 		Attempt: a.head.GetAttempt(),
@@ -79,5 +79,5 @@
 		Cost:    version.Cost(a.usage.GetInputTokens(), a.usage.GetOutputTokens()),
 		Whole:   true,
 	}
-	return a.last(step, &wire.Piece{FinishReason: a.reason, Usage: &a.usage})
+	return a.sendLast(step, &wire.Piece{FinishReason: a.reason, Usage: &a.usage})
 }
--- a/endpoint/drain.go
+++ b/endpoint/drain.go
@@ -8,17 +8,17 @@
 )
 
 const (
-	// idlePoll is how often a draining endpoint looks whether work is left.
+	// idlePoll is how often a draining endpoint checks for remaining work.
 	idlePoll = 50 * clock.Millis(1)
-	// idleLinger is how long a draining endpoint without work still answers:
-	// entries that have not heard of the leaving are refused as not run, rather
-	// than cut off in doubt.
+	// idleLinger is how long a draining endpoint without work keeps accepting calls. Entries
+	// that have not yet been told that it is leaving then get a refusal as not run, rather
+	// than a broken connection that leaves open whether the request ran.
 	idleLinger = 500 * clock.Millis(1)
 )
 
-// WaitIdle waits until the endpoint has been leaving with no call of a peer under
-// way for a while. It reports how many were left when the context ended first.
-func (e *Endpoint) WaitIdle(ctx context.Context) (left int) {
+// WaitIdle waits until the endpoint is draining and has had no peer call in progress for
+// idleLinger. If the context ends first, it returns the number of calls still in progress.
+func (e *Endpoint) WaitIdle(ctx context.Context) (remaining int) {
 	t := time.NewTicker(idlePoll.Duration())
 	defer t.Stop()
 	idle := clock.Millis(0)
@@ -36,6 +36,6 @@
 	return 0
 }
 
-// Abort cuts off what is still held, so that each caller is told the truth about
-// its request before the process ends.
+// Abort cancels the attempts that are still running, so that each caller learns whether its
+// request ran before the process ends.
 func (e *Endpoint) Abort() { e.abort() }
--- a/endpoint/endpoint.go
+++ b/endpoint/endpoint.go
@@ -1,5 +1,5 @@
-// Package endpoint is the gate process beside one engine or plain service: the
-// only way to it.
+// Package endpoint implements the gate process that runs beside one engine or plain service
+// and is the only way to reach it.
 package endpoint
 
 import (
@@ -19,66 +19,66 @@
 )
 
 const (
-	// rememberedAttempts bounds the memory of attempts that may run at most once.
-	rememberedAttempts = 16384
-	keptAnswers        = 4096
-	keptBytes          = 32 << 20
-	keptBytesOfOne     = 4 << 20
-	keptFor            = 10 * clock.Minute
+	// maxAttempts bounds the record of attempts that may run at most once.
+	maxAttempts     = 16384
+	maxAnswers      = 4096
+	maxAnswersBytes = 32 << 20
+	maxAnswerBytes  = 4 << 20
+	answerRetention = 10 * clock.Minute
 )
 
-// Endpoint is one gate process.
+// Endpoint is one gate process, created by New.
 type Endpoint struct {
-	node    *node.Node
-	engine  *engine.Engine
-	plain   *http.Client
-	gate    *gate.Gate
-	memory  *answer.Memory
-	keeping *answer.Keeping
-	// status is what the engine last said of itself; nil before it spoke.
+	node     *node.Node
+	engine   *engine.Engine
+	plain    *http.Client
+	gate     *gate.Gate
+	attempts *answer.Memory
+	answers  *answer.Keeping
+	// status is the last load reported by the engine; nil before the first report.
 	status atomic.Pointer[engine.Load]
-	// busy counts the attempts held by version.
+	// busy counts the admitted attempts per version.
 	busy busy
-	// active counts the calls of peers under way.
+	// active counts the peer calls in progress.
 	active atomic.Int64
-	// heartbeats keeps the streams under way from falling silent.
+	// heartbeats keeps idle streams alive.
 	heartbeats heartbeats
-	// aborted ends when a stop cuts off what is still held.
+	// aborted is cancelled by Abort.
 	aborted context.Context
 	abort   context.CancelFunc
-	// orphan takes the bill of a step whose entry went before it took the last
+	// orphan receives the bill of a step whose entry disconnected before it received the last
 	// piece.
 	orphan func(*wire.Bill)
 }
 
-// New makes an endpoint over a node; Serve runs it.
+// New creates the endpoint of a node; Serve runs it.
 func New(n *node.Node) *Endpoint {
 	client := &http.Client{
 		Transport:     &http.Transport{MaxIdleConnsPerHost: 256, DisableCompression: true},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}
 	e := &Endpoint{
-		node:    n,
-		engine:  engine.New(n.Settings().Endpoint.Engine, client),
-		plain:   client,
-		gate:    gate.New(gate.Limits{Cold: 1, Full: 1}),
-		memory:  answer.NewMemory(rememberedAttempts),
-		keeping: answer.NewKeeping(answer.KeepLimits{Answers: keptAnswers, Bytes: keptBytes, One: keptBytesOfOne, For: keptFor}),
+		node:     n,
+		engine:   engine.New(n.Settings().Endpoint.Engine, client),
+		plain:    client,
+		gate:     gate.New(gate.Limits{Cold: 1, Full: 1}),
+		attempts: answer.NewMemory(maxAttempts),
+		answers:  answer.NewKeeping(answer.KeepLimits{Answers: maxAnswers, Bytes: maxAnswersBytes, One: maxAnswerBytes, For: answerRetention}),
 	}
 	e.aborted, e.abort = context.WithCancel(context.Background())
 	e.orphan = n.Billing().Orphan
 	n.SetLoad(e.load)
-	n.SetHandler(e.perform)
+	n.SetHandler(e.handleEffect)
 	return e
 }
 
-// Serve answers peers on a listener until the context ends.
+// Serve serves peers on a listener until the context ends.
 func (e *Endpoint) Serve(ctx context.Context, lis net.Listener) error {
 	go e.watch(ctx)
 	return peer.Serve(ctx, lis, e.node, e)
 }
 
-// pool returns the endpoint's pool in the tables in force.
+// pool returns the endpoint's pool from the current tables.
 func (e *Endpoint) pool() (p table.Pool, ok bool) {
 	t := e.node.View().Tables()
 	if t == nil {
@@ -88,7 +88,7 @@
 	return p, ok
 }
 
-// load is the endpoint's own view of itself.
+// load returns the load that the endpoint reports to entries.
 func (e *Endpoint) load() *wire.Load {
 	g := e.gate.Load()
 	l := &wire.Load{
--- a/endpoint/heartbeat.go
+++ b/endpoint/heartbeat.go
@@ -8,88 +8,88 @@
 	"github.com/parsleydeal/parsleydeal/peer/wire"
 )
 
-// heartbeatEvery is the longest span for which a stream is silent while its endpoint
-// lives. An entry gives up a stream that is silent for several of them, so a
-// frozen endpoint or a cut line shows long before the request's deadline, and an
-// engine that thinks for minutes does not look like one.
-const heartbeatEvery = clock.Second
+// heartbeatInterval is the longest time for which the stream of a running endpoint stays
+// idle. An entry drops a stream that is idle for several intervals. A frozen endpoint or a
+// broken connection is thus detected long before the request's deadline, while an engine that
+// computes for minutes is not mistaken for one.
+const heartbeatInterval = clock.Second
 
-// heartbeat is one stream of pieces that must not fall silent.
+// heartbeat sends the pieces of one stream, and empty pieces while it is idle.
 type heartbeat struct {
 	send func(*wire.Piece) error
-	// sent is true when a piece was sent since the last tick.
+	// sent is true if a piece was sent since the last tick.
 	sent atomic.Bool
-	// quiet counts the ticks since the last piece; only tick uses it.
-	quiet int
-	// mu is held while a piece is on its way.
+	// idleTicks counts the ticks since the last piece; only due uses it.
+	idleTicks int
+	// mu is held while a piece is being sent.
 	mu sync.Mutex
-	// over is true once the last piece was sent.
-	over bool
+	// ended is true once the last piece was sent.
+	ended bool
 }
 
-// piece sends a piece of the answer.
-func (b *heartbeat) piece(p *wire.Piece) (err error) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.sent.Store(true)
-	b.over = p.GetLast()
-	return b.send(p)
+// sendPiece sends a piece of the answer.
+func (h *heartbeat) sendPiece(p *wire.Piece) (err error) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.sent.Store(true)
+	h.ended = p.GetLast()
+	return h.send(p)
 }
 
-// alive sends a piece without content. A stream whose entry takes no more is
-// left alone: a piece is under way there.
-func (b *heartbeat) alive() {
-	if !b.mu.TryLock() {
+// sendAlive sends a piece without content. It does nothing while another piece is being sent,
+// for example to an entry that does not read.
+func (h *heartbeat) sendAlive() {
+	if !h.mu.TryLock() {
 		return
 	}
-	defer b.mu.Unlock()
-	if !b.over {
-		_ = b.send(&wire.Piece{Alive: true})
+	defer h.mu.Unlock()
+	if !h.ended {
+		_ = h.send(&wire.Piece{Alive: true})
 	}
 }
 
-// due reports at each tick whether the stream was silent for long.
-func (b *heartbeat) due() bool {
-	b.quiet++
-	if b.sent.Swap(false) {
-		b.quiet = 0
+// due reports whether a heartbeat must be sent; it is called once per tick.
+func (h *heartbeat) due() bool {
+	h.idleTicks++
+	if h.sent.Swap(false) {
+		h.idleTicks = 0
 	}
-	if b.quiet < int(heartbeatEvery/watchEvery) {
+	if h.idleTicks < int(heartbeatInterval/watchInterval) {
 		return false
 	}
-	b.quiet = 0
+	h.idleTicks = 0
 	return true
 }
 
-// heartbeats holds the streams under way; there are as many as calls of peers.
+// heartbeats holds the streams in progress; there are as many as peer calls.
 type heartbeats struct {
 	mu      sync.Mutex
 	streams map[*heartbeat]bool
 }
 
-// start begins to look after a stream; stop must be called when it ends.
-func (b *heartbeats) start(x *heartbeat) (stop func()) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.streams == nil {
-		b.streams = make(map[*heartbeat]bool)
+// add registers a stream; stop must be called when the stream ends.
+func (h *heartbeats) add(hb *heartbeat) (stop func()) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if h.streams == nil {
+		h.streams = make(map[*heartbeat]bool)
 	}
-	b.streams[x] = true
+	h.streams[hb] = true
 	return func() {
-		b.mu.Lock()
-		defer b.mu.Unlock()
-		delete(b.streams, x)
+		h.mu.Lock()
+		defer h.mu.Unlock()
+		delete(h.streams, hb)
 	}
 }
 
-// tick looks at all streams, each watchEvery. A silent one is sent its piece
-// aside, since a stream whose peer is gone may block.
-func (b *heartbeats) tick() {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for x := range b.streams {
-		if x.due() {
-			go x.alive()
+// tick checks all streams and is called every watchInterval. Heartbeats are sent in
+// goroutines of their own, since sending to an unreachable peer may block.
+func (h *heartbeats) tick() {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	for hb := range h.streams {
+		if hb.due() {
+			go hb.sendAlive()
 		}
 	}
 }
--- a/endpoint/heartbeat_test.go
+++ b/endpoint/heartbeat_test.go
@@ -7,35 +7,35 @@
 	"github.com/parsleydeal/parsleydeal/peer/wire"
 )
 
-// An engine reads a long case history for minutes before its first token. Its
-// entry would take the silent stream for one of a frozen endpoint, and start the
-// request elsewhere again and again. A heartbeat must come each second, none beside
-// pieces that flow, and none after the last piece.
+// An engine takes minutes to prefill a long prompt. Without heartbeats its entry would take
+// the idle stream for that of a frozen endpoint and retry the request elsewhere again and
+// again. A heartbeat must be sent each second, but not while pieces are sent and not after
+// the last piece.
 func TestIdleStreamSendsHeartbeats(t *testing.T) {
 	is := is.New(t)
-	const ticks = int(heartbeatEvery / watchEvery)
+	const ticks = int(heartbeatInterval / watchInterval)
 	heartbeats := 0
-	b := &heartbeat{send: func(p *wire.Piece) error {
+	h := &heartbeat{send: func(p *wire.Piece) error {
 		if p.GetAlive() {
 			heartbeats++
 		}
 		return nil
 	}}
-	pass := func(n int) {
+	tick := func(n int) {
 		for range n {
-			if b.due() {
-				b.alive()
+			if h.due() {
+				h.sendAlive()
 			}
 		}
 	}
-	pass(3 * ticks)
+	tick(3 * ticks)
 	is.Equal(heartbeats, 3)
 	for range 3 * ticks {
-		is.NoErr(b.piece(&wire.Piece{Text: "w"}))
-		pass(1)
+		is.NoErr(h.sendPiece(&wire.Piece{Text: "w"}))
+		tick(1)
 	}
 	is.Equal(heartbeats, 3)
-	is.NoErr(b.piece(&wire.Piece{Last: true}))
-	pass(3 * ticks)
+	is.NoErr(h.sendPiece(&wire.Piece{Last: true}))
+	tick(3 * ticks)
 	is.Equal(heartbeats, 3)
 }
--- a/endpoint/kept.go
+++ b/endpoint/kept.go
@@ -8,20 +8,20 @@
 	"github.com/parsleydeal/parsleydeal/refusal"
 )
 
-// Refuse asks this endpoint never to start an attempt and tells what became of
-// it. It says "not-run" only when the attempt named this start of the process:
-// an earlier one may have run it.
+// Refuse prevents an attempt from being started and reports what became of it. The reply is
+// not-run only if the request names this incarnation of the process, since an earlier one may
+// have run the attempt.
 func (e *Endpoint) Refuse(_ context.Context, in *wire.RefuseRequest) (out *wire.RefuseReply, err error) {
 	epoch := e.load().GetEpoch()
 	out = &wire.RefuseReply{Run: wire.RunState_RUN_UNKNOWN, Epoch: epoch}
-	run, running := e.memory.Bar(
+	run, running := e.attempts.Bar(
 		answer.Attempt{Request: in.GetRequest(), Number: in.GetAttempt()},
 		answer.Claim{Stream: in.GetClaimStream(), Offset: in.GetClaim()},
 	)
 	out.Running = running
 	switch {
 	case run == refusal.Ran:
-		_, out.Kept = e.keeping.Find(answer.Owner{Request: in.GetRequest(), Organisation: in.GetOrganisation()})
+		_, out.Kept = e.answers.Find(answer.Owner{Request: in.GetRequest(), Organisation: in.GetOrganisation()})
 		out.Run = wire.RunState_RUN_RAN
 	case run == refusal.NotRun && in.GetGateEpoch() == epoch:
 		out.Run = wire.RunState_RUN_NOT_RUN
@@ -29,20 +29,20 @@
 	return out, nil
 }
 
-// Kept streams a kept answer again, waiting for the pieces that are still to
-// come. The answer of another organisation is not found.
+// Kept streams a retained answer again, waiting for pieces that are still to come. Answers of
+// other organisations are not found.
 func (e *Endpoint) Kept(in *wire.KeptRequest, stream wire.DRPCGate_KeptStream) (err error) {
 	e.active.Add(1)
 	defer e.active.Add(-1)
 	owner := answer.Owner{Request: in.GetRequest(), Organisation: in.GetOrganisation(), Key: in.GetIdempotencyKey()}
-	b := &heartbeat{send: stream.Send}
-	defer e.heartbeats.start(b)()
-	kept, ok := e.keeping.Find(owner)
+	h := &heartbeat{send: stream.Send}
+	defer e.heartbeats.add(h)()
+	kept, ok := e.answers.Find(owner)
 	if ok {
-		if err = kept.From(stream.Context(), in.GetAfter(), b.piece); err == nil || stream.Context().Err() != nil {
+		if err = kept.From(stream.Context(), in.GetAfter(), h.sendPiece); err == nil || stream.Context().Err() != nil {
 			return err
 		}
 	}
 	r := refusal.New(refusal.NotKept, "answer is not kept here").WithRun(refusal.Unknown)
-	return b.piece(&wire.Piece{Request: in.GetRequest(), Last: true, Refusal: r.Wire(), Load: e.load()})
+	return h.sendPiece(&wire.Piece{Request: in.GetRequest(), Last: true, Refusal: r.Wire(), Load: e.load()})
 }
--- a/endpoint/leak_test.go
+++ b/endpoint/leak_test.go
@@ -12,9 +12,8 @@
 	"github.com/parsleydeal/parsleydeal/standin"
 )
 
-// Callers come and go in the middle of whatever happens to their requests, and
-// engines break off. A place or a goroutine that stays behind each time would
-// close the endpoint within hours.
+// Callers disconnect at any stage of their requests, and engines break off answers. If each
+// such request leaked a slot or a goroutine, the endpoint would be unusable within hours.
 func TestNoSlotOrGoroutineLeaks(t *testing.T) {
 	r := newRig(t, 4)
 	r.patch("[tables.pools.small]\nversions = [\"small@1\"]\ncold-window = 2\nfull-window = 8\nqueue = 4\nqueue-wait = \"5ms\"\n")
@@ -29,16 +28,16 @@
 			if rng.IntN(3) == 0 {
 				head.IdempotencyKey = head.GetRequest()
 			}
-			patience := time.Duration(rng.IntN(20)) * time.Millisecond
+			timeout := time.Duration(rng.IntN(20)) * time.Millisecond
 			wg.Go(func() {
-				ctx, cancel := context.WithTimeout(t.Context(), patience)
+				ctx, cancel := context.WithTimeout(t.Context(), timeout)
 				defer cancel()
 				r.run(ctx, head, chatBody)
 			})
 		}
 		wg.Wait()
 	}
-	r.idle()
+	r.waitUntilIdle()
 	r.is.NoErr(r.peers.Close())
 	r.e.plain.CloseIdleConnections()
 	r.eventually("goroutines ended", func() bool { return runtime.NumGoroutine() <= before })
--- a/endpoint/order.go
+++ b/endpoint/order.go
@@ -11,46 +11,46 @@
 	"github.com/parsleydeal/parsleydeal/provider"
 )
 
-// perform carries out the effects that concern the engine, away from the control
-// goroutine.
-func (e *Endpoint) perform(f event.Effect) {
+// handleEffect runs the effects that concern the engine. They run in goroutines of their own,
+// so that the control goroutine does not wait for them.
+func (e *Endpoint) handleEffect(f event.Effect) {
 	switch f := f.(type) {
 	case event.FetchWeights:
-		go e.fetch(f)
+		go e.fetchWeights(f)
 	case event.GiveOrder:
-		go e.give(f)
+		go e.giveOrder(f)
 	}
 }
 
-func (e *Endpoint) fetch(f event.FetchWeights) {
+func (e *Endpoint) fetchWeights(f event.FetchWeights) {
 	ctx, cancel := context.WithTimeout(e.aborted, lease.WeightsTimeout.Duration())
 	defer cancel()
 	err := e.node.Weights().Fetch(ctx, f.Version)
 	if err != nil {
-		e.node.Log().Warn("Weights could not be fetched.", "version", f.Version, "error", logbook.Text(err))
+		e.node.Log().Warn("Could not fetch weights.", "version", f.Version, "error", logbook.Text(err))
 	}
 	e.node.Loop().Post(e.aborted, event.WeightsDone{Now: e.node.Clock().Now(), Version: f.Version, Err: err})
 }
 
-func (e *Endpoint) give(f event.GiveOrder) {
+func (e *Endpoint) giveOrder(f event.GiveOrder) {
 	outcome := e.order(f)
-	e.node.Log().Info("Order was given to the engine.", "kind", f.Kind, "version", f.Version, "role", f.Role, "fence", f.Fence, "outcome", outcome)
+	e.node.Log().Info("Engine order finished.", "kind", f.Kind, "version", f.Version, "role", f.Role, "fence", f.Fence, "outcome", outcome)
 	e.node.Loop().Post(e.aborted, event.OrderDone{Now: e.node.Clock().Now(), ID: f.ID, Outcome: outcome})
 }
 
-// order gives one order, unless its lease has lapsed or a newer one stands. A
-// process that was paused between the decision and this point would otherwise
-// act on a lease that another one has taken over. Engines that check fencing
-// numbers see to the rest; before any other the lease stream is read first.
+// order sends one order to the engine, unless its lease has expired or a newer one exists.
+// Without these checks a process that was paused after the decision would act on a lease that
+// another process has taken over. Engines that check fencing numbers reject such orders
+// themselves; for all others the lease stream is read first.
 func (e *Endpoint) order(f event.GiveOrder) event.OrderOutcome {
-	if f.Compare && !e.newest(f.Fence) {
+	if f.Compare && !e.hasNewestLease(f.Fence) {
 		return event.OrderFenced
 	}
-	left := f.Until - e.node.Clock().Now()
-	if left <= 0 {
+	remaining := f.Until - e.node.Clock().Now()
+	if remaining <= 0 {
 		return event.OrderNotGiven
 	}
-	ctx, cancel := context.WithTimeout(e.aborted, min(left, lease.OrderLife).Duration())
+	ctx, cancel := context.WithTimeout(e.aborted, min(remaining, lease.OrderLife).Duration())
 	defer cancel()
 	err := e.engine.Give(ctx, engine.Command{Kind: string(f.Kind), Version: f.Version, Role: f.Role, Fence: f.Fence})
 	switch {
@@ -66,9 +66,9 @@
 	return event.OrderUnknown
 }
 
-// newest reports whether the log shows no newer lease of this VM. An unreadable
-// log proves nothing, so no order is given then.
-func (e *Endpoint) newest(fence int64) bool {
+// hasNewestLease reports whether the log contains no newer lease of this VM. It returns false
+// if the log cannot be read, since a newer lease may exist; no order is sent then.
+func (e *Endpoint) hasNewestLease(fence int64) bool {
 	ctx, cancel := context.WithTimeout(e.aborted, pollTimeout.Duration())
 	defer cancel()
 	for from := fence + 1; ; {
--- a/endpoint/order_test.go
+++ b/endpoint/order_test.go
@@ -15,10 +15,10 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// newManagedRig is a rig whose engine has loaded just what it was told to.
-func newManagedRig(t *testing.T, checks bool, leases *[]provider.Record) *rig {
+// newManagedRig returns a rig whose engine has loaded only what it was ordered to load.
+func newManagedRig(t *testing.T, checksFencing bool, leases *[]provider.Record) *rig {
 	r := &rig{t: t, is: is.New(t), engine: standin.NewEngine(1, 1, 3), plain: standin.NewPlain(), peers: peer.NewPool(), store: leaseLog(leases)}
-	r.engine.Manage(checks)
+	r.engine.Manage(checksFencing)
 	srv := httptest.NewServer(r.engine.Handler())
 	t.Cleanup(srv.Close)
 	r.start(srv.URL, false)
@@ -27,13 +27,13 @@
 
 const checkedPool = "[tables.pools.small]\nversions = [\"small@1\"]\ncold-window = 1\nfull-window = 8\nchecks-fencing = true\nrole = \"decode\"\n"
 
-// Operators publish a pool, and its engine has loaded nothing. Until it has, a
-// request is refused as not run; then it is served.
+// A pool is published whose engine has loaded nothing. Requests must be refused as not run
+// until the engine has loaded the version, and served afterwards.
 func TestEngineIsConfiguredFromTables(t *testing.T) {
 	var leases []provider.Record
 	r := newManagedRig(t, true, &leases)
 	r.eventually("engine seen", func() bool { return r.e.status.Load() != nil })
-	r.refused(r.run(t.Context(), r.head("r1"), chatBody), refusal.NoEndpoint, refusal.NotRun)
+	r.expectRefusal(r.run(t.Context(), r.head("r1"), chatBody), refusal.NoEndpoint, refusal.NotRun)
 	r.patch(checkedPool)
 	r.eventually("version loaded", func() bool { return r.run(t.Context(), r.head("r2"), chatBody).text == standin.Text(3) })
 	r.eventually("role changed", func() bool { return len(r.engine.Orders()) == 2 })
@@ -43,9 +43,9 @@
 	r.is.Equal(<-r.fetched, "small@1")
 }
 
-// A process was paused after it took a lease; another process of its VM has taken
-// one since. The engine ignores fencing numbers, so the first must see by itself
-// that it is out.
+// A process was paused after it took a lease, and another process of its VM has since taken a
+// newer one. The engine ignores fencing numbers, so the first process must detect the newer
+// lease itself.
 func TestPausedLeaseHolderSendsNoOrder(t *testing.T) {
 	var leases []provider.Record
 	r := newManagedRig(t, false, &leases)
@@ -56,15 +56,15 @@
 	o := event.GiveOrder{Kind: event.LoadVersion, Version: "small@1", Fence: -1, Until: r.n.Clock().Now() + clock.Hour, Compare: true}
 	r.is.Equal(r.e.order(o), event.OrderFenced)
 	o.Fence = 0
-	o.Until = r.n.Clock().Now() - 1 // its own lease has lapsed
+	o.Until = r.n.Clock().Now() - 1 // its lease has expired
 	r.is.Equal(r.e.order(o), event.OrderNotGiven)
 	r.is.Equal(len(r.engine.Orders()), 0)
 	o.Until = r.n.Clock().Now() + clock.Hour
 	r.is.Equal(r.e.order(o), event.OrderTaken)
 }
 
-// An order of an old holder arrives late at an engine that checks fencing
-// numbers: the engine refuses it, and the gate knows that it had no effect.
+// An order of a former lease holder arrives late at an engine that checks fencing numbers.
+// The engine must reject it, and the endpoint must report it as fenced.
 func TestLateOrderIsFenced(t *testing.T) {
 	var leases []provider.Record
 	r := newManagedRig(t, true, &leases)
--- a/endpoint/piece_test.go
+++ b/endpoint/piece_test.go
@@ -14,31 +14,31 @@
 	"storj.io/drpc"
 )
 
-// sink is a stream that encodes pieces as drpc does and drops them.
-type sink struct {
+// discardStream is a stream that encodes pieces as drpc does and discards them.
+type discardStream struct {
 	drpc.Stream
 	buf []byte
 }
 
-func (s *sink) Context() context.Context { return context.Background() }
+func (s *discardStream) Context() context.Context { return context.Background() }
 
-func (s *sink) Recv() (*wire.RunFrame, error) { return nil, io.EOF }
+func (s *discardStream) Recv() (*wire.RunFrame, error) { return nil, io.EOF }
 
-func (s *sink) Send(p *wire.Piece) (err error) {
+func (s *discardStream) Send(p *wire.Piece) (err error) {
 	s.buf, err = proto.MarshalOptions{}.MarshalAppend(s.buf[:0], p)
 	return err
 }
 
-// source is an engine that answers every request with the same stream.
-type source struct{ stream string }
+// fixedEngine is an engine that answers every request with the same stream.
+type fixedEngine struct{ response string }
 
-func (s source) RoundTrip(*http.Request) (*http.Response, error) {
-	return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(strings.NewReader(s.stream))}, nil
+func (s fixedEngine) RoundTrip(*http.Request) (*http.Response, error) {
+	return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(strings.NewReader(s.response))}, nil
 }
 
 const pieceCount = 1000
 
-// streamOf is a stream of so many tokens as engines write it.
+// streamOf returns a stream of the given number of tokens in the engines' format.
 func streamOf(tokens int) string {
 	var b strings.Builder
 	for range tokens {
@@ -48,35 +48,34 @@
 	return b.String()
 }
 
-// pass carries one stream from an engine through an attempt, without network.
-func (r *rig) pass(e *engine.Engine) error {
-	a := newAttempt(r.e, &sink{}, &wire.RunFrame{Head: r.head("r1"), Last: true})
-	a.ticket = r.e.gate.Submit(r.n.Clock().Now(), r.e.request(a))
+// runStream passes one stream from an engine through an attempt, without a network.
+func (r *rig) runStream(e *engine.Engine) error {
+	a := newAttempt(r.e, &discardStream{}, &wire.RunFrame{Head: r.head("r1"), Last: true})
+	a.ticket = r.e.gate.Submit(r.n.Clock().Now(), r.e.gateRequest(a))
 	err := e.Chat(r.t.Context(), engine.Order{Request: "r1", Body: []byte("{}")}, a.chunk)
 	a.e.close(a)
 	return err
 }
 
-// At 1.8 million tokens a second every allocation for a piece costs the fleet a
-// core somewhere. The bound is what one piece took when this was written, and one
-// more.
+// At 1.8 million tokens per second in the fleet, every allocation per piece costs about one
+// core. The bound allows one allocation more than a piece needs.
 func TestAllocationsPerPiece(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t, 1)
-	e := engine.New("http://engine", &http.Client{Transport: source{streamOf(pieceCount)}})
-	runs := testing.AllocsPerRun(10, func() { is.NoErr(r.pass(e)) })
-	t.Logf("%.2f allocations a piece", runs/pieceCount)
+	e := engine.New("http://engine", &http.Client{Transport: fixedEngine{streamOf(pieceCount)}})
+	runs := testing.AllocsPerRun(10, func() { is.NoErr(r.runStream(e)) })
+	t.Logf("%.2f allocations per piece", runs/pieceCount)
 	is.True(runs/pieceCount <= 11)
 }
 
-// BenchmarkPiece measures a piece's way through the gate without network.
+// BenchmarkPiece measures the processing of one piece in the endpoint without a network.
 func BenchmarkPiece(b *testing.B) {
-	e := engine.New("http://engine", &http.Client{Transport: source{streamOf(b.N)}})
-	a := newAttempt(&Endpoint{}, &sink{}, &wire.RunFrame{Head: &wire.RunHead{Request: "r1", Attempt: 1}, Last: true})
+	e := engine.New("http://engine", &http.Client{Transport: fixedEngine{streamOf(b.N)}})
+	a := newAttempt(&Endpoint{}, &discardStream{}, &wire.RunFrame{Head: &wire.RunHead{Request: "r1", Attempt: 1}, Last: true})
 	b.ReportAllocs()
 	b.ResetTimer()
 	emit := func(c engine.Chunk) error {
-		p := a.next()
+		p := a.emptyPiece()
 		p.Text, p.Data, p.Tokens = c.Text, c.Raw, 1
 		return a.send(p)
 	}
--- a/endpoint/plain.go
+++ b/endpoint/plain.go
@@ -11,15 +11,15 @@
 	"github.com/parsleydeal/parsleydeal/refusal"
 )
 
-// plainPiece is how much of a service's answer one piece carries at most.
-const plainPiece = 32 << 10
+// plainPieceBytes is the maximum size of the part of a service's answer that one piece
+// carries.
+const plainPieceBytes = 32 << 10
 
-// runPlain carries one call to a plain service. The body streams through; it
-// is never held whole. The call is dispatched at most once: the body of the
-// request given to net/http can be read only once, so its transport never sends
-// the call again on another connection.
+// runPlain forwards one call to a plain service. The body is streamed and never buffered in
+// full. The call is dispatched at most once: the body of the request given to net/http can be
+// read only once, so its transport never resends the call on another connection.
 func (e *Endpoint) runPlain(ctx context.Context, a *attempt, first *wire.RunFrame) (err error) {
-	body := &frameReader{a: a, rest: first.GetBody()}
+	body := &frameReader{a: a, unread: first.GetBody()}
 	connected := false
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected = true }}
 	url := e.node.Settings().Endpoint.Engine + "/" + a.head.GetPath()
@@ -38,20 +38,20 @@
 		return a.plainRefusal(ctx, err, connected)
 	}
 	defer resp.Body.Close()
-	a.firstToken()
+	a.recordFirstToken()
 	if err = a.send(&wire.Piece{Status: int32(resp.StatusCode), Headers: headersOf(resp.Header)}); err != nil {
 		return err
 	}
-	if err = a.copy(resp.Body); err != nil {
-		// The service answered, so the call had its effect and its fee is due.
-		a.step = a.fee(false)
-		return a.brokenAnswer(ctx, err)
+	if err = a.sendBody(resp.Body); err != nil {
+		// The service responded, so the call took effect and its fee is due.
+		a.step = a.feeStep(false)
+		return a.interruptedAnswer(ctx, err)
 	}
-	return a.lastOfPlain()
+	return a.sendLastOfPlain()
 }
 
-// plainRefusal says "not run" only of a call for which no connection to the
-// service was had: then no byte of it can have left.
+// plainRefusal reports a call as not run only if no connection to the service was obtained:
+// then no byte of the call can have been sent.
 func (a *attempt) plainRefusal(ctx context.Context, err error, connected bool) error {
 	if !connected {
 		if ctx.Err() != nil {
@@ -65,7 +65,7 @@
 	return refusal.New(refusal.EngineFailed, err.Error()).WithRun(refusal.Unknown)
 }
 
-func (a *attempt) brokenAnswer(ctx context.Context, err error) error {
+func (a *attempt) interruptedAnswer(ctx context.Context, err error) error {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return refusal.New(refusal.DeadlinePassed, "deadline passed").WithRun(refusal.Ran)
 	}
@@ -81,8 +81,8 @@
 	return out
 }
 
-func (a *attempt) copy(r io.Reader) (err error) {
-	buf := make([]byte, plainPiece)
+func (a *attempt) sendBody(r io.Reader) (err error) {
+	buf := make([]byte, plainPieceBytes)
 	for {
 		n, err := r.Read(buf)
 		if n > 0 {
@@ -99,10 +99,10 @@
 	}
 }
 
-func (a *attempt) lastOfPlain() error { return a.last(a.fee(true), &wire.Piece{}) }
+func (a *attempt) sendLastOfPlain() error { return a.sendLast(a.feeStep(true), &wire.Piece{}) }
 
-// fee is the step of a call of a plain service.
-func (a *attempt) fee(whole bool) *wire.Step {
+// feeStep returns the billing step of a call to a plain service.
+func (a *attempt) feeStep(whole bool) *wire.Step {
 	service := a.head.GetService()
 	return &wire.Step{
 		Attempt: a.head.GetAttempt(), Service: service, Vm: a.e.node.Settings().VM, Whole: whole,
@@ -110,25 +110,25 @@
 	}
 }
 
-// frameReader reads a request's body from the frames of a stream.
+// frameReader reads a request body from the frames of a stream.
 type frameReader struct {
-	a    *attempt
-	rest []byte
+	a      *attempt
+	unread []byte
 }
 
 func (f *frameReader) Read(p []byte) (n int, err error) {
-	for len(f.rest) == 0 {
-		if f.a.bodyRead.Load() {
+	for len(f.unread) == 0 {
+		if f.a.bodyReceived.Load() {
 			return 0, io.EOF
 		}
 		frame, err := f.a.stream.Recv()
 		if err != nil {
 			return 0, io.ErrUnexpectedEOF
 		}
-		f.rest = frame.GetBody()
-		f.a.bodyRead.Store(frame.GetLast())
+		f.unread = frame.GetBody()
+		f.a.bodyReceived.Store(frame.GetLast())
 	}
-	n = copy(p, f.rest)
-	f.rest = f.rest[n:]
+	n = copy(p, f.unread)
+	f.unread = f.unread[n:]
 	return n, nil
 }
--- a/endpoint/rig_test.go
+++ b/endpoint/rig_test.go
@@ -24,8 +24,8 @@
 	"github.com/parsleydeal/parsleydeal/standin"
 )
 
-// patience is long, so that a busy machine gives the same verdict.
-const patience = 30 * time.Second
+// waitTimeout is long, so that tests give the same result on a busy machine.
+const waitTimeout = 30 * time.Second
 
 const rigTables = `
 id = "1"
@@ -54,8 +54,8 @@
 fee = 5
 `
 
-// rig is one endpoint process's code with a stand-in behind it, whose control
-// gets just the events that the test gives it.
+// rig runs the code of one endpoint process against a stand-in engine or service. Its control
+// receives only the events that the test posts.
 type rig struct {
 	t       *testing.T
 	is      *is.I
@@ -66,9 +66,9 @@
 	address string
 	peers   *peer.Pool
 	offset  int64
-	// store serves the streams but that of the configuration.
+	// store serves all streams except that of the configuration.
 	store provider.Log
-	// fetched lists the versions whose weights were asked for.
+	// fetched receives the versions whose weights were requested.
 	fetched chan string
 }
 
@@ -94,7 +94,7 @@
 	s.Endpoint = settings.Endpoint{Pool: "small", Engine: url, Plain: plain}
 	r.fetched = make(chan string, 16)
 	if r.store.Append == nil {
-		r.store = noLog()
+		r.store = unavailableLog()
 	}
 	r.n = node.New(node.Config{
 		Settings: s, Clock: clock.System(), Log: log.New(io.Discard), Peers: r.peers,
@@ -114,8 +114,8 @@
 	r.publish(rigTables)
 }
 
-// noLog is a log that is down.
-func noLog() provider.Log {
+// unavailableLog returns a log that rejects appends and blocks reads.
+func unavailableLog() provider.Log {
 	return provider.Log{
 		Append: func(context.Context, string, []byte) (int64, error) { return 0, provider.ErrUnavailable.New("no log") },
 		Read: func(ctx context.Context, _ string, _ int64, _ clock.Millis) (provider.Page, error) {
@@ -125,11 +125,11 @@
 	}
 }
 
-// leaseLog is a log that has just the lease stream.
+// leaseLog returns a log that serves only the lease stream.
 func leaseLog(leases *[]provider.Record) provider.Log {
 	var mu sync.Mutex
-	l := noLog()
-	down := l.Read
+	l := unavailableLog()
+	blockedRead := l.Read
 	l.Append = func(_ context.Context, stream string, data []byte) (int64, error) {
 		if stream != provider.LeaseStream {
 			return 0, provider.ErrUnavailable.New("no such stream")
@@ -142,7 +142,7 @@
 	}
 	l.Read = func(ctx context.Context, stream string, from int64, wait clock.Millis) (p provider.Page, err error) {
 		if stream != provider.LeaseStream {
-			return down(ctx, stream, from, wait)
+			return blockedRead(ctx, stream, from, wait)
 		}
 		mu.Lock()
 		defer mu.Unlock()
@@ -152,13 +152,13 @@
 	return l
 }
 
-// publish gives control the next record of the configuration.
+// publish posts the next record of the configuration to control.
 func (r *rig) publish(text string) {
 	r.t.Helper()
 	page := provider.Page{Head: r.offset + 1, Records: []provider.Record{{Offset: r.offset, Data: []byte(text)}}}
 	r.offset++
 	r.n.Loop().Post(r.t.Context(), event.LogRead{Now: r.n.Clock().Now(), Stream: provider.ConfigStream, Page: page})
-	r.eventually("tables in force", func() bool { return r.n.View().Revision() == r.offset-1 })
+	r.eventually("tables applied", func() bool { return r.n.View().Revision() == r.offset-1 })
 }
 
 func (r *rig) patch(text string) {
@@ -167,16 +167,16 @@
 
 func (r *rig) eventually(what string, met func() bool) {
 	r.t.Helper()
-	for deadline := time.Now().Add(patience); !met(); time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(waitTimeout); !met(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			r.t.Fatalf("waited too long for: %s", what)
+			r.t.Fatalf("timed out waiting for: %s", what)
 		}
 	}
 }
 
 func (r *rig) gate() wire.DRPCGateClient { return r.peers.Gate(r.t.Context(), r.address) }
 
-// head is an unkeyed chat request's first attempt.
+// head returns the first attempt of a chat request without idempotency key.
 func (r *rig) head(request string) *wire.RunHead {
 	return &wire.RunHead{
 		Request: request, Attempt: 1, Revision: 0, Organisation: "desk", Route: "quick", Version: "small@1",
@@ -184,14 +184,14 @@
 	}
 }
 
-func (r *rig) call(request, method, path string) *wire.RunHead {
+func (r *rig) serviceHead(request, method, path string) *wire.RunHead {
 	return &wire.RunHead{
 		Request: request, Attempt: 1, Organisation: "desk", Service: "records", Method: method, Path: path, DeadlineMillis: 60_000,
 	}
 }
 
-// got is what came of one attempt.
-type got struct {
+// result is the outcome of one attempt.
+type result struct {
 	text    string
 	data    string
 	raw     []string
@@ -203,20 +203,20 @@
 
 const chatBody = `{"model":"quick","messages":[{"role":"user","content":"when"}]}`
 
-// run sends an attempt and takes all its pieces.
-func (r *rig) run(ctx context.Context, head *wire.RunHead, body string) (g got) {
+// run sends an attempt and collects all its pieces.
+func (r *rig) run(ctx context.Context, head *wire.RunHead, body string) (g result) {
 	stream, err := r.gate().Run(ctx)
 	if err != nil {
-		return got{err: err}
+		return result{err: err}
 	}
 	defer stream.Close()
 	if err = stream.Send(&wire.RunFrame{Head: head, Body: []byte(body), Last: true}); err != nil {
-		return got{err: err}
+		return result{err: err}
 	}
-	return take(stream.Recv)
+	return collect(stream.Recv)
 }
 
-func take(recv func() (*wire.Piece, error)) (g got) {
+func collect(recv func() (*wire.Piece, error)) (g result) {
 	var text, data strings.Builder
 	for {
 		p, err := recv()
@@ -239,14 +239,14 @@
 	return g
 }
 
-// begin runs an attempt aside.
-func (r *rig) begin(ctx context.Context, head *wire.RunHead, body string) chan got {
-	out := make(chan got, 1)
+// runAsync runs an attempt in a goroutine.
+func (r *rig) runAsync(ctx context.Context, head *wire.RunHead, body string) chan result {
+	out := make(chan result, 1)
 	go func() { out <- r.run(ctx, head, body) }()
 	return out
 }
 
-func (r *rig) refused(g got, code refusal.Code, run refusal.Run) {
+func (r *rig) expectRefusal(g result, code refusal.Code, run refusal.Run) {
 	r.t.Helper()
 	r.is.NoErr(g.err)
 	r.is.True(g.refusal != nil)
--- a/endpoint/run.go
+++ b/endpoint/run.go
@@ -12,7 +12,8 @@
 	"github.com/parsleydeal/parsleydeal/refusal"
 )
 
-// Run carries one attempt from an entry to the engine and the pieces back.
+// Run handles one attempt from an entry: it forwards the request to the engine and streams
+// the pieces of the answer back.
 func (e *Endpoint) Run(stream wire.DRPCGate_RunStream) (err error) {
 	e.active.Add(1)
 	defer e.active.Add(-1)
@@ -21,12 +22,12 @@
 		return err
 	}
 	a := newAttempt(e, stream, first)
-	defer e.heartbeats.start(&a.heartbeat)()
+	defer e.heartbeats.add(&a.heartbeat)()
 	if err = e.open(a); err != nil {
 		return a.refuse(err)
 	}
 	defer e.close(a)
-	if err = e.admitInTime(a); err != nil {
+	if err = e.admitBeforeDeadline(a); err != nil {
 		return a.refuse(err)
 	}
 	ctx, cancel := a.context()
@@ -42,12 +43,12 @@
 	if err != nil {
 		return a.refuse(err)
 	}
-	return a.settle()
+	return a.awaitBilling()
 }
 
-// admitInTime admits an attempt for as long as its caller waits and its entry is
-// there.
-func (e *Endpoint) admitInTime(a *attempt) (err error) {
+// admitBeforeDeadline admits an attempt unless its deadline passes or its entry disconnects
+// first.
+func (e *Endpoint) admitBeforeDeadline(a *attempt) (err error) {
 	ctx, cancel := context.WithDeadline(a.stream.Context(), a.deadline)
 	defer cancel()
 	err = e.admit(ctx, a)
@@ -57,7 +58,7 @@
 	return err
 }
 
-// open checks that an attempt may be begun at all.
+// open checks whether the attempt may start, and registers it if it is detached.
 func (e *Endpoint) open(a *attempt) (err error) {
 	switch {
 	case a.head == nil || a.head.GetRequest() == "":
@@ -65,25 +66,25 @@
 	case a.head.GetDeadlineMillis() <= 0:
 		return refusal.New(refusal.DeadlinePassed, "deadline passed")
 	case a.head.GetGateEpoch() != 0 && a.head.GetGateEpoch() != e.load().GetEpoch():
-		// The attempt was meant for this VM's process before its restart. That
-		// one may have said that the attempt will never run.
+		// The attempt was addressed to the process that ran on this VM before a restart. That
+		// process may have reported that the attempt will never run.
 		return refusal.New(refusal.Restarted, "endpoint has restarted since")
 	}
-	if !a.once() {
+	if !a.detached() {
 		return nil
 	}
-	if run, ok := e.memory.Arrive(a.id(), a.claim()); !ok {
+	if run, ok := e.attempts.Arrive(a.id(), a.claim()); !ok {
 		code := refusal.AlreadyRan
 		if run == refusal.NotRun {
 			code = refusal.Tombstoned
 		}
 		return refusal.New(code, "attempt was refused or seen before").WithRun(run)
 	}
-	a.remembered = true
+	a.registered = true
 	return nil
 }
 
-// close gives back whatever the attempt still has.
+// close releases everything that the attempt still holds.
 func (e *Endpoint) close(a *attempt) {
 	a.release(gate.Dropped)
 	if a.version != "" {
@@ -91,28 +92,28 @@
 	}
 	again := a.head.GetRepeatable() && a.step == nil
 	switch {
-	case a.kept == nil:
+	case a.retained == nil:
 	case again:
-		a.kept.Drop()
+		a.retained.Drop()
 	default:
-		a.kept.End(e.node.Clock().Now())
+		a.retained.End(e.node.Clock().Now())
 	}
 	switch {
-	case !a.remembered:
+	case !a.registered:
 	case again:
-		e.memory.Reopen(a.id())
+		e.attempts.Reopen(a.id())
 	default:
-		e.memory.End(a.id())
+		e.attempts.End(a.id())
 	}
 }
 
-// context bounds a run by its deadline. A run that is kept goes on when its
-// entry's connection is cut: it may not be repeated, or its caller can come back
-// with its key. Any other run ends with the connection, which also is how a
-// cancel reaches the engine.
+// context returns a context that ends at the attempt's deadline. A detached run continues
+// when the connection to its entry is lost: it may not be repeated, or its caller can
+// reconnect with its idempotency key. Any other run ends with the connection, which is also
+// how a cancellation reaches the engine.
 func (a *attempt) context() (ctx context.Context, cancel context.CancelFunc) {
 	ctx = a.stream.Context()
-	if a.once() {
+	if a.detached() {
 		ctx = context.WithoutCancel(ctx)
 	}
 	ctx, stop := context.WithDeadline(ctx, a.deadline)
@@ -123,17 +124,17 @@
 	}
 }
 
-// settle waits until the entry has taken the last piece and billed it: it closes
-// the stream then. When it went before, the step of a call that may not be
-// repeated is billed from here: it had its effect. Should both bill it, the two
-// bills merge into one, since they name the same attempt. A repeatable run is
-// billed only by an entry that delivers it: its request may have been answered by
-// another attempt, or by the caller's retry, and would be paid for twice.
-func (a *attempt) settle() (err error) {
-	if a.kept == nil || a.head.GetRepeatable() {
+// awaitBilling waits until the entry closes the stream, which it does once it has received
+// and billed the last piece. If the entry disconnects earlier, the step of a call that may
+// not be repeated is billed from here, because the call took effect. If both bill it, the two
+// bills merge into one, since they name the same attempt. A repeatable run is billed only by
+// an entry that delivers it: its request may have been answered by another attempt or by the
+// caller's retry, and would be billed twice.
+func (a *attempt) awaitBilling() (err error) {
+	if a.retained == nil || a.head.GetRepeatable() {
 		return nil
 	}
-	if !a.cut && a.acknowledged() {
+	if !a.disconnected && a.acknowledged() {
 		return nil
 	}
 	a.e.orphan(&wire.Bill{
@@ -146,7 +147,8 @@
 	return nil
 }
 
-// route names the route or service in a bill, as the entry does.
+// route returns the name of the route or service for a bill, in the same form that entries
+// use.
 func (a *attempt) route() string {
 	if s := a.head.GetService(); s != "" {
 		return "services/" + s
@@ -154,20 +156,20 @@
 	return a.head.GetRoute()
 }
 
-// acknowledgeLimit is how long an entry may take to bill a step before the gate
-// does so too. An entry that is paused would otherwise hold up a stop.
-const acknowledgeLimit = 10 * clock.Second
+// acknowledgeTimeout is how long an entry may take to bill a step before the endpoint bills
+// it as well. Without this bound a paused entry would delay the shutdown of the endpoint.
+const acknowledgeTimeout = 10 * clock.Second
 
-// acknowledged reports whether the entry ended the stream by its own word. A
-// connection that breaks gives another error.
+// acknowledged reports whether the entry closed the stream deliberately. A broken connection
+// ends the stream with a different error.
 func (a *attempt) acknowledged() bool {
-	if !a.bodyRead.Load() {
+	if !a.bodyReceived.Load() {
 		return false
 	}
 	closed := make(chan bool, 1)
 	// The goroutine ends with the stream, at the latest when Run returns.
-	go func() { closed <- a.closed() }()
-	t := time.NewTimer(acknowledgeLimit.Duration())
+	go func() { closed <- a.closedByEntry() }()
+	t := time.NewTimer(acknowledgeTimeout.Duration())
 	defer t.Stop()
 	select {
 	case ok := <-closed:
@@ -177,7 +179,7 @@
 	}
 }
 
-func (a *attempt) closed() bool {
+func (a *attempt) closedByEntry() bool {
 	for {
 		if _, err := a.stream.Recv(); err != nil {
 			return err == io.EOF
--- a/endpoint/run_test.go
+++ b/endpoint/run_test.go
@@ -11,64 +11,64 @@
 	"github.com/parsleydeal/parsleydeal/standin"
 )
 
-// idle waits until the endpoint has neither places taken nor calls under way.
-func (r *rig) idle() {
+// waitUntilIdle waits until no slot is in use and no call is in progress.
+func (r *rig) waitUntilIdle() {
 	r.t.Helper()
-	r.eventually("places and calls given back", func() bool { return r.e.gate.Load().Held == 0 && r.e.active.Load() == 0 })
+	r.eventually("slots and calls released", func() bool { return r.e.gate.Load().Held == 0 && r.e.active.Load() == 0 })
 }
 
-// A caller disconnects in the middle of a stream. The engine must hear of it, and
-// the place must come free.
+// A caller disconnects in the middle of a stream. The cancellation must reach the engine, and
+// the slot must be released.
 func TestCancelReachesEngine(t *testing.T) {
 	r := newRig(t, 3)
 	r.engine.SetFaults(standin.EngineFaults{Stall: true})
 	ctx, cancel := context.WithCancel(t.Context())
-	answered := r.begin(ctx, r.head("r1"), chatBody)
-	r.eventually("run begun", func() bool { return r.engine.Running() == 1 })
+	answer := r.runAsync(ctx, r.head("r1"), chatBody)
+	r.eventually("run started", func() bool { return r.engine.Running() == 1 })
 	cancel()
-	<-answered
-	r.eventually("engine told", func() bool { return r.engine.Cancelled() == 1 })
-	r.idle()
+	<-answer
+	r.eventually("engine sees the cancellation", func() bool { return r.engine.Cancelled() == 1 })
+	r.waitUntilIdle()
 }
 
-// An entry vanishes in the middle of a keyed request. The run goes on, and an
-// entry that asks for it gets the whole answer. It is not billed from here: the
-// caller's retry may be answered and billed by another run.
+// An entry disconnects in the middle of a request with an idempotency key. The run must
+// continue, and an entry that asks for the answer must get all of it. The endpoint must not
+// bill the run, since the caller's retry may be answered and billed by another one.
 func TestKeyedRunContinuesWithoutItsEntry(t *testing.T) {
 	r := newRig(t, 5)
-	r.e.orphan = func(*wire.Bill) { t.Error("a run that nobody may have got was billed") }
+	r.e.orphan = func(*wire.Bill) { t.Error("billed a run that may not have been delivered") }
 	r.engine.SetFaults(standin.EngineFaults{Stall: true})
 	head := r.head("r1")
 	head.IdempotencyKey = "k"
-	r.cut(head, chatBody, func() bool { return r.engine.Running() == 1 })
+	r.runAndDisconnect(head, chatBody, func() bool { return r.engine.Running() == 1 })
 	r.engine.SetFaults(standin.EngineFaults{})
 	kept, err := r.gate().Kept(t.Context(), &wire.KeptRequest{IdempotencyKey: "k", Organisation: "desk"})
 	r.is.NoErr(err)
-	r.is.Equal(take(kept.Recv).text, standin.Text(5))
+	r.is.Equal(collect(kept.Recv).text, standin.Text(5))
 	r.is.Equal(r.engine.Cancelled(), 0)
-	r.idle()
+	r.waitUntilIdle()
 }
 
-// cut runs an attempt and cuts its connection once it is under way.
-func (r *rig) cut(head *wire.RunHead, body string, begun func() bool) {
+// runAndDisconnect starts an attempt and closes its connection once started returns true.
+func (r *rig) runAndDisconnect(head *wire.RunHead, body string, started func() bool) {
 	r.t.Helper()
 	ctx, cancel := context.WithCancel(r.t.Context())
-	answered := r.begin(ctx, head, body)
-	r.eventually("run begun", begun)
+	answer := r.runAsync(ctx, head, body)
+	r.eventually("run started", started)
 	cancel()
-	<-answered
+	<-answer
 }
 
-// An entry vanishes in the middle of a call that charges a fee. The fee is
-// charged, so the step must be billed, and the answer be there for the retry.
+// An entry disconnects in the middle of a call that charges a fee. The fee is charged, so the
+// step must be billed and the answer must be retained for the retry.
 func TestCallOfDisconnectedEntryIsBilled(t *testing.T) {
 	r := newPlainRig(t)
 	orphans := make(chan *wire.Bill, 1)
 	r.e.orphan = func(b *wire.Bill) { orphans <- b }
 	r.plain.SetFaults(standin.PlainFaults{Stall: true})
-	head := r.call("r1", "POST", "fees")
+	head := r.serviceHead("r1", "POST", "fees")
 	head.IdempotencyKey = "k"
-	r.cut(head, "fee", func() bool { return r.plain.Calls("POST", "/fees") == 1 })
+	r.runAndDisconnect(head, "fee", func() bool { return r.plain.Calls("POST", "/fees") == 1 })
 	r.plain.SetFaults(standin.PlainFaults{})
 	r.eventually("step billed", func() bool { return len(orphans) == 1 })
 	b := <-orphans
@@ -77,17 +77,18 @@
 	r.is.Equal(b.GetSteps()[0].GetCost(), int64(5))
 	kept, err := r.gate().Kept(t.Context(), &wire.KeptRequest{Request: "r1", Organisation: "desk"})
 	r.is.NoErr(err)
-	r.is.Equal(take(kept.Recv).data, "POST /fees\nfee")
-	r.idle()
+	r.is.Equal(collect(kept.Recv).data, "POST /fees\nfee")
+	r.waitUntilIdle()
 }
 
-// An entry that took the last piece has billed the step; the endpoint must not.
+// An entry that received the last piece has billed the step, so the endpoint must not bill it
+// again.
 func TestDeliveredAnswerIsNotBilledTwice(t *testing.T) {
 	r := newPlainRig(t)
 	orphaned := false
 	r.e.orphan = func(*wire.Bill) { orphaned = true }
-	r.is.Equal(r.run(t.Context(), r.call("r1", "POST", "fees"), "fee").data, "POST /fees\nfee")
-	r.idle()
+	r.is.Equal(r.run(t.Context(), r.serviceHead("r1", "POST", "fees"), "fee").data, "POST /fees\nfee")
+	r.waitUntilIdle()
 	r.is.True(!orphaned)
 }
 
@@ -101,77 +102,75 @@
 	return out
 }
 
-// A caller's second try asks the endpoint to refuse the first attempt, which is
-// still on its way, and tells its caller "not run". When the first attempt
-// arrives after all it must not run.
+// The caller's retry makes the endpoint refuse the first attempt, which is still in transit,
+// and the caller is told that it did not run. The attempt must not run when it arrives later.
 func TestRefusalBeforeAttemptPreventsRun(t *testing.T) {
 	r := newPlainRig(t)
-	head := r.call("r1", "POST", "fees")
+	head := r.serviceHead("r1", "POST", "fees")
 	head.ClaimStream = "claims-0"
 	epoch := r.e.load().GetEpoch()
 	r.is.Equal(r.refuse(head, epoch).GetRun(), wire.RunState_RUN_NOT_RUN)
-	r.refused(r.run(t.Context(), head, "fee"), refusal.Tombstoned, refusal.NotRun)
+	r.expectRefusal(r.run(t.Context(), head, "fee"), refusal.Tombstoned, refusal.NotRun)
 	r.is.Equal(r.plain.Calls("POST", "/fees"), 0)
 }
 
-// An attempt ran, and its endpoint is asked to refuse it. Saying "not run" would
-// charge a fee twice.
+// An endpoint is asked to refuse an attempt that already ran. If it reported not-run, the fee
+// would be charged twice.
 func TestRefusalAfterRunReportsRan(t *testing.T) {
 	r := newPlainRig(t)
-	head := r.call("r1", "POST", "fees")
+	head := r.serviceHead("r1", "POST", "fees")
 	head.ClaimStream = "claims-0"
 	r.is.NoErr(r.run(t.Context(), head, "fee").err)
 	out := r.refuse(head, r.e.load().GetEpoch())
 	r.is.Equal(out.GetRun(), wire.RunState_RUN_RAN)
 	r.is.True(out.GetKept())
-	r.refused(r.run(t.Context(), head, "fee"), refusal.AlreadyRan, refusal.Ran)
+	r.expectRefusal(r.run(t.Context(), head, "fee"), refusal.AlreadyRan, refusal.Ran)
 	r.is.Equal(r.plain.Calls("POST", "/fees"), 1)
 }
 
-// The endpoint's process restarted since the attempt was sent and remembers
-// nothing. It may not say "not run" of what its predecessor did, nor run an
-// attempt that its predecessor refused.
+// The endpoint restarted after the attempt was sent and lost its record of attempts. It must
+// not report not-run for what the previous process did, nor run an attempt that the previous
+// process refused.
 func TestRestartedEndpointReportsUnknown(t *testing.T) {
 	r := newPlainRig(t)
-	head := r.call("r1", "POST", "fees")
+	head := r.serviceHead("r1", "POST", "fees")
 	head.ClaimStream = "claims-0"
 	head.GateEpoch = r.e.load().GetEpoch() + 1
 	r.is.Equal(r.refuse(head, head.GetGateEpoch()).GetRun(), wire.RunState_RUN_UNKNOWN)
-	r.refused(r.run(t.Context(), head, "fee"), refusal.Restarted, refusal.NotRun)
+	r.expectRefusal(r.run(t.Context(), head, "fee"), refusal.Restarted, refusal.NotRun)
 	r.is.Equal(r.plain.Calls("POST", "/fees"), 0)
 }
 
-// A service takes a call on a connection used before and closes it without an
-// answer. HTTP clients like to send such calls again by themselves; a call that
-// may not be repeated would then run twice.
+// A service accepts a call on a reused connection and closes it without a response. HTTP
+// clients resend such calls automatically, which would run a non-repeatable call twice.
 func TestPlainCallIsSentOnce(t *testing.T) {
 	r := newPlainRig(t)
 	for _, method := range []string{"GET", "POST"} {
 		r.plain.SetFaults(standin.PlainFaults{})
-		r.is.NoErr(r.run(t.Context(), r.call("warm-"+method, method, "warm"), "").err)
+		r.is.NoErr(r.run(t.Context(), r.serviceHead("warm-"+method, method, "warm"), "").err)
 		r.plain.SetFaults(standin.PlainFaults{Vanish: true})
-		head := r.call("r-"+method, method, "fees")
+		head := r.serviceHead("r-"+method, method, "fees")
 		head.Headers = []*wire.Header{{Name: "Idempotency-Key", Value: "k"}}
-		r.refused(r.run(t.Context(), head, ""), refusal.EngineFailed, refusal.Unknown)
+		r.expectRefusal(r.run(t.Context(), head, ""), refusal.EngineFailed, refusal.Unknown)
 		r.is.Equal(r.plain.Calls(method, "/fees"), 1)
 	}
-	r.idle()
+	r.waitUntilIdle()
 }
 
-// A service breaks off in the middle of its answer: the call ran, and its fee is
+// A service breaks the connection in the middle of its answer: the call ran, so its fee is
 // due.
 func TestInterruptedPlainAnswerIsBilled(t *testing.T) {
 	r := newPlainRig(t)
 	r.plain.SetFaults(standin.PlainFaults{BreakAfter: 4})
-	g := r.run(t.Context(), r.call("r1", "PUT", "fees"), "long body")
-	r.refused(g, refusal.EngineFailed, refusal.Ran)
+	g := r.run(t.Context(), r.serviceHead("r1", "PUT", "fees"), "long body")
+	r.expectRefusal(g, refusal.EngineFailed, refusal.Ran)
 	r.is.True(strings.HasPrefix(g.data, "PUT /fees\nlong"))
 	r.is.Equal(g.last.GetStep().GetCost(), int64(5))
 	r.is.True(!g.last.GetStep().GetWhole())
 }
 
-// Nothing listens where the service should be. No byte of the call left, so "not
-// run" is true.
+// No process listens at the service's address. No byte of the call was sent, so it is
+// reported as not run.
 func TestPlainServiceUnreachable(t *testing.T) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -181,29 +180,29 @@
 	_ = lis.Close()
 	r := newPlainRig(t)
 	r.e.plain.CloseIdleConnections()
-	s := r.rigAt(url)
-	s.refused(s.run(t.Context(), s.call("r1", "POST", "fees"), "fee"), refusal.EngineUnreachable, refusal.NotRun)
+	other := r.plainRigAt(url)
+	other.expectRefusal(other.run(t.Context(), other.serviceHead("r1", "POST", "fees"), "fee"), refusal.EngineUnreachable, refusal.NotRun)
 }
 
-func (r *rig) rigAt(url string) *rig {
-	s := &rig{t: r.t, is: r.is, peers: r.peers}
-	s.start(url, true)
-	return s
+func (r *rig) plainRigAt(url string) *rig {
+	other := &rig{t: r.t, is: r.is, peers: r.peers}
+	other.start(url, true)
+	return other
 }
 
-// A second SIGTERM cuts off what is held: the caller is told that it ran.
+// A second SIGTERM cancels running attempts. The caller must be told that its request ran.
 func TestAbortReportsRan(t *testing.T) {
 	r := newRig(t, 3)
 	r.engine.SetFaults(standin.EngineFaults{Stall: true})
-	answered := r.begin(t.Context(), r.head("r1"), chatBody)
-	r.eventually("run begun", func() bool { return r.engine.Running() == 1 })
+	answer := r.runAsync(t.Context(), r.head("r1"), chatBody)
+	r.eventually("run started", func() bool { return r.engine.Running() == 1 })
 	r.e.Abort()
-	r.refused(<-answered, refusal.Leaving, refusal.Ran)
-	r.idle()
+	r.expectRefusal(<-answer, refusal.Leaving, refusal.Ran)
+	r.waitUntilIdle()
 }
 
-// A model calls a tool in the middle of its answer. The delta passes through as
-// the engine wrote it.
+// A model calls a tool in the middle of its answer. The delta must be passed through
+// unchanged.
 func TestToolCallPassesThrough(t *testing.T) {
 	r := newRig(t, 3)
 	r.engine.SetFaults(standin.EngineFaults{ToolCall: true})
@@ -214,8 +213,8 @@
 	r.is.Equal(g.last.GetTotalPieces(), uint32(g.pieces))
 }
 
-// An engine goes on after the tokens that an earlier attempt delivered. The bill
-// counts the answer as one.
+// An engine resumes after the tokens that an earlier attempt delivered. The bill must count
+// the tokens of the complete answer.
 func TestResumedRun(t *testing.T) {
 	r := newRig(t, 5)
 	head := r.head("r1")
@@ -226,19 +225,19 @@
 	r.is.Equal(g.last.GetStep().GetUsage().GetOutputTokens(), int64(5))
 }
 
-// An engine refuses a request for its content. Other engines would do the same,
-// so the caller gets the engine's word and nothing is tried again.
+// An engine rejects a request for its content. Other engines would reject it as well, so the
+// caller gets the engine's message and the request is not retried.
 func TestEngineRejectsRequest(t *testing.T) {
 	r := newRig(t, 5)
 	r.engine.SetFaults(standin.EngineFaults{Reject: true})
 	g := r.run(t.Context(), r.head("r1"), chatBody)
-	r.refused(g, refusal.Malformed, refusal.NotRun)
+	r.expectRefusal(g, refusal.Malformed, refusal.NotRun)
 	r.is.True(strings.Contains(g.refusal.Message(), "takes no such request"))
 }
 
-// A keyed chat is refused while the endpoint is full, and its engine breaks on the
-// caller's second try. Each retry makes the same attempt, so an endpoint that
-// remembered the failures as final would refuse that key for good.
+// A chat with an idempotency key is refused while the endpoint is full, and its engine fails
+// on the caller's retry. Every retry makes the same attempt, so an endpoint that recorded
+// these failures as final would refuse the key permanently.
 func TestKeyedChatCanBeRetriedAfterFailures(t *testing.T) {
 	r := newRig(t, 3)
 	head := r.head("keyed")
@@ -246,20 +245,20 @@
 	r.patch("[tables.pools.small]\nversions = [\"small@1\"]\ncold-window = 1\nfull-window = 1\nqueue = 1\nqueue-wait = \"1ms\"\n")
 	head.Revision = 1
 	r.engine.SetFaults(standin.EngineFaults{Stall: true})
-	first := r.begin(r.t.Context(), r.head("other"), chatBody)
-	r.eventually("place held", func() bool { return r.engine.Running() == 1 })
-	r.refused(r.run(r.t.Context(), head, chatBody), refusal.Saturated, refusal.NotRun)
+	first := r.runAsync(r.t.Context(), r.head("other"), chatBody)
+	r.eventually("slot in use", func() bool { return r.engine.Running() == 1 })
+	r.expectRefusal(r.run(r.t.Context(), head, chatBody), refusal.Saturated, refusal.NotRun)
 	r.engine.SetFaults(standin.EngineFaults{})
 	r.is.Equal((<-first).text, standin.Text(3))
 	r.engine.SetFaults(standin.EngineFaults{BreakAfter: 2})
 	r.is.True(r.run(r.t.Context(), head, chatBody).refusal != nil)
 	r.engine.SetFaults(standin.EngineFaults{})
-	follow, err := r.gate().Kept(r.t.Context(), &wire.KeptRequest{Request: "keyed", Organisation: "desk"})
+	retained, err := r.gate().Kept(r.t.Context(), &wire.KeptRequest{Request: "keyed", Organisation: "desk"})
 	r.is.NoErr(err)
-	r.is.Equal(take(follow.Recv).refusal.Code(), refusal.NotKept) // half an answer is none
+	r.is.Equal(collect(retained.Recv).refusal.Code(), refusal.NotKept) // an incomplete answer is not retained
 	g := r.run(r.t.Context(), head, chatBody)
 	r.is.True(g.refusal == nil)
 	r.is.Equal(g.text, standin.Text(3))
 	again := r.run(r.t.Context(), head, chatBody)
-	r.refused(again, refusal.AlreadyRan, refusal.Ran) // whole now, and kept
+	r.expectRefusal(again, refusal.AlreadyRan, refusal.Ran) // now complete and retained
 }
