--- a/gate/gate.go
+++ b/gate/gate.go
@@ -1,6 +1,6 @@
-// Package gate admits work to one endpoint: a window that opens small and grows
-// on good service, and a short queue in front of it, shared fairly. It reads no
-// clock: instants come from the caller.
+// Package gate admits requests to one endpoint: through an admission window that starts small
+// and grows on good service, and a short queue in front of it that organisations share
+// fairly. It reads no clock; callers pass the time.
 package gate
 
 import (
@@ -11,58 +11,58 @@
 )
 
 const (
-	// holdSmoothing is the weight of a new span in the usual span of a place.
+	// holdSmoothing is the weight of a new sample in the mean time for which a slot is held.
 	holdSmoothing = 0.1
 	minRetry      = 50 * clock.Millis(1)
 	maxRetry      = 30 * clock.Second
 )
 
-// Limits are the tables' bounds of an endpoint.
+// Limits are the bounds that the tables set for an endpoint.
 type Limits struct {
-	// Cold is the window of an endpoint in cold start, Full that of a warm one.
+	// Cold is the window size of an endpoint in cold start, Full that of a warm one.
 	Cold int
 	Full int
-	// Queue bounds the requests that wait for a place.
+	// Queue bounds the number of requests that wait for a slot.
 	Queue int
 }
 
-// Load is the gate's own view of its endpoint.
+// Load is the state of a gate: the numbers of admitted and waiting requests, and its window.
 type Load struct {
 	Held    int
 	Window  int
 	Waiting int
 	// Cold is true while the window is not fully open.
 	Cold bool
-	// Closed counts how often the window was closed.
+	// Closed is the number of times the window was reset to its cold size.
 	Closed int
 }
 
-// Gate is safe for use by many goroutines.
+// Gate is the admission control of one endpoint. It is safe for concurrent use.
 type Gate struct {
 	mu     sync.Mutex
 	limits Limits
 	window window
 	queue  queue
-	// held lists the admitted tickets; they exceed the window only after it was
-	// closed or shrunk, and then nothing is admitted until they fit.
+	// held lists the admitted tickets. They exceed the window only after it was closed or
+	// shrunk; nothing is admitted then until they fit.
 	held []*Ticket
-	// byOrganisation counts held places; an organisation without one has no
-	// entry, so that the window bounds the map.
+	// byOrganisation counts the slots in use. An organisation without one has no entry, so
+	// the window bounds the size of the map.
 	byOrganisation map[string]int
-	// generation is the engine's, 0 until it is known.
+	// generation is the engine's generation; 0 while it is unknown.
 	generation uint64
-	// span is the smoothed span for which a place is held.
-	span float64
+	// meanHold is the smoothed time in milliseconds for which a slot is held.
+	meanHold float64
 }
 
-// New makes the gate of an endpoint in cold start.
+// New creates the gate of an endpoint in cold start.
 func New(l Limits) *Gate {
 	g := &Gate{byOrganisation: make(map[string]int), limits: l}
-	g.window.bound(l.Cold, l.Full)
+	g.window.setBounds(l.Cold, l.Full)
 	return g
 }
 
-// SetLimits takes new limits from the tables without forgetting what was learned.
+// SetLimits applies new limits from the tables and keeps what was learned.
 func (g *Gate) SetLimits(l Limits) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -70,33 +70,34 @@
 		return
 	}
 	g.limits = l
-	g.window.bound(l.Cold, l.Full)
+	g.window.setBounds(l.Cold, l.Full)
 }
 
-// Submit admits a request, lets it wait or refuses it at once.
+// Submit admits a request, queues it or refuses it at once. If the queue is full, it refuses
+// this request or one that already waits.
 func (g *Gate) Submit(now clock.Millis, r Request) (t *Ticket) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	t = &Ticket{request: r, decided: make(chan struct{})}
 	g.queue.add(t)
-	g.fill(now)
+	g.admitWaiting(now)
 	if t.state == Waiting && len(g.queue.waiting) > g.limits.Queue {
-		worst := g.queue.last(g.heldBy)
-		g.queue.remove(worst)
-		worst.decide(Refused)
+		evicted := g.queue.evictionCandidate(g.heldBy)
+		g.queue.remove(evicted)
+		evicted.decide(Refused)
 	}
 	return t
 }
 
-// State returns where a ticket stands.
+// State returns the state of a ticket.
 func (g *Gate) State(t *Ticket) State {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return t.state
 }
 
-// Withdraw ends a ticket's wait, for its patience or its caller is gone. It
-// reports false when the ticket no longer waits.
+// Withdraw ends a ticket's wait, because it timed out or its caller disconnected. It returns
+// false if the ticket is no longer waiting.
 func (g *Gate) Withdraw(t *Ticket) (ok bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -108,38 +109,38 @@
 	return true
 }
 
-// RecordFirstToken tells that an admitted request got its first token.
+// RecordFirstToken records that an admitted request has produced its first token.
 func (g *Gate) RecordFirstToken(now clock.Millis, t *Ticket) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if t.state != Admitted || t.first {
+	if t.state != Admitted || t.hasFirstToken {
 		return
 	}
-	t.first = true
-	if t.overdue {
+	t.hasFirstToken = true
+	if t.excluded {
 		return
 	}
 	var closed bool
-	t.calm, closed = g.window.firstToken(t.request.Bytes, now-t.admitted)
+	t.onTime, closed = g.window.recordFirstToken(t.request.Bytes, now-t.admitted)
 	if closed {
-		g.forget()
+		g.excludeHeld()
 	}
 }
 
-// forget keeps requests admitted before the window closed from being judged:
-// their times belong to a window that was too wide.
-func (g *Gate) forget() {
+// excludeHeld ignores the first-token times of requests admitted before the window closed:
+// they belong to a window that was too large.
+func (g *Gate) excludeHeld() {
 	for _, t := range g.held {
-		t.overdue = true
+		t.excluded = true
 	}
 }
 
-func (g *Gate) close() {
+func (g *Gate) closeWindow() {
 	g.window.close()
-	g.forget()
+	g.excludeHeld()
 }
 
-// Finish gives an admitted ticket's place back. Finishing twice has no effect.
+// Finish releases the slot of an admitted ticket. Finishing twice has no effect.
 func (g *Gate) Finish(now clock.Millis, t *Ticket, o Outcome) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -148,87 +149,89 @@
 	}
 	t.state = Finished
 	g.held = slices.DeleteFunc(g.held, func(o *Ticket) bool { return o == t })
-	g.release(t.request.Organisation)
+	g.releaseSlot(t.request.Organisation)
 	switch o {
 	case Served:
-		g.span += holdSmoothing * (float64(now-t.admitted) - g.span)
-		if t.calm && t.pressed {
+		g.meanHold += holdSmoothing * (float64(now-t.admitted) - g.meanHold)
+		if t.onTime && t.windowBusy {
 			g.window.grow()
 		}
 	case Failed:
 		g.window.shrink()
 	case Unreachable:
-		g.close()
+		g.closeWindow()
 	}
-	g.fill(now)
+	g.admitWaiting(now)
 }
 
-// SetGeneration takes in the engine's generation. Another one than before is a
-// restarted engine: its caches and compiled state are gone, so it is cold.
+// SetGeneration records the engine's generation. A changed generation means that the engine
+// has restarted: its caches and compiled state are lost, so it is cold and the window is
+// closed.
 func (g *Gate) SetGeneration(generation uint64) (closed bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	closed = g.generation != 0 && generation != g.generation
 	g.generation = generation
 	if closed {
-		g.close()
+		g.closeWindow()
 	}
 	return closed
 }
 
-// CloseWindow shuts the window down to its cold size.
+// CloseWindow resets the window to its cold size.
 func (g *Gate) CloseWindow() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.close()
+	g.closeWindow()
 }
 
-// Tick looks for requests that wait for their first token far longer than is
-// usual. An endpoint that has stalled sends no first token whose time could be
-// measured, so waiting for one would notice too late.
+// Tick checks for requests whose first token takes far longer than is typical. A stalled
+// endpoint produces no first token whose time could be measured, so waiting for one would
+// detect the stall too late.
 func (g *Gate) Tick(now clock.Millis) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, t := range g.held {
-		if t.first || t.overdue || !g.window.jumped(t.request.Bytes, now-t.admitted) {
+		if t.hasFirstToken || t.excluded || !g.window.isSpike(t.request.Bytes, now-t.admitted) {
 			continue
 		}
-		t.overdue = true
-		if g.window.vote() {
-			g.forget()
+		t.excluded = true
+		if g.window.recordSpike() {
+			g.excludeHeld()
 		}
 	}
-	g.fill(now)
+	g.admitWaiting(now)
 }
 
-// RetryAfter estimates when a refused caller finds a place.
+// RetryAfter estimates the time until a slot is free for a refused caller. It is between 50 ms
+// and 30 s.
 func (g *Gate) RetryAfter() clock.Millis {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	ahead := float64(len(g.queue.waiting) + 1)
-	span := clock.Millis(g.span * ahead / float64(max(g.window.places(), 1)))
-	return min(max(span, minRetry), maxRetry)
+	wait := clock.Millis(g.meanHold * ahead / float64(max(g.window.slots(), 1)))
+	return min(max(wait, minRetry), maxRetry)
 }
 
-// Load returns the gate's view of its endpoint.
+// Load returns the current state of the gate.
 func (g *Gate) Load() Load {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return Load{
-		Held: len(g.held), Window: g.window.places(), Waiting: len(g.queue.waiting),
+		Held: len(g.held), Window: g.window.slots(), Waiting: len(g.queue.waiting),
 		Cold: g.window.isCold(), Closed: g.window.closed,
 	}
 }
 
-func (g *Gate) fill(now clock.Millis) {
-	for len(g.held) < g.window.places() {
+func (g *Gate) admitWaiting(now clock.Millis) {
+	for len(g.held) < g.window.slots() {
 		t := g.queue.next(g.heldBy)
 		if t == nil {
 			return
 		}
 		g.queue.remove(t)
 		t.admitted = now
-		t.pressed = 2*(len(g.held)+1) >= g.window.places()
+		t.windowBusy = 2*(len(g.held)+1) >= g.window.slots()
 		g.held = append(g.held, t)
 		g.byOrganisation[t.request.Organisation]++
 		t.decide(Admitted)
@@ -237,7 +240,7 @@
 
 func (g *Gate) heldBy(organisation string) int { return g.byOrganisation[organisation] }
 
-func (g *Gate) release(organisation string) {
+func (g *Gate) releaseSlot(organisation string) {
 	g.byOrganisation[organisation]--
 	if g.byOrganisation[organisation] == 0 {
 		delete(g.byOrganisation, organisation)
--- a/gate/gate_test.go
+++ b/gate/gate_test.go
@@ -8,9 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-// A small office gets no answers while a large one keeps the endpoint busy: the
-// large one's requests stand before it in the queue whenever a place comes free.
-// Places go to whoever holds least for its weight, so the small one is next.
+// A small organisation gets no slots while a large one keeps the endpoint busy, because the
+// large one's requests are ahead of it in the queue. Slots go to the organisation that uses
+// the fewest for its weight, so the small one must be next.
 func TestLargeOrganisationCannotStarveSmallOne(t *testing.T) {
 	is := is.New(t)
 	g := New(Limits{Cold: 2, Full: 2, Queue: 4})
@@ -21,14 +21,14 @@
 		g.Submit(0, large)
 	}
 	small := g.Submit(1, Request{Organisation: "small", Weight: 1})
-	is.Equal(g.State(small), Waiting) // a full queue turns away the one that asks most
+	is.Equal(g.State(small), Waiting) // the request of the largest organisation was refused
 	is.Equal(g.Load().Waiting, 4)
 	g.Finish(2, first, Served)
 	is.Equal(g.State(small), Admitted)
 }
 
-// A high-priority bulletin is refused while low-priority drafts wait in the full
-// queue. The queue turns away the lowest priority first.
+// A high-priority request is refused while low-priority ones wait in a full queue. The queue
+// must refuse the lowest priority first.
 func TestFullQueueRefusesLowestPriority(t *testing.T) {
 	is := is.New(t)
 	g := New(Limits{Cold: 1, Full: 1, Queue: 1})
@@ -40,8 +40,8 @@
 	is.Equal(g.State(high), Admitted)
 }
 
-// An engine stalls and sends nothing more, so no first-token time tells that it
-// turned cold. Requests that wait four times the usual time close the window.
+// An engine stalls and produces no more tokens, so no first-token time shows that it turned
+// cold. Requests that wait more than four times the typical time must close the window.
 func TestStalledEngineClosesWindow(t *testing.T) {
 	is := is.New(t)
 	g := New(Limits{Cold: 1, Full: 8})
@@ -65,8 +65,8 @@
 	is.Equal(g.Load().Window, 1)
 }
 
-// An idle endpoint that serves one request at a time has not shown that it can
-// bear more, so its window stays where it is.
+// An endpoint that serves one request at a time has not shown that it has capacity for more,
+// so its window must not grow.
 func TestLightLoadDoesNotOpenWindow(t *testing.T) {
 	is := is.New(t)
 	g := New(Limits{Cold: 4, Full: 32})
@@ -78,8 +78,8 @@
 	is.Equal(g.Load().Window, 4)
 }
 
-// Whatever happens in whatever order, an endpoint is given no more than its
-// window, no place is lost, and every wait ends.
+// In any order of events, an endpoint must get no more requests than its window admits, no
+// slot may leak, and every wait must end.
 func TestGateInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cold := rapid.IntRange(1, 4).Draw(t, "cold")
@@ -87,7 +87,7 @@
 		g := New(l)
 		now := clock.Millis(0)
 		var tickets []*Ticket
-		pick := func(t *rapid.T) *Ticket {
+		anyTicket := func(t *rapid.T) *Ticket {
 			if len(tickets) == 0 {
 				t.Skip()
 			}
@@ -105,9 +105,9 @@
 					t.Fatal("admitted beyond the window")
 				}
 			},
-			"first":      func(t *rapid.T) { g.RecordFirstToken(now, pick(t)) },
-			"finish":     func(t *rapid.T) { g.Finish(now, pick(t), Outcome(rapid.IntRange(0, 3).Draw(t, "outcome"))) },
-			"withdraw":   func(t *rapid.T) { g.Withdraw(pick(t)) },
+			"first":      func(t *rapid.T) { g.RecordFirstToken(now, anyTicket(t)) },
+			"finish":     func(t *rapid.T) { g.Finish(now, anyTicket(t), Outcome(rapid.IntRange(0, 3).Draw(t, "outcome"))) },
+			"withdraw":   func(t *rapid.T) { g.Withdraw(anyTicket(t)) },
 			"generation": func(t *rapid.T) { g.SetGeneration(rapid.Uint64Range(1, 3).Draw(t, "generation")) },
 			"time":       func(t *rapid.T) { now += clock.Millis(rapid.IntRange(1, 1000).Draw(t, "span")); g.Tick(now) },
 			"": func(t *rapid.T) {
@@ -134,13 +134,13 @@
 			g.Finish(now, x, Dropped)
 		}
 		if load := g.Load(); load.Held != 0 || len(g.byOrganisation) != 0 {
-			t.Fatalf("places lost: %+v %v", load, g.byOrganisation)
+			t.Fatalf("slots leaked: %+v %v", load, g.byOrganisation)
 		}
 	})
 }
 
-// BenchmarkAdmission measures one request's way through a busy gate: 64 places
-// held and 64 requests of eight organisations waiting.
+// BenchmarkAdmission measures the admission of one request at a busy gate: 64 slots in use
+// and 64 requests of eight organisations waiting.
 func BenchmarkAdmission(b *testing.B) {
 	g := New(Limits{Cold: 64, Full: 64, Queue: 64})
 	var held []*Ticket
--- a/gate/queue.go
+++ b/gate/queue.go
@@ -2,51 +2,52 @@
 
 import "slices"
 
-// queue holds the requests that wait for a place, in order of arrival. It is
-// bounded, so that scanning it costs little.
+// queue holds the requests that wait for a slot, in order of arrival. It is bounded, so
+// scanning it is cheap.
 type queue struct {
 	waiting []*Ticket
 }
 
-// next returns the ticket that gets the next place: of those with the highest
-// priority, the one whose organisation holds least for its weight, and among
-// equals the earliest. A large organisation that fills the queue cannot starve a
-// small one, because each place it gets puts it behind.
+// next returns the ticket that gets the next slot: of those with the highest priority, the
+// one whose organisation uses the fewest slots for its weight, and among equals the earliest.
+// A large organisation that fills the queue cannot starve a small one, because each slot it
+// gets lowers its rank.
 func (q *queue) next(held func(organisation string) int) (best *Ticket) {
 	for _, t := range q.waiting {
-		if best == nil || q.before(t, best, held) {
+		if best == nil || q.precedes(t, best, held) {
 			best = t
 		}
 	}
 	return best
 }
 
-func (q *queue) before(a, b *Ticket, held func(string) int) bool {
+func (q *queue) precedes(a, b *Ticket, held func(string) int) bool {
 	if a.request.Priority != b.request.Priority {
 		return a.request.Priority > b.request.Priority
 	}
-	return share(a, held) < share(b, held)
+	return weightedUse(a, held) < weightedUse(b, held)
 }
 
-// share is what an organisation would hold for its weight with one place more.
-func share(t *Ticket, held func(string) int) float64 {
+// weightedUse returns the number of slots that an organisation would use with one more,
+// divided by its weight.
+func weightedUse(t *Ticket, held func(string) int) float64 {
 	return float64(held(t.request.Organisation)+1) / float64(max(t.request.Weight, 1))
 }
 
-// last returns the ticket that goes when the queue is too long: of those with
-// the lowest priority, one of the organisation that asks most for its weight,
-// its latest first.
-func (q *queue) last(held func(organisation string) int) (worst *Ticket) {
-	asked := func(organisation string) int { return held(organisation) + q.of(organisation) }
+// evictionCandidate returns the ticket to refuse when the queue is too long: of those with
+// the lowest priority, the latest of the organisation with the most slots and waiting
+// requests for its weight.
+func (q *queue) evictionCandidate(held func(organisation string) int) (candidate *Ticket) {
+	requested := func(organisation string) int { return held(organisation) + q.countOf(organisation) }
 	for _, t := range q.waiting {
-		if worst == nil || !q.before(t, worst, asked) {
-			worst = t
+		if candidate == nil || !q.precedes(t, candidate, requested) {
+			candidate = t
 		}
 	}
-	return worst
+	return candidate
 }
 
-func (q *queue) of(organisation string) (n int) {
+func (q *queue) countOf(organisation string) (n int) {
 	for _, t := range q.waiting {
 		if t.request.Organisation == organisation {
 			n++
--- a/gate/ramp_test.go
+++ b/gate/ramp_test.go
@@ -10,64 +10,63 @@
 	"github.com/parsleydeal/parsleydeal/clock"
 )
 
-// rampEngine is a model of an engine in virtual time. It bears cold requests at
-// first; each request it serves lets it bear step more, up to full. Holding more
-// than it bears slows it down; taking one more beyond twice as much makes it
-// fall over.
+// rampEngine is a model of an engine in virtual time. At first its capacity is cold; each
+// request served adds step to it, up to full. Running more requests than its capacity slows
+// it down; one more than twice its capacity makes it crash.
 type rampEngine struct {
 	cold, full, step float64
-	bears            float64
+	capacity         float64
 	running          []*rampRun
 	downUntil        clock.Millis
 	generation       uint64
-	falls            int
-	worst            float64
+	crashes          int
+	peakLoad         float64
 }
 
 type rampRun struct {
-	ticket       *Ticket
-	first, whole float64
+	ticket          *Ticket
+	prefill, decode float64
 }
 
 const (
-	rampFirst  = 80
-	rampWhole  = 1500
-	rampPoll   = 1000
-	rampOutage = 5000
-	fallAt     = 2
+	prefillMillis = 80
+	decodeMillis  = 1500
+	pollMillis    = 1000
+	outageMillis  = 5000
+	crashLoad     = 2
 )
 
-// advance runs the engine for one millisecond and reports tickets to the gate.
+// advance runs the engine for one millisecond and reports first tokens and ends to the gate.
 func (e *rampEngine) advance(now clock.Millis, g *Gate) (served int) {
-	over := float64(len(e.running)) / e.bears
-	pace := 1 / max(1, over*over)
-	slow := 1 + 3*(1-e.bears/e.full)
-	kept := e.running[:0]
+	utilisation := float64(len(e.running)) / e.capacity
+	speed := 1 / max(1, utilisation*utilisation)
+	coldFactor := 1 + 3*(1-e.capacity/e.full)
+	remaining := e.running[:0]
 	for _, r := range e.running {
-		if r.first > 0 {
-			r.first -= pace / slow
-			if r.first <= 0 {
+		if r.prefill > 0 {
+			r.prefill -= speed / coldFactor
+			if r.prefill <= 0 {
 				g.RecordFirstToken(now, r.ticket)
 			}
-		} else if r.whole -= pace; r.whole <= 0 {
+		} else if r.decode -= speed; r.decode <= 0 {
 			g.Finish(now, r.ticket, Served)
-			e.bears = min(e.bears+e.step, e.full)
+			e.capacity = min(e.capacity+e.step, e.full)
 			served++
 			continue
 		}
-		kept = append(kept, r)
+		remaining = append(remaining, r)
 	}
-	e.running = kept
+	e.running = remaining
 	return served
 }
 
-// take starts a request; one too many makes the engine fall over.
-func (e *rampEngine) take(now clock.Millis, g *Gate, t *Ticket) {
-	e.running = append(e.running, &rampRun{ticket: t, first: rampFirst, whole: rampWhole})
-	over := float64(len(e.running)) / e.bears
-	e.worst = max(e.worst, over)
-	if over > fallAt {
-		e.falls++
+// start starts a request; one too many makes the engine crash.
+func (e *rampEngine) start(now clock.Millis, g *Gate, t *Ticket) {
+	e.running = append(e.running, &rampRun{ticket: t, prefill: prefillMillis, decode: decodeMillis})
+	utilisation := float64(len(e.running)) / e.capacity
+	e.peakLoad = max(e.peakLoad, utilisation)
+	if utilisation > crashLoad {
+		e.crashes++
 		e.restart(now, g)
 	}
 }
@@ -77,28 +76,29 @@
 		g.Finish(now, r.ticket, Failed)
 	}
 	e.running = nil
-	e.bears = e.cold
-	e.downUntil = now + rampOutage
+	e.capacity = e.cold
+	e.downUntil = now + outageMillis
 	e.generation++
 }
 
-// ramp is one run of a pool in virtual time, fed by an open loop of requests.
+// ramp is one run of a pool in virtual time. Requests arrive in an open loop.
 type ramp struct {
-	rng             *rand.Rand
-	engines         []*rampEngine
-	gates           []*Gate
-	waits           []rampWait
-	arrived, served int
-	refused, broken int
-	// fullAt is when the pool first served at nine tenths of its full rate.
+	rng                  *rand.Rand
+	engines              []*rampEngine
+	gates                []*Gate
+	waits                []rampWait
+	arrived, served      int
+	refused, unreachable int
+	// fullAt is the time until the pool first served nine tenths of the offered rate; -1 if
+	// it did not.
 	fullAt clock.Millis
 	recent []int
 }
 
 type rampWait struct {
-	ticket *Ticket
-	at     int
-	since  clock.Millis
+	ticket   *Ticket
+	endpoint int
+	start    clock.Millis
 }
 
 func newRamp(endpoints, cold, full, fixed int, step float64) *ramp {
@@ -108,13 +108,13 @@
 		l = Limits{Cold: fixed, Full: fixed, Queue: full}
 	}
 	for range endpoints {
-		r.engines = append(r.engines, &rampEngine{cold: float64(cold), full: float64(full), step: step, bears: float64(cold), generation: 1})
+		r.engines = append(r.engines, &rampEngine{cold: float64(cold), full: float64(full), step: step, capacity: float64(cold), generation: 1})
 		r.gates = append(r.gates, New(l))
 	}
 	return r
 }
 
-// arrive tries up to three endpoints, as an entry does.
+// arrive submits a request to up to three endpoints, as an entry does.
 func (r *ramp) arrive(now clock.Millis) {
 	r.arrived++
 	from := r.rng.IntN(len(r.gates))
@@ -122,60 +122,60 @@
 		at := (from + try) % len(r.gates)
 		t := r.gates[at].Submit(now, Request{Organisation: "office", Weight: 1})
 		if r.gates[at].State(t) != Refused {
-			r.waits = append(r.waits, rampWait{ticket: t, at: at, since: now})
+			r.waits = append(r.waits, rampWait{ticket: t, endpoint: at, start: now})
 			return
 		}
 	}
 	r.refused++
 }
 
-// settle starts admitted requests and ends waits that took too long.
-func (r *ramp) settle(now clock.Millis) {
-	const patience = 250
-	kept := r.waits[:0]
+// startAdmitted starts admitted requests and ends waits that time out.
+func (r *ramp) startAdmitted(now clock.Millis) {
+	const queueTimeout = 250
+	remaining := r.waits[:0]
 	for _, w := range r.waits {
-		e, g := r.engines[w.at], r.gates[w.at]
+		e, g := r.engines[w.endpoint], r.gates[w.endpoint]
 		state := g.State(w.ticket)
 		switch {
-		case state == Waiting && now-w.since < patience:
-			kept = append(kept, w)
+		case state == Waiting && now-w.start < queueTimeout:
+			remaining = append(remaining, w)
 		case state != Admitted:
 			g.Withdraw(w.ticket)
 			r.refused++
 		case now < e.downUntil:
 			g.Finish(now, w.ticket, Unreachable)
-			r.broken++
+			r.unreachable++
 		default:
-			e.take(now, g, w.ticket)
+			e.start(now, g, w.ticket)
 		}
 	}
-	r.waits = kept
+	r.waits = remaining
 }
 
-// run offers the pool load times its full rate for a span. At turn every engine
-// turns cold; told says whether its generation changes too.
-func (r *ramp) run(span, turn clock.Millis, load float64, told bool) {
-	full := load * float64(len(r.engines)) * r.engines[0].full / (rampFirst + rampWhole)
+// run offers the pool load times its full rate for a duration. At coldAt all engines turn
+// cold; restarts says whether they also restart with a new generation.
+func (r *ramp) run(duration, coldAt clock.Millis, load float64, restarts bool) {
+	rate := load * float64(len(r.engines)) * r.engines[0].full / (prefillMillis + decodeMillis)
 	next := 0.0
-	for now := clock.Millis(1); now <= span; now++ {
-		if now == turn {
-			r.turnCold(now, told)
+	for now := clock.Millis(1); now <= duration; now++ {
+		if now == coldAt {
+			r.turnCold(now, restarts)
 		}
 		for next <= float64(now) {
 			r.arrive(now)
-			next += r.rng.ExpFloat64() / full
+			next += r.rng.ExpFloat64() / rate
 		}
-		r.settle(now)
-		r.measure(now, turn, full, r.advance(now))
+		r.startAdmitted(now)
+		r.recordServed(now, coldAt, rate, r.advance(now))
 	}
 }
 
-// turnCold restarts all engines, or lets them turn cold without a word.
-func (r *ramp) turnCold(now clock.Millis, told bool) {
+// turnCold makes all engines cold, with or without a restart.
+func (r *ramp) turnCold(now clock.Millis, restarts bool) {
 	for i, e := range r.engines {
-		e.worst = 0
-		e.bears = e.cold
-		if told {
+		e.peakLoad = 0
+		e.capacity = e.cold
+		if restarts {
 			e.restart(now, r.gates[i])
 		}
 	}
@@ -183,7 +183,7 @@
 
 func (r *ramp) advance(now clock.Millis) (served int) {
 	for i, e := range r.engines {
-		if now%rampPoll == 0 && now >= e.downUntil {
+		if now%pollMillis == 0 && now >= e.downUntil {
 			r.gates[i].SetGeneration(e.generation)
 		}
 		if now%100 == 0 {
@@ -194,9 +194,8 @@
 	return served
 }
 
-// measure notes when the pool serves at nine tenths of the offered rate over two
-// seconds.
-func (r *ramp) measure(now, turn clock.Millis, rate float64, served int) {
+// recordServed records when the pool serves nine tenths of the offered rate over two seconds.
+func (r *ramp) recordServed(now, coldAt clock.Millis, rate float64, served int) {
 	const width = 2000
 	r.served += served
 	r.recent = append(r.recent, served)
@@ -207,38 +206,38 @@
 	for _, n := range r.recent {
 		sum += n
 	}
-	if now >= turn+width && r.fullAt < 0 && float64(sum) >= 0.9*rate*width {
-		r.fullAt = now - turn
+	if now >= coldAt+width && r.fullAt < 0 && float64(sum) >= 0.9*rate*width {
+		r.fullAt = now - coldAt
 	}
 }
 
 func (r *ramp) report() string {
-	worst, falls := 0.0, 0
+	peakLoad, crashes := 0.0, 0
 	for _, e := range r.engines {
-		worst = max(worst, e.worst)
-		falls += e.falls
+		peakLoad = max(peakLoad, e.peakLoad)
+		crashes += e.crashes
 	}
 	return fmt.Sprintf("held at most %.2f of what it could bear, falls %d, full service after %d ms, served %d, refused %d, unreachable %d of %d",
-		worst, falls, r.fullAt, r.served, r.refused, r.broken, r.arrived)
+		peakLoad, crashes, r.fullAt, r.served, r.refused, r.unreachable, r.arrived)
 }
 
-// Operators see engines fall over when a pool turns cold under full load: the
-// load that a warm engine bears is too much for a cold one, it falls, restarts
-// cold and is given the full load again. The file compares the window with a
-// fixed limit over the same requests; its figures repeat to the digit.
+// Engines crash when a pool turns cold under full load: the load that a warm engine handles
+// is too much for a cold one, which crashes, restarts cold and gets the full load again. The
+// data file compares the window with fixed limits over the same requests; its numbers are
+// reproducible.
 func TestRamp(t *testing.T) {
 	datadriven.RunTest(t, "testdata/ramp", func(t *testing.T, d *datadriven.TestData) string {
-		var endpoints, cold, full, turn, fixed int
+		var endpoints, cold, full, coldAt, fixed int
 		var step, load float64
 		d.ScanArgs(t, "endpoints", &endpoints)
 		d.ScanArgs(t, "cold", &cold)
 		d.ScanArgs(t, "full", &full)
-		d.ScanArgs(t, "turn", &turn)
+		d.ScanArgs(t, "turn", &coldAt)
 		scanFloat(t, d, "step", &step)
 		scanFloat(t, d, "load", &load)
 		d.MaybeScanArgs(t, "at", &fixed)
 		r := newRamp(endpoints, cold, full, fixed, step)
-		r.run(60*clock.Second, clock.Millis(turn), load, d.HasArg("told"))
+		r.run(60*clock.Second, clock.Millis(coldAt), load, d.HasArg("told"))
 		return r.report() + "\n"
 	})
 }
--- a/gate/ticket.go
+++ b/gate/ticket.go
@@ -2,20 +2,21 @@
 
 import "github.com/parsleydeal/parsleydeal/clock"
 
-// Request is what the gate needs to know of a request.
+// Request describes a request to the gate.
 type Request struct {
 	Organisation string
 	// Weight is the organisation's fair share relative to others.
 	Weight   int
 	Priority int32
-	// Bytes is the size of the body, by which first-token times are compared.
+	// Bytes is the size of the body; first-token times are compared among bodies of similar
+	// size.
 	Bytes int
 }
 
-// State is where a request stands at the gate.
+// State is the state of a request at the gate.
 type State int
 
-// The states. Waiting becomes Admitted or Refused; Admitted becomes Finished.
+// The states of a request. Waiting becomes Admitted or Refused; Admitted becomes Finished.
 const (
 	Waiting State = iota
 	Admitted
@@ -26,16 +27,16 @@
 // Outcome says how an admitted request ended.
 type Outcome int
 
-// The outcomes.
+// The outcomes of admitted requests.
 const (
-	// Served requests got a whole answer.
+	// Served requests got a complete answer.
 	Served Outcome = iota
-	// Dropped requests ended through no fault of the endpoint: cancelled, or
-	// turned away before dispatch.
+	// Dropped requests ended through no fault of the endpoint: they were cancelled, or
+	// refused before dispatch.
 	Dropped
-	// Failed requests failed at the endpoint.
+	// Failed requests ended with an error at the endpoint.
 	Failed
-	// Unreachable means that the endpoint took no connection.
+	// Unreachable means that no connection to the endpoint could be made.
 	Unreachable
 )
 
@@ -46,18 +47,20 @@
 	// decided is closed when the state leaves Waiting.
 	decided  chan struct{}
 	admitted clock.Millis
-	// pressed is true when the window was at least half used at admission: only
-	// then does good service say that the endpoint could bear more.
-	pressed bool
-	// first is true once the first token came, calm when it came in usual time.
-	first bool
-	calm  bool
-	// overdue is true once the wait for the first token has been counted as a
-	// jump, so that no request votes twice.
-	overdue bool
+	// windowBusy is true if at least half of the window was in use at admission: only then
+	// does good service show that the endpoint has capacity for more.
+	windowBusy bool
+	// hasFirstToken is true once the first token was produced; onTime is true if it took no
+	// longer than is typical.
+	hasFirstToken bool
+	onTime        bool
+	// excluded is true once the first-token time no longer counts: the wait was already
+	// counted as a spike, and must not be counted twice, or the window closed after
+	// admission.
+	excluded bool
 }
 
-// Decided is closed when the ticket no longer waits.
+// Decided returns a channel that is closed when the ticket no longer waits.
 func (t *Ticket) Decided() <-chan struct{} { return t.decided }
 
 func (t *Ticket) decide(s State) {
--- a/gate/window.go
+++ b/gate/window.go
@@ -7,94 +7,96 @@
 )
 
 const (
-	// growth is by how much one request served well opens the window. A window
-	// in full use grows by this part of itself each round of requests.
-	growth = 0.5
-	// strain is how many times the usual first-token time stops the window from
-	// growing: the endpoint holds as much as it can bear for now.
-	strain = 1.5
-	// jump is how many times the usual first-token time counts as a sign that the
-	// endpoint has turned cold.
-	jump = 4
-	// jumpFloor is the first-token time below which nothing counts as a jump.
-	jumpFloor = 50 * clock.Millis(1)
-	// jumpVotes is how many signs in a row close the window. One long wait alone
-	// is as often the request's own fault.
-	jumpVotes = 3
-	// smoothing is the weight of a new first-token time in the usual one.
-	smoothing = 0.125
-	// sizeClasses bounds the classes of requests by body size, doubling from
-	// 1 KiB: a case history waits longer for its first token than a question.
+	// growthPerRequest is how many slots each request that is served well adds to the window.
+	// A fully used window thus grows by this ratio of its size per round of requests.
+	growthPerRequest = 0.5
+	// maxOnTimeRatio is the ratio to the typical first-token time above which the window does
+	// not grow: the endpoint is at its capacity for now.
+	maxOnTimeRatio = 1.5
+	// spikeRatio is the ratio to the typical first-token time above which a wait is a sign
+	// that the endpoint has turned cold.
+	spikeRatio = 4
+	// minSpike is the first-token time up to which nothing counts as a spike.
+	minSpike = 50 * clock.Millis(1)
+	// spikesToClose is the number of consecutive spikes that close the window. A single spike
+	// is as often caused by the request itself.
+	spikesToClose = 3
+	// firstTokenSmoothing is the weight of a new sample in the typical first-token time.
+	firstTokenSmoothing = 0.125
+	// sizeClasses bounds the number of classes of requests by body size, doubling from 1 KiB.
+	// Long prompts wait longer for their first token than short ones.
 	sizeClasses = 14
 )
 
-// window says how many requests an endpoint may hold. It opens small, grows on
-// good service and closes again on the signs of a cold start.
+// window is the number of requests that an endpoint may hold. It starts small, grows on good
+// service and closes on the signs of a cold start.
 type window struct {
-	// size stays between cold and full.
+	// size is in slots and stays between cold and full.
 	size float64
 	cold int
 	full int
-	// usual is the smoothed first-token time by size class; 0 is not known yet.
-	usual [sizeClasses]float64
-	// votes counts the jumps seen in a row.
-	votes int
+	// typical is the smoothed first-token time in milliseconds by size class; 0 while it is
+	// unknown.
+	typical [sizeClasses]float64
+	// spikes counts the consecutive spikes.
+	spikes int
 	// closed counts how often the window was closed.
 	closed int
 }
 
-func classOf(bytes int) int {
+func sizeClassOf(bytes int) int {
 	return min(bits.Len(uint(max(bytes, 0)>>10)), sizeClasses-1)
 }
 
-// bound takes new bounds without forgetting what was learned.
-func (w *window) bound(cold, full int) {
+// setBounds applies new bounds and keeps what was learned.
+func (w *window) setBounds(cold, full int) {
 	w.cold = cold
 	w.full = full
 	w.size = min(max(w.size, float64(cold)), float64(full))
 }
 
-func (w *window) places() int { return int(w.size) }
+func (w *window) slots() int { return int(w.size) }
 
 // isCold reports whether the window is not fully open.
-func (w *window) isCold() bool { return w.places() < w.full }
+func (w *window) isCold() bool { return w.slots() < w.full }
 
-// close returns the window to its cold size. What was usual before no longer
-// holds: a cold endpoint is slow, and must not be judged by its warm self.
+// close resets the window to its cold size. It discards the typical first-token times: a cold
+// endpoint is slow and must not be compared with its warm times.
 func (w *window) close() {
 	w.size = float64(w.cold)
-	w.usual = [sizeClasses]float64{}
-	w.votes = 0
+	w.typical = [sizeClasses]float64{}
+	w.spikes = 0
 	w.closed++
 }
 
-// firstToken takes in the span to a first token and reports whether the
-// endpoint was unstrained, and whether enough jumps in a row closed the window.
-func (w *window) firstToken(bytes int, span clock.Millis) (calm, closed bool) {
-	usual := &w.usual[classOf(bytes)]
-	if *usual == 0 {
-		*usual = max(float64(span), 1)
+// recordFirstToken records the delay of a first token in milliseconds. It reports whether the
+// token was on time, which means that the endpoint is below its capacity, and whether enough
+// consecutive spikes closed the window.
+func (w *window) recordFirstToken(bytes int, delay clock.Millis) (onTime, closed bool) {
+	typical := &w.typical[sizeClassOf(bytes)]
+	if *typical == 0 {
+		*typical = max(float64(delay), 1)
 		return true, false
 	}
-	if w.jumped(bytes, span) {
-		return false, w.vote()
+	if w.isSpike(bytes, delay) {
+		return false, w.recordSpike()
 	}
-	w.votes = 0
-	calm = float64(span) <= strain*(*usual)
-	*usual += smoothing * (float64(span) - *usual)
-	return calm, false
+	w.spikes = 0
+	onTime = float64(delay) <= maxOnTimeRatio*(*typical)
+	*typical += firstTokenSmoothing * (float64(delay) - *typical)
+	return onTime, false
 }
 
-// jumped reports whether a wait is so far above the usual one that it is a sign
-// of a cold start.
-func (w *window) jumped(bytes int, span clock.Millis) bool {
-	usual := w.usual[classOf(bytes)]
-	return usual > 0 && span > jumpFloor && float64(span) > jump*usual
+// isSpike reports whether a delay is so far above the typical one that it is a sign of a cold
+// start.
+func (w *window) isSpike(bytes int, delay clock.Millis) bool {
+	typical := w.typical[sizeClassOf(bytes)]
+	return typical > 0 && delay > minSpike && float64(delay) > spikeRatio*typical
 }
 
-func (w *window) vote() (closed bool) {
-	w.votes++
-	if w.votes < jumpVotes {
+func (w *window) recordSpike() (closed bool) {
+	w.spikes++
+	if w.spikes < spikesToClose {
 		return false
 	}
 	w.close()
@@ -102,10 +104,11 @@
 }
 
 func (w *window) grow() {
-	w.size = min(w.size+growth, float64(w.full))
+	w.size = min(w.size+growthPerRequest, float64(w.full))
 }
 
-// shrink halves the window after a failure, which says less than a jump.
+// shrink halves the window after a failure, which is weaker evidence of a cold start than a
+// spike.
 func (w *window) shrink() {
 	w.size = max(w.size/2, float64(w.cold))
 }
