--- a/entry/run.go
+++ b/entry/run.go
@@ -97,13 +97,13 @@
 	saturated := make(map[string]bool)
 	err = refusal.New(refusal.NoEndpoint, "no endpoint can take the request").WithRetryAfter(startingRetry)
 	for i := range maxAttempts {
-		vm, ok := choice.Endpoint(req.view, e.inflight, e.affinity, e.endpointQuery(req, avoid))
+		vm, ok := choice.SelectEndpoint(req.view, e.inflight, e.affinity, e.endpointQuery(req, avoid))
 		if !ok && len(saturated) > 0 {
 			// A saturated endpoint is tried again when no other is left: if one of two was full
 			// and the other then fell silent, the first has had seconds to free capacity.
 			maps.DeleteFunc(avoid, func(id string, _ bool) bool { return saturated[id] })
 			clear(saturated)
-			vm, ok = choice.Endpoint(req.view, e.inflight, e.affinity, e.endpointQuery(req, avoid))
+			vm, ok = choice.SelectEndpoint(req.view, e.inflight, e.affinity, e.endpointQuery(req, avoid))
 		}
 		if !ok || i > 0 && !e.mayRetry(err) {
 			e.node.Log().Info("No further attempt", "request", req.id, "attempts", req.attempts, "endpoint-left", ok, "error", logbook.Text(err))
@@ -132,7 +132,7 @@
 			e.node.Log().Info("Attempt did not answer", "request", req.id, "endpoint", vm.ID, "attempt", req.attempts, "version", req.version, "revision", req.view.Revision(), "error", logbook.Text(err))
 		}
 		if notReached(err) || notStarted(err) {
-			e.inflight.Lost(vm.ID, e.node.Clock().Now())
+			e.inflight.RecordUnreachable(vm.ID, e.node.Clock().Now())
 		}
 		if err == nil {
 			return nil
@@ -175,7 +175,7 @@
 func (e *Entry) endpointQuery(req *requestState, avoid map[string]bool) choice.Query {
 	return choice.Query{
 		Pools: req.pools(), Avoid: avoid, Seed: xxhash.Sum64String(req.id), Now: e.node.Clock().Now(),
-		Home: req.home(), Prefix: req.prefix,
+		SessionVM: req.home(), Prefix: req.prefix,
 	}
 }
 
--- a/relay/admit.go
+++ b/relay/admit.go
@@ -63,7 +63,7 @@
 // entries no other entry could serve it.
 func (x *exchange) awaitStart() {
 	s := x.server
-	if x.view.Started() || s.cfg.Strategies.Of(decision.Early) != decision.Hold {
+	if x.view.Started() || s.cfg.Strategies.For(decision.EarlyRequests) != decision.Hold {
 		return
 	}
 	hold := s.startedAt + maxStartWait - x.startedAt
--- a/relay/pace.go
+++ b/relay/pace.go
@@ -75,14 +75,14 @@
 // grade compares a sample with the window and reports for each grade whether it is slow; factor
 // scales the grades. A slow sample exceeds the median at least by the margin. known is false while
 // the window has too few samples.
-func (s *sampleWindow) grade(sample, factor float64, margin func(median float64) float64) (slow [len(upgrade.Grades)]bool, known bool) {
+func (s *sampleWindow) grade(sample, factor float64, margin func(median float64) float64) (slow [len(upgrade.SlowThresholds)]bool, known bool) {
 	if !s.sufficient() {
 		return slow, false
 	}
 	sorted := slices.Sorted(slices.Values(s.samples))
 	median := quantileOf(sorted, 0.5)
-	for i, g := range upgrade.Grades {
-		limit := max(quantileOf(sorted, g.Rank), median+margin(median))
+	for i, g := range upgrade.SlowThresholds {
+		limit := max(quantileOf(sorted, g.Quantile), median+margin(median))
 		// Delays may be negative, and a multiple of a negative delay is not a longer one.
 		slow[i] = sample > limit+(g.Factor*factor-1)*math.Abs(limit)
 	}
@@ -163,7 +163,7 @@
 // grade reports for each grade whether a sample is slow for the load of its endpoint. Where there
 // are too few samples at that load, it is compared with the next higher load class, or else with
 // the next lower one and a larger factor. known is false while there are too few samples.
-func (p *latencyTracker) grade(k latencyKey, outstanding int, sample, factor float64) (slow [len(upgrade.Grades)]bool, known bool) {
+func (p *latencyTracker) grade(k latencyKey, outstanding int, sample, factor float64) (slow [len(upgrade.SlowThresholds)]bool, known bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	all := p.baseline[k]
@@ -230,7 +230,7 @@
 	defer p.mu.Unlock()
 	mean, ok := p.means[latencyKey{route: r.Name, model: model}]
 	if !ok {
-		return max(r.Aim, minFirstByteTimeout)
+		return max(r.LatencyTarget, minFirstByteTimeout)
 	}
-	return max(clock.Millis(targetRatio*float64(r.Aim)), clock.Millis(timeoutFactor*mean), minFirstByteTimeout)
+	return max(clock.Millis(targetRatio*float64(r.LatencyTarget)), clock.Millis(timeoutFactor*mean), minFirstByteTimeout)
 }
--- a/relay/tally.go
+++ b/relay/tally.go
@@ -16,7 +16,7 @@
 	bad     bool
 	// timed is true if the latency could be graded, and slow has the result for each grade.
 	timed bool
-	slow  [len(upgrade.Grades)]bool
+	slow  [len(upgrade.SlowThresholds)]bool
 	// delay is true if the latency is the first-byte delay of a dropped answer.
 	delay bool
 }
@@ -78,10 +78,10 @@
 }
 
 // snapshot returns a copy of all counts.
-func (t *versionCounts) snapshot() site.Counted {
+func (t *versionCounts) snapshot() site.TrafficCounts {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	c := site.Counted{Counts: make(map[string]upgrade.Counts, len(t.counts)), Running: make(map[string]map[string]int, len(t.running))}
+	c := site.TrafficCounts{Counts: make(map[string]upgrade.Counts, len(t.counts)), Running: make(map[string]map[string]int, len(t.running))}
 	for service, counts := range t.counts {
 		c.Counts[service] = maps.Clone(counts)
 	}
