--- a/entry/entry.go
+++ b/entry/entry.go
@@ -29,7 +29,7 @@
 	sessions *session.Keys
 	raters   *raters
 	judge    judge
-	retries  *limit.Retries
+	retries  *limit.RetryBudget
 	// losses is the budget of attempts after an endpoint was lost.
 	losses  *limit.Share
 	queues  *limit.Queues
@@ -47,7 +47,7 @@
 		affinity: choice.NewAffinity(),
 		sessions: session.NewKeys(s.Keys, s.Current).WithLifetime(s.Lifetime),
 		raters:   newRaters(),
-		retries:  limit.NewRetries(),
+		retries:  limit.NewRetryBudget(),
 		losses:   limit.NewShare(lossSpan, lossRatio, lossSlack),
 		queues:   limit.NewQueues(n.Clock()),
 		meter:    meter.New(n.Metrics()),
--- a/entry/run.go
+++ b/entry/run.go
@@ -29,14 +29,14 @@
 	ctx, cancel := context.WithTimeout(ctx, req.deadline.Duration())
 	defer cancel()
 	defer func() { err = comeBack(req.truth(err)) }()
-	e.retries.Earn()
-	e.losses.Earn(e.node.Clock().Now())
+	e.retries.RecordRequest()
+	e.losses.RecordRequest(e.node.Clock().Now())
 	if req.service != "" {
 		return e.tries(ctx, req, emit)
 	}
 	for range maxMoves + 1 {
 		err = e.runPlans(ctx, req, emit)
-		if !e.lostVersion(req, err) || !e.retries.Take() {
+		if !e.lostVersion(req, err) || !e.retries.TryRetry() {
 			return err
 		}
 		if err = e.choose(req); err != nil {
@@ -59,7 +59,7 @@
 		} else {
 			err = e.tries(ctx, req, emit)
 		}
-		if err == nil || i == len(req.plans)-1 || !full(err) || !e.retries.Take() {
+		if err == nil || i == len(req.plans)-1 || !full(err) || !e.retries.TryRetry() {
 			return err
 		}
 	}
@@ -88,10 +88,10 @@
 // gives a whole answer.
 func (e *Entry) tries(ctx context.Context, req *work, emit func(*wire.Piece) error) (err error) {
 	queue := e.queues.For(req.target())
-	if err = queue.Enter(ctx, e.item(ctx, req)); err != nil {
+	if err = queue.Acquire(ctx, e.item(ctx, req)); err != nil {
 		return err
 	}
-	defer func() { queue.Leave(outcomeOf(err)) }()
+	defer func() { queue.Release(outcomeOf(err)) }()
 	req.begin()
 	avoid := make(map[string]bool)
 	// full holds the endpoints that refused only because they had no room then.
@@ -120,7 +120,7 @@
 		err = e.attempt(ctx, req, vm, func(p *wire.Piece) error {
 			if !taken {
 				taken = true
-				queue.Taken()
+				queue.Accepted()
 			}
 			seen.piece(p)
 			return emit(p)
@@ -155,7 +155,7 @@
 // endpoints froze. That happens once an endpoint, which gets nothing new after
 // it, so that such attempts have a budget of their own.
 func (e *Entry) mayTryAgain(cause error) bool {
-	return unreached(cause) || unready(cause) || e.retries.Take() || endpointLost(cause) && e.losses.Take(e.node.Clock().Now())
+	return unreached(cause) || unready(cause) || e.retries.TryRetry() || endpointLost(cause) && e.losses.TryRetry(e.node.Clock().Now())
 }
 
 // endpointLost reports whether an attempt ended with its endpoint's connection or
@@ -184,13 +184,13 @@
 
 // settleHome makes the endpoint that gets the request the session's home.
 func (e *Entry) settleHome(req *work, vm string) (err error) {
-	if req.service != "" || req.session.Home == vm {
+	if req.service != "" || req.session.CacheVM == vm {
 		return nil
 	}
 	if req.cacheFrom == "" && req.pinned && req.moved == "" {
-		req.cacheFrom = req.session.Home
+		req.cacheFrom = req.session.CacheVM
 	}
-	req.session.Home = vm
+	req.session.CacheVM = vm
 	req.token, err = e.sessions.Sign(req.session)
 	return err
 }
--- a/entry/run_test.go
+++ b/entry/run_test.go
@@ -36,12 +36,12 @@
 // callers got 503 though three endpoints were idle.
 func TestEndpointsThatHaveNotStartedUseUpNoRetries(t *testing.T) {
 	is := is.New(t)
-	e := &Entry{retries: limit.NewRetries()}
+	e := &Entry{retries: limit.NewRetryBudget()}
 	starting := refusal.New(refusal.Starting, "endpoint has no tables yet")
 	for range 50 {
 		is.True(e.mayTryAgain(starting))
 	}
-	is.True(e.retries.Take()) // nothing of the budget was spent
+	is.True(e.retries.TryRetry()) // nothing of the budget was spent
 	is.True(unready(starting))
 	is.True(!unready(refusal.New(refusal.Saturated, "full")))
 	is.True(!unready(starting.WithRun(refusal.Unknown)))
--- a/limit/core_test.go
+++ b/limit/core_test.go
@@ -12,10 +12,10 @@
 	"pgregory.net/rapid"
 )
 
-// busy returns a core whose window is full.
-func busy() *Core {
-	c := NewCore()
-	for i := range int(firstWindow) {
+// fullAdmission returns a core whose window is full.
+func fullAdmission() *Admission {
+	c := NewAdmission()
+	for i := range int(initialWindow) {
 		c.Arrive(0, Item{ID: "busy-" + strconv.Itoa(i), Deadline: clock.Hour})
 	}
 	return c
@@ -27,24 +27,24 @@
 
 // One organisation sends hundreds of requests at once, another sends a single
 // one after them. The single one must be next but one, not last.
-func TestFewRequestsPassMany(t *testing.T) {
+func TestSingleRequestIsNotDelayedByBacklog(t *testing.T) {
 	is := is.New(t)
-	c := busy()
+	c := fullAdmission()
 	for i := range 300 {
 		c.Arrive(0, item("large-"+strconv.Itoa(i), "large", 1))
 	}
 	c.Arrive(0, item("small", "small", 1))
-	one, _ := c.End(1, Neutral)
-	two, _ := c.End(1, Neutral)
+	one, _ := c.Release(1, Neutral)
+	two, _ := c.Release(1, Neutral)
 	is.True(one[0].ID == "small" || two[0].ID == "small")
 }
 
 // Two organisations always have requests waiting. Over time each must get its
 // weight's part, whatever the weights are and however many wait.
-func TestServiceFollowsWeights(t *testing.T) {
+func TestServiceIsProportionalToWeights(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		is := is.New(t)
-		f := newFair()
+		f := newFairQueue()
 		a, b := rapid.IntRange(1, 5).Draw(t, "a"), rapid.IntRange(1, 5).Draw(t, "b")
 		served := map[string]int{}
 		const rounds = 300
@@ -62,9 +62,9 @@
 
 // An organisation asks for nothing for an hour and then for much. The hour must
 // not have earned it the pool for itself.
-func TestIdleTimeIsNotSavedUp(t *testing.T) {
+func TestIdleTimeEarnsNoCredit(t *testing.T) {
 	is := is.New(t)
-	f := newFair()
+	f := newFairQueue()
 	for range 1000 {
 		f.push(item("x", "steady", 1))
 		f.pop()
@@ -82,9 +82,9 @@
 
 // An organisation marks all it sends as urgent. That may order its own requests
 // only, or everybody would have to do the same.
-func TestPriorityDoesNotPassOthers(t *testing.T) {
+func TestPriorityOrdersOnlyOwnRequests(t *testing.T) {
 	is := is.New(t)
-	f := newFair()
+	f := newFairQueue()
 	for i := range 10 {
 		it := item("loud-"+strconv.Itoa(i), "loud", 1)
 		it.Priority = int32(i % 2)
@@ -108,9 +108,9 @@
 
 // The queue is full of one organisation's requests. Somebody else's request must
 // find room, at the cost of the newest of those, and the bound must hold.
-func TestFullQueueDropsFromTheLongestLine(t *testing.T) {
+func TestFullQueueDropsFromLongestQueue(t *testing.T) {
 	is := is.New(t)
-	c := busy()
+	c := fullAdmission()
 	for i := range maxWaiting {
 		v, _, _ := c.Arrive(0, item("large-"+strconv.Itoa(i), "large", 1))
 		is.Equal(v, Wait)
@@ -125,16 +125,16 @@
 
 // The pool ends ten requests a second and fifty wait. One that has a second left
 // can only give up; it must hear so at once, and when to come back.
-func TestHopelessWaitIsRefusedAtOnce(t *testing.T) {
+func TestWaitBeyondDeadlineIsRefusedAtOnce(t *testing.T) {
 	is := is.New(t)
-	c := busy()
+	c := fullAdmission()
 	now := clock.Millis(0)
 	for i := range 50 {
 		c.Arrive(now, item("w"+strconv.Itoa(i), "o", 1))
 	}
 	for range 40 {
 		now += 100
-		c.End(now, Neutral)
+		c.Release(now, Neutral)
 		c.Arrive(now, item("n"+strconv.Itoa(int(now)), "o", 1))
 	}
 	it := item("hurry", "o", 1)
@@ -146,16 +146,16 @@
 
 // A pool runs dry and every attempt fails. The entry may try again only for one
 // request in ten, beside what it had saved up.
-func TestRetriesStayWithinTheBudget(t *testing.T) {
+func TestRetriesStayWithinBudget(t *testing.T) {
 	is := is.New(t)
-	r := NewRetries()
+	r := NewRetryBudget()
 	tries := 0
 	const requests = 10_000
 	for range requests {
-		r.Earn()
+		r.RecordRequest()
 		tries++
 		for range 3 {
-			if r.Take() {
+			if r.TryRetry() {
 				tries++
 			}
 		}
@@ -166,22 +166,22 @@
 
 // Gates refuse for a while, then take work again. The window must fall fast and
 // come back to near where it was without creeping up one by one.
-func TestWindowComesBackAfterADryPool(t *testing.T) {
+func TestWindowRecoversAfterSaturation(t *testing.T) {
 	is := is.New(t)
 	w := window{size: 50}
 	now := 10 * clock.Second
 	for range 100 {
-		w.used = int(w.size)
-		now += cutEvery
-		w.end(now, Refused)
+		w.inFlight = int(w.size)
+		now += cutInterval
+		w.release(now, Refused)
 	}
-	is.Equal(w.size, leastWindow)
-	w.used = int(w.size)
-	w.grow(now + afterCut)
-	is.Equal(w.size, leastWindow) // it rests first
+	is.Equal(w.size, minWindow)
+	w.inFlight = int(w.size)
+	w.grow(now + growthPause)
+	is.Equal(w.size, minWindow) // it rests first
 	for range 60 {
-		w.used = int(w.size)
-		w.grow(now + afterCut + 1)
+		w.inFlight = int(w.size)
+		w.grow(now + growthPause + 1)
 	}
 	is.True(w.size > 50)
 }
@@ -189,15 +189,15 @@
 // The window lies above what the gates hold, and many requests wait. Each one
 // refused must not start the next, or the whole queue would be refused within
 // the time of a few hops.
-func TestRefusalStartsNobody(t *testing.T) {
+func TestRefusalStartsNoWaitingRequest(t *testing.T) {
 	is := is.New(t)
-	c := busy()
+	c := fullAdmission()
 	for i := range 100 {
 		c.Arrive(0, item("w"+strconv.Itoa(i), "o", 1))
 	}
 	started := 0
 	for now := range clock.Millis(30) {
-		s, _ := c.End(cutEvery+now, Refused)
+		s, _ := c.Release(cutInterval+now, Refused)
 		started += len(s)
 	}
 	is.Equal(started, 0)
@@ -205,42 +205,42 @@
 
 // An entry starts before a large pool whose requests run for minutes. None has
 // ended yet, and still the window must not hold back what the gates take.
-func TestWindowOpensBeforeRequestsEnd(t *testing.T) {
+func TestWindowGrowsBeforeRequestsEnd(t *testing.T) {
 	is := is.New(t)
-	c := NewCore()
+	c := NewAdmission()
 	for i := range 1000 {
 		v, _, _ := c.Arrive(clock.Millis(i), item(strconv.Itoa(i), "o", 1))
 		is.Equal(v, Start)
-		c.Taken(clock.Millis(i))
+		c.Accepted(clock.Millis(i))
 	}
 }
 
 // A caller goes away while its request waits. Its place must go to the next one,
 // or the window would shrink by one for good.
-func TestCallerGoneFreesItsPlace(t *testing.T) {
+func TestCancelledRequestFreesItsSlot(t *testing.T) {
 	is := is.New(t)
 	queues := NewQueues(clock.System())
 	q := queues.For("m@1")
-	for i := range int(firstWindow) {
-		is.NoErr(q.Enter(t.Context(), Item{ID: strconv.Itoa(i), Deadline: clock.Hour}))
+	for i := range int(initialWindow) {
+		is.NoErr(q.Acquire(t.Context(), Item{ID: strconv.Itoa(i), Deadline: clock.Hour}))
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	err := q.Enter(ctx, Item{ID: "gone", Deadline: clock.Hour})
+	err := q.Acquire(ctx, Item{ID: "gone", Deadline: clock.Hour})
 	r, ok := refusal.As(err)
 	is.True(ok && r.Code() == refusal.Cancelled && r.Run() == refusal.NotRun)
-	q.Leave(Neutral)
-	is.NoErr(q.Enter(t.Context(), Item{ID: "next", Deadline: clock.Hour}))
-	is.Equal(q.core.window.used, int(firstWindow))
+	q.Release(Neutral)
+	is.NoErr(q.Acquire(t.Context(), Item{ID: "next", Deadline: clock.Hour}))
+	is.Equal(q.admission.window.inFlight, int(initialWindow))
 }
 
 // An entry has just started before a cold pool that takes four requests at a
 // time, 100 ms each. Twenty come at once. After the first one has ended the
 // others must wait their half second, not be told to come back in eighteen.
-func TestFirstEndsDoNotLookLikeASlowPool(t *testing.T) {
+func TestFirstCompletionsDoNotLookLikeSlowPool(t *testing.T) {
 	is := is.New(t)
 	for _, pause := range []clock.Millis{0, clock.Minute} {
-		c := NewCore()
+		c := NewAdmission()
 		c.window.size = 4
 		now := clock.Millis(5000)
 		for round := range 2 {
@@ -249,15 +249,15 @@
 				is.Equal(v, Start)
 			}
 			now += 100
-			c.End(now, Served)
+			c.Release(now, Served)
 			for i := range 16 {
 				v, retry, _ := c.Arrive(now, Item{ID: fmt.Sprint(round, "+", i), Organisation: "o", Weight: 1, Deadline: now + clock.Hour})
 				is.True(v != Refuse) // it would be free in half a second
 				is.Equal(retry, clock.Millis(0))
 			}
-			for c.window.used > 0 {
+			for c.window.inFlight > 0 {
 				now += 25
-				c.End(now, Served)
+				c.Release(now, Served)
 			}
 			now += pause
 		}
--- a/limit/fair.go
+++ b/limit/fair.go
@@ -22,32 +22,32 @@
 	Deadline clock.Millis
 }
 
-// fair is a bounded queue that serves organisations by weight (start-time fair
+// fairQueue is a bounded queue that serves organisations by weight (start-time fair
 // queueing): whoever asks for little is served next, however much others ask
 // for.
-type fair struct {
+type fairQueue struct {
 	// queues holds only organisations with waiting requests, and those that were
 	// served ahead of virtual time.
-	queues  map[string]*line
-	virtual float64
-	size    int
+	queues      map[string]*orgQueue
+	virtualTime float64
+	size        int
 }
 
-// line is one organisation's waiting requests, the next one first.
-type line struct {
+// orgQueue is one organisation's waiting requests, the next one first.
+type orgQueue struct {
 	items  []Item
 	weight float64
-	// start is the virtual time at which its next request is due.
-	start float64
+	// nextStart is the virtual time at which its next request is due.
+	nextStart float64
 }
 
-func newFair() fair { return fair{queues: make(map[string]*line)} }
+func newFairQueue() fairQueue { return fairQueue{queues: make(map[string]*orgQueue)} }
 
 // push adds a request. When the queue is full it returns the one that has to
 // go: the least urgent, newest one of the organisation that waits with most
 // for its weight.
-func (f *fair) push(it Item) (out Item, dropped bool) {
-	l := f.line(it)
+func (f *fairQueue) push(it Item) (out Item, dropped bool) {
+	l := f.queueOf(it)
 	at := slices.IndexFunc(l.items, func(o Item) bool { return o.Priority < it.Priority })
 	if at < 0 {
 		at = len(l.items)
@@ -60,20 +60,20 @@
 	return f.dropLast(f.longest()), true
 }
 
-func (f *fair) line(it Item) *line {
+func (f *fairQueue) queueOf(it Item) *orgQueue {
 	l, ok := f.queues[it.Organisation]
 	if !ok {
-		l = &line{}
+		l = &orgQueue{}
 		f.queues[it.Organisation] = l
 	}
 	if len(l.items) == 0 {
-		l.start = max(l.start, f.virtual)
+		l.nextStart = max(l.nextStart, f.virtualTime)
 	}
 	l.weight = float64(max(it.Weight, 1))
 	return l
 }
 
-func (f *fair) longest() (name string) {
+func (f *fairQueue) longest() (name string) {
 	most := -1.0
 	for n, l := range f.queues {
 		if load := float64(len(l.items)) / l.weight; load > most || load == most && n < name {
@@ -83,7 +83,7 @@
 	return name
 }
 
-func (f *fair) dropLast(name string) Item {
+func (f *fairQueue) dropLast(name string) Item {
 	l := f.queues[name]
 	last := len(l.items) - 1
 	it := l.items[last]
@@ -93,16 +93,16 @@
 }
 
 // pop takes the next request.
-func (f *fair) pop() (it Item, ok bool) {
+func (f *fairQueue) pop() (it Item, ok bool) {
 	next := ""
 	for n, l := range f.queues {
 		if len(l.items) == 0 {
-			if l.start <= f.virtual {
+			if l.nextStart <= f.virtualTime {
 				delete(f.queues, n)
 			}
 			continue
 		}
-		if !ok || l.start < f.queues[next].start || l.start == f.queues[next].start && n < next {
+		if !ok || l.nextStart < f.queues[next].nextStart || l.nextStart == f.queues[next].nextStart && n < next {
 			next, ok = n, true
 		}
 	}
@@ -113,13 +113,13 @@
 	it = l.items[0]
 	l.items = l.items[1:]
 	f.size--
-	f.virtual = l.start
-	l.start += 1 / l.weight
+	f.virtualTime = l.nextStart
+	l.nextStart += 1 / l.weight
 	return it, true
 }
 
 // remove takes a request out that no longer waits.
-func (f *fair) remove(it Item) (found bool) {
+func (f *fairQueue) remove(it Item) (found bool) {
 	l, ok := f.queues[it.Organisation]
 	if !ok {
 		return false
@@ -135,7 +135,7 @@
 
 // share is the part of the service that an organisation gets among those that
 // wait, and ahead how many of its own requests stand before one of a priority.
-func (f *fair) share(it Item) (share float64, ahead int) {
+func (f *fairQueue) share(it Item) (share float64, ahead int) {
 	sum := float64(max(it.Weight, 1))
 	for n, l := range f.queues {
 		if len(l.items) > 0 && n != it.Organisation {
--- a/limit/queue.go
+++ b/limit/queue.go
@@ -34,7 +34,7 @@
 	}
 	queue, known := q.queues[name]
 	if !known {
-		queue = &Queue{clock: q.clock, core: NewCore(), waiting: make(map[string]chan error)}
+		queue = &Queue{clock: q.clock, admission: NewAdmission(), waiting: make(map[string]chan error)}
 		q.queues[name] = queue
 	}
 	return queue
@@ -42,17 +42,17 @@
 
 // Queue lets requests start as a Core says.
 type Queue struct {
-	clock clock.Clock
-	mu    sync.Mutex
-	core  *Core
+	clock     clock.Clock
+	mu        sync.Mutex
+	admission *Admission
 	// waiting holds a channel for each request that waits: nil on it means
 	// start.
 	waiting map[string]chan error
 }
 
-// Enter waits for a place. It returns a refusal as soon as it is clear that
+// Acquire waits for a place. It returns a refusal as soon as it is clear that
 // none will come in time; a request that entered must call Leave once.
-func (q *Queue) Enter(ctx context.Context, it Item) (err error) {
+func (q *Queue) Acquire(ctx context.Context, it Item) (err error) {
 	ready, err := q.arrive(it)
 	if err != nil || ready == nil {
 		return err
@@ -72,30 +72,30 @@
 func (q *Queue) arrive(it Item) (ready chan error, err error) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	v, retry, dropped := q.core.Arrive(q.clock.Now(), it)
+	v, retry, dropped := q.admission.Arrive(q.clock.Now(), it)
 	q.refuse(dropped, "made room for others")
 	switch v {
 	case Start:
 		return nil, nil
 	case Refuse:
-		return nil, full("no place will be free in time", retry)
+		return nil, saturated("no place will be free in time", retry)
 	}
 	ready = make(chan error, 1)
 	q.waiting[it.ID] = ready
 	return ready, nil
 }
 
-func full(why string, retry clock.Millis) error {
+func saturated(why string, retry clock.Millis) error {
 	return refusal.New(refusal.Saturated, why).WithRetryAfter(retry)
 }
 
 func (q *Queue) refuse(items []Item, why string) {
 	for _, it := range items {
-		q.tell(it, full(why, q.core.Retry(it)))
+		q.notify(it, saturated(why, q.admission.RetryAfter(it)))
 	}
 }
 
-func (q *Queue) tell(it Item, err error) {
+func (q *Queue) notify(it Item, err error) {
 	if ready, ok := q.waiting[it.ID]; ok {
 		delete(q.waiting, it.ID)
 		ready <- err
@@ -106,39 +106,39 @@
 // is used, or given back when the caller is gone.
 func (q *Queue) giveUp(ctx context.Context, it Item, ready chan error) (err error) {
 	q.mu.Lock()
-	found := q.core.Leave(it)
+	found := q.admission.Remove(it)
 	delete(q.waiting, it.ID)
-	retry := q.core.Retry(it)
+	retry := q.admission.RetryAfter(it)
 	q.mu.Unlock()
 	if !found {
 		if err = <-ready; err != nil || ctx.Err() == nil {
 			return err
 		}
-		q.Leave(Neutral)
+		q.Release(Neutral)
 	}
 	if ctx.Err() == context.Canceled {
 		return refusal.New(refusal.Cancelled, "cancelled by the caller")
 	}
-	return full("no place was free in time", retry)
+	return saturated("no place was free in time", retry)
 }
 
-// Taken tells that a gate took a request which entered.
-func (q *Queue) Taken() {
+// Accepted tells that a gate took a request which entered.
+func (q *Queue) Accepted() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.pass(q.core.Taken(q.clock.Now()))
+	q.dispatch(q.admission.Accepted(q.clock.Now()))
 }
 
-// Leave gives a place back.
-func (q *Queue) Leave(o Outcome) {
+// Release gives a place back.
+func (q *Queue) Release(o Outcome) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.pass(q.core.End(q.clock.Now(), o))
+	q.dispatch(q.admission.Release(q.clock.Now(), o))
 }
 
-func (q *Queue) pass(started, expired []Item) {
+func (q *Queue) dispatch(started, expired []Item) {
 	q.refuse(expired, "no place was free in time")
 	for _, it := range started {
-		q.tell(it, nil)
+		q.notify(it, nil)
 	}
 }
--- a/limit/window.go
+++ b/limit/window.go
@@ -3,17 +3,17 @@
 import "github.com/parsleydeal/parsleydeal/clock"
 
 const (
-	firstWindow = 64.0
-	leastWindow = 2.0
-	mostWindow  = 4096.0
-	// windowCut is what a refusal for want of room leaves of the window, at most
+	initialWindow = 64.0
+	minWindow     = 2.0
+	maxWindow     = 4096.0
+	// cutFactor is what a refusal for want of room leaves of the window, at most
 	// once in cutEvery.
-	windowCut = 0.95
-	cutEvery  = 100 * clock.Millis(1)
-	// afterCut is how long the window rests after a refusal. Growing at once would
+	cutFactor   = 0.95
+	cutInterval = 100 * clock.Millis(1)
+	// growthPause is how long the window rests after a refusal. Growing at once would
 	// find the gates full at each turn, and what they refuse is lost to its caller,
 	// whoever's turn it was.
-	afterCut = clock.Second
+	growthPause = clock.Second
 )
 
 // Outcome is how a started request ended.
@@ -33,20 +33,20 @@
 // take the work and shrinks when they refuse it, so that all entries together
 // settle at what the gates' own windows allow.
 type window struct {
-	size float64
-	used int
-	// cutAt is the last cut by a part, refusedAt the last refusal.
-	cutAt     clock.Millis
-	refusedAt clock.Millis
+	size     float64
+	inFlight int
+	// lastCutAt is the last cut by a part, refusedAt the last refusal.
+	lastCutAt     clock.Millis
+	lastRefusedAt clock.Millis
 }
 
-func (w *window) room() bool { return float64(w.used) < w.size }
+func (w *window) hasRoom() bool { return float64(w.inFlight) < w.size }
 
-func (w *window) end(now clock.Millis, o Outcome) {
+func (w *window) release(now clock.Millis, o Outcome) {
 	if o == Refused {
-		w.cut(now)
+		w.shrink(now)
 	}
-	w.used--
+	w.inFlight--
 }
 
 // grow widens the window for a request that a gate took. Counting taken rather
@@ -54,21 +54,21 @@
 // requests come, also when each runs for a minute.
 func (w *window) grow(now clock.Millis) {
 	const busy = 0.5
-	if float64(w.used) <= busy*w.size || w.refusedAt > 0 && now-w.refusedAt <= afterCut {
+	if float64(w.inFlight) <= busy*w.size || w.lastRefusedAt > 0 && now-w.lastRefusedAt <= growthPause {
 		return
 	}
-	w.size = min(w.size+1, mostWindow)
+	w.size = min(w.size+1, maxWindow)
 }
 
-// cut narrows the window to what the gates hold without the refused request, so
+// shrink narrows the window to what the gates hold without the refused request, so
 // that its place does not pull the next one out of the queue and into the same
 // refusal; and once in cutEvery by a part, so that entries that share a pool
 // come to share it evenly.
-func (w *window) cut(now clock.Millis) {
-	w.refusedAt = now
-	w.size = max(min(w.size, float64(w.used-1)), leastWindow)
-	if now-w.cutAt >= cutEvery {
-		w.size = max(w.size*windowCut, leastWindow)
-		w.cutAt = now
+func (w *window) shrink(now clock.Millis) {
+	w.lastRefusedAt = now
+	w.size = max(min(w.size, float64(w.inFlight-1)), minWindow)
+	if now-w.lastCutAt >= cutInterval {
+		w.size = max(w.size*cutFactor, minWindow)
+		w.lastCutAt = now
 	}
 }
--- a/relay/attempt.go
+++ b/relay/attempt.go
@@ -71,7 +71,7 @@
 	}
 	defer answer.Close()
 	a.firstAfter = max(s.cfg.Clock.Now()-a.startedAt, 1)
-	x.connected += answer.Connected()
+	x.connected += answer.ConnectTime()
 	work.Read(s.cfg.Clock.Now())
 	s.pace.miss(x.route, a.plan.model(), a.firstAfter-a.expected)
 	s.board.Heard(a.endpoint.ID, s.cfg.Clock.Now())
@@ -105,11 +105,11 @@
 	}
 	c := x.server.cfg.Dialect.Call(x.req, o, x.req.body)
 	c.HasBody = x.req.hasBody
-	c.Wait = a.wait
-	if c.Fresh && x.server.cfg.Ways.Of(decision.Connection) == decision.Watched {
-		c.Settle = settleFor
+	c.FirstByteTimeout = a.wait
+	if c.NewConnection && x.server.cfg.Ways.Of(decision.Connection) == decision.Watched {
+		c.SettleTime = settleFor
 	}
-	c.MostIdle = x.server.mostIdle(x.view, x.service)
+	c.MaxIdle = x.server.mostIdle(x.view, x.service)
 	return c
 }
 
@@ -225,7 +225,7 @@
 // mayClimb reports whether the request may have another attempt in place of this answer.
 func (a *attempt) mayClimb() bool {
 	x := a.exchange
-	return !x.written && x.mayRepeat() && x.left() > climbLeast && x.budget().Has(x.server.cfg.Clock.Now())
+	return !x.written && x.mayRepeat() && x.left() > climbLeast && x.budget().CanRetry(x.server.cfg.Clock.Now())
 }
 
 // climbLeast is the time that a larger model needs to be of use.
@@ -238,7 +238,7 @@
 // breaks off can be asked for again.
 func (a *attempt) whole(h Head, answer *upstream.Answer) (r result, err error) {
 	x := a.exchange
-	if err = answer.SetPatience(x.silence()); err != nil {
+	if err = answer.SetReadTimeout(x.silence()); err != nil {
 		return failed, lost(err)
 	}
 	body, err := io.ReadAll(io.LimitReader(answer, maxBody))
@@ -254,7 +254,7 @@
 // other attempt is made or helps.
 func (a *attempt) failure(h Head, answer *upstream.Answer) (r result, err error) {
 	x := a.exchange
-	if err = answer.SetPatience(x.silence()); err != nil {
+	if err = answer.SetReadTimeout(x.silence()); err != nil {
 		return failed, lost(err)
 	}
 	body, err := io.ReadAll(io.LimitReader(answer, maxBody))
--- a/relay/stream.go
+++ b/relay/stream.go
@@ -36,7 +36,7 @@
 		x.open(h)
 	}
 	for {
-		if err = answer.SetPatience(x.silence()); err != nil {
+		if err = answer.SetReadTimeout(x.silence()); err != nil {
 			return broken, lost(err)
 		}
 		e, err := events.next()
--- a/session/session.go
+++ b/session/session.go
@@ -24,10 +24,10 @@
 const (
 	// MaxTokenBytes bounds a token; longer text is rejected unread.
 	MaxTokenBytes = 4096
-	// Tolerance is how far the wall clocks of two entries may differ. Within it
+	// ClockTolerance is how far the wall clocks of two entries may differ. Within it
 	// neither accepts or rejects a token wrongly, but for the token's last
 	// minutes.
-	Tolerance = 10 * clock.Minute
+	ClockTolerance = 10 * clock.Minute
 	// DefaultLifetime is how long a session lasts that nobody uses.
 	DefaultLifetime = 24 * clock.Hour
 	// purpose is signed along, so that no other signature under the same secret
@@ -42,8 +42,8 @@
 	Route        string `json:"route"`
 	// Version is the version that the session keeps.
 	Version string `json:"version"`
-	// Home is the VM that holds the session's cache.
-	Home string `json:"home"`
+	// CacheVM is the VM that holds the session's cache.
+	CacheVM string `json:"home"`
 	// Issued is when the token was signed, in seconds of the signer's wall
 	// clock since 1970. Each answer carries a token signed anew.
 	Issued int64 `json:"issued"`
@@ -56,16 +56,16 @@
 	secrets  map[string][]byte
 	current  string
 	lifetime clock.Millis
-	// wall reads the wall clock, in seconds since 1970. Instants of two VMs are
+	// wallClock reads the wall clock, in seconds since 1970. Instants of two VMs are
 	// compared by it only up to Tolerance.
-	wall func() int64
+	wallClock func() int64
 }
 
 // NewKeys makes keys from secrets by name; current names the one that signs.
 func NewKeys(secrets map[string]string, current string) *Keys {
 	k := &Keys{
 		secrets: make(map[string][]byte), current: current, lifetime: DefaultLifetime,
-		wall: func() int64 { return time.Now().Unix() },
+		wallClock: func() int64 { return time.Now().Unix() },
 	}
 	for name, s := range secrets {
 		k.secrets[name] = []byte(s)
@@ -82,15 +82,15 @@
 	return k
 }
 
-// WithWall returns the keys with another wall clock, in seconds since 1970.
-func (k *Keys) WithWall(wall func() int64) *Keys {
-	k.wall = wall
+// WithWallClock returns the keys with another wall clock, in seconds since 1970.
+func (k *Keys) WithWallClock(wall func() int64) *Keys {
+	k.wallClock = wall
 	return k
 }
 
 // Sign writes a token as "key.payload.signature", issued now.
 func (k *Keys) Sign(t Token) (text string, err error) {
-	t.Issued = k.wall()
+	t.Issued = k.wallClock()
 	data, err := json.Marshal(t)
 	if err != nil {
 		return "", ErrRejected.Wrap(err, "encode token")
@@ -101,7 +101,7 @@
 
 // Verify reads a token that one of the keys signed within a lifetime.
 func (k *Keys) Verify(text string) (t Token, err error) {
-	payload, err := k.signed(text)
+	payload, err := k.verifySignature(text)
 	if err != nil {
 		return t, err
 	}
@@ -112,15 +112,15 @@
 	if err = json.Unmarshal(data, &t); err != nil {
 		return t, ErrRejected.Wrap(err, "decode token")
 	}
-	if err = k.fresh(t.Issued); err != nil {
+	if err = k.checkAge(t.Issued); err != nil {
 		return Token{}, err
 	}
 	return t, nil
 }
 
-// signed returns the payload of a token whose signature is right. Nothing in
+// verifySignature returns the payload of a token whose signature is right. Nothing in
 // the token is read before that.
-func (k *Keys) signed(text string) (payload string, err error) {
+func (k *Keys) verifySignature(text string) (payload string, err error) {
 	if len(text) > MaxTokenBytes {
 		return "", ErrRejected.New("token has %d bytes, at most %d are allowed", len(text), MaxTokenBytes)
 	}
@@ -149,15 +149,15 @@
 	return s[:i], s[i+1:], true
 }
 
-// fresh rejects a token that is too old. One from the future beyond what clocks
+// checkAge rejects a token that is too old. One from the future beyond what clocks
 // may differ is rejected too: it would outlive every lifetime.
-func (k *Keys) fresh(issued int64) error {
+func (k *Keys) checkAge(issued int64) error {
 	const perSecond = int64(clock.Second)
-	now := k.wall()
-	if now-issued > int64(k.lifetime+Tolerance)/perSecond {
+	now := k.wallClock()
+	if now-issued > int64(k.lifetime+ClockTolerance)/perSecond {
 		return ErrRejected.New("session has expired")
 	}
-	if issued-now > int64(Tolerance)/perSecond {
+	if issued-now > int64(ClockTolerance)/perSecond {
 		return ErrRejected.New("token is from the future")
 	}
 	return nil
--- a/upstream/pool.go
+++ b/upstream/pool.go
@@ -16,11 +16,11 @@
 	// connectTimeout bounds the making of a connection. Within a region one takes
 	// a few milliseconds; an endpoint without power does not answer at all.
 	connectTimeout = 300 * clock.Millis(1)
-	// readBuffer fits the head of an answer and the events of a stream.
-	readBuffer = 4 << 10
-	// silentAfter is how long sent bytes may stay unacknowledged before the
+	// readBufferSize fits the head of an answer and the events of a stream.
+	readBufferSize = 4 << 10
+	// unackedTimeout is how long sent bytes may stay unacknowledged before the
 	// connection counts as broken.
-	silentAfter = 3 * clock.Second
+	unackedTimeout = 3 * clock.Second
 )
 
 // Pool keeps idle connections to endpoints. It is safe for use by many
@@ -32,9 +32,9 @@
 	// idle holds at most as many connections of each address as the last call to it
 	// allowed, the one used last at the end.
 	idle map[string][]*conn
-	// opened counts the connections open, made those ever made.
-	opened atomic.Int64
-	made   atomic.Int64
+	// openConns counts the connections open, made those ever made.
+	openConns  atomic.Int64
+	totalConns atomic.Int64
 }
 
 // NewPool makes an empty pool.
@@ -42,20 +42,20 @@
 	return &Pool{clock: c, dialer: net.Dialer{Timeout: connectTimeout.Duration(), KeepAlive: -1}, idle: make(map[string][]*conn)}
 }
 
-// Open returns the number of open connections.
-func (p *Pool) Open() int64 { return p.opened.Load() }
+// OpenConns returns the number of open connections.
+func (p *Pool) OpenConns() int64 { return p.openConns.Load() }
 
-// Made returns the number of connections ever made.
-func (p *Pool) Made() int64 { return p.made.Load() }
+// TotalConns returns the number of connections ever made.
+func (p *Pool) TotalConns() int64 { return p.totalConns.Load() }
 
-func (p *Pool) take(ctx context.Context, call Call) (c *conn, err error) {
-	for !call.Fresh {
+func (p *Pool) acquire(ctx context.Context, call Call) (c *conn, err error) {
+	for !call.NewConnection {
 		c = p.pop(call.Address)
 		if c == nil {
 			break
 		}
-		if p.clock.Now()-c.idleSince <= c.idleFor && c.quiet() {
-			c.mostIdle = call.MostIdle
+		if p.clock.Now()-c.idleSince <= c.idleTimeout && c.usable() {
+			c.maxIdle = call.MaxIdle
 			return c, nil
 		}
 		c.release(false)
@@ -64,19 +64,19 @@
 	if err != nil {
 		return nil, err
 	}
-	p.opened.Add(1)
-	p.made.Add(1)
-	limitSilence(raw)
-	c = &conn{net: raw, r: bufio.NewReaderSize(raw, readBuffer), pool: p, to: call.Address, mostIdle: call.MostIdle}
-	if err = c.settle(call.Settle); err != nil {
+	p.openConns.Add(1)
+	p.totalConns.Add(1)
+	setUnackedTimeout(raw)
+	c = &conn{net: raw, r: bufio.NewReaderSize(raw, readBufferSize), pool: p, address: call.Address, maxIdle: call.MaxIdle}
+	if err = c.watchNew(call.SettleTime); err != nil {
 		c.release(false)
 		return nil, err
 	}
 	return c, nil
 }
 
-// settle watches a new connection for a while, and fails if the endpoint ends it.
-func (c *conn) settle(span clock.Millis) (err error) {
+// watchNew watches a new connection for a while, and fails if the endpoint ends it.
+func (c *conn) watchNew(span clock.Millis) (err error) {
 	if span <= 0 {
 		return nil
 	}
@@ -84,14 +84,14 @@
 		return err
 	}
 	if _, err = c.r.Peek(1); !TimedOut(err) {
-		return errUnsettled.WithUnderlyingErrors(err)
+		return errConnRejected.WithUnderlyingErrors(err)
 	}
 	return c.net.SetReadDeadline(time.Time{})
 }
 
-// errUnsettled tells of a new connection that was ended, or brought bytes, before
+// errConnRejected tells of a new connection that was ended, or brought bytes, before
 // anything was sent on it.
-var errUnsettled = ErrNotSent.New("new connection was not kept open")
+var errConnRejected = ErrNotSent.New("new connection was not kept open")
 
 func (p *Pool) pop(address string) *conn {
 	p.mu.Lock()
@@ -113,10 +113,10 @@
 	c.idleSince = p.clock.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.idle[c.to]) >= c.mostIdle {
+	if len(p.idle[c.address]) >= c.maxIdle {
 		return false
 	}
-	p.idle[c.to] = append(p.idle[c.to], c)
+	p.idle[c.address] = append(p.idle[c.address], c)
 	return true
 }
 
@@ -128,7 +128,7 @@
 	for address, all := range p.idle {
 		kept := all[:0]
 		for _, c := range all {
-			if now-c.idleSince > c.idleFor {
+			if now-c.idleSince > c.idleTimeout {
 				old = append(old, c)
 			} else {
 				kept = append(kept, c)
@@ -146,10 +146,10 @@
 	}
 }
 
-// quiet reports whether an idle connection is open and has brought nothing. One
+// usable reports whether an idle connection is open and has brought nothing. One
 // that the endpoint closed would take the request and lose it; on one with bytes
 // that belong to no request the next answer would be a wrong one.
-func (c *conn) quiet() bool {
+func (c *conn) usable() bool {
 	if c.r.Buffered() > 0 {
 		return false
 	}
@@ -167,14 +167,14 @@
 	return err == nil && quiet
 }
 
-// limitSilence has the kernel break a connection whose other side no longer
+// setUnackedTimeout has the kernel break a connection whose other side no longer
 // acknowledges anything.
-func limitSilence(c net.Conn) {
+func setUnackedTimeout(c net.Conn) {
 	raw, err := c.(*net.TCPConn).SyscallConn()
 	if err != nil {
 		return
 	}
 	_ = raw.Control(func(fd uintptr) {
-		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(silentAfter))
+		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedTimeout))
 	})
 }
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -48,20 +48,20 @@
 	Body   []byte
 	// HasBody says that a length is sent although the body is empty.
 	HasBody bool
-	// Fresh asks for a new connection. A kept one may have been closed by the
+	// NewConnection asks for a new connection. A kept one may have been closed by the
 	// other side, which shows only after the request was sent on it.
-	Fresh bool
-	// Settle is how long a new connection is watched before anything is sent on it. An
+	NewConnection bool
+	// SettleTime is how long a new connection is watched before anything is sent on it. An
 	// endpoint that has as many connections as it takes accepts one more and resets it;
 	// a request that was sent by then may have run as far as its caller can know.
-	Settle clock.Millis
-	// MostIdle bounds the idle connections to the address.
-	MostIdle int
-	// Own reports whether an answer belongs to this call.
-	Own func(h http.Header) bool
-	// Wait is asked how long to wait for the answer's first byte, with what has been
+	SettleTime clock.Millis
+	// MaxIdle bounds the idle connections to the address.
+	MaxIdle int
+	// Matches reports whether an answer belongs to this call.
+	Matches func(h http.Header) bool
+	// FirstByteTimeout is asked how long to wait for the answer's first byte, with what has been
 	// waited already; 0 gives the call up.
-	Wait func(waited clock.Millis) clock.Millis
+	FirstByteTimeout func(waited clock.Millis) clock.Millis
 }
 
 // Answer is an endpoint's answer whose body is still to be read.
@@ -76,13 +76,13 @@
 	bodySent chan struct{}
 	sendErr  *atomic.Pointer[error]
 	stop     func() bool
-	// connected is how long it took to have a connection.
-	connected clock.Millis
-	// whole is true once the body was read to its end.
-	whole bool
-	// keep says that the connection may be used again after the answer.
-	keep   bool
-	closed bool
+	// connectTime is how long it took to have a connection.
+	connectTime clock.Millis
+	// complete is true once the body was read to its end.
+	complete bool
+	// reusable says that the connection may be used again after the answer.
+	reusable bool
+	closed   bool
 }
 
 // maxSkipped bounds the answers to earlier requests that are passed over on a
@@ -93,14 +93,14 @@
 // as soon as the context ends, so that the endpoint stops its work.
 func (p *Pool) Do(ctx context.Context, call Call) (a *Answer, err error) {
 	begun := p.clock.Now()
-	c, err := p.take(ctx, call)
+	c, err := p.acquire(ctx, call)
 	if err != nil {
 		return nil, ErrNotSent.Wrap(err, "connect to %s", call.Address)
 	}
-	a = &Answer{conn: c, connected: p.clock.Since(begun), bodySent: make(chan struct{}), sendErr: &atomic.Pointer[error]{}}
+	a = &Answer{conn: c, connectTime: p.clock.Since(begun), bodySent: make(chan struct{}), sendErr: &atomic.Pointer[error]{}}
 	a.stop = context.AfterFunc(ctx, func() { _ = c.net.Close() })
 	go a.send(call)
-	if err = a.await(call); err == nil {
+	if err = a.awaitFirstByte(call); err == nil {
 		err = a.readHead(call)
 	}
 	if err == nil {
@@ -113,26 +113,26 @@
 	return nil, ErrLost.Wrap(err, "no answer from %s", call.Address)
 }
 
-// Connected returns how long it took to have a connection; 0 for a kept one.
-func (a *Answer) Connected() clock.Millis { return a.connected }
+// ConnectTime returns how long it took to have a connection; 0 for a kept one.
+func (a *Answer) ConnectTime() clock.Millis { return a.connectTime }
 
-// headPatience bounds the rest of a head once its first byte is there.
-const headPatience = 2 * clock.Second
+// headTimeout bounds the rest of a head once its first byte is there.
+const headTimeout = 2 * clock.Second
 
-// await waits for the first byte of the answer for as long as the call says.
-func (a *Answer) await(call Call) (err error) {
+// awaitFirstByte waits for the first byte of the answer for as long as the call says.
+func (a *Answer) awaitFirstByte(call Call) (err error) {
 	begun := a.conn.pool.clock.Now()
 	for {
-		left := call.Wait(a.conn.pool.clock.Since(begun))
+		left := call.FirstByteTimeout(a.conn.pool.clock.Since(begun))
 		if left <= 0 {
 			return os.ErrDeadlineExceeded
 		}
-		if err = a.SetPatience(left); err != nil {
+		if err = a.SetReadTimeout(left); err != nil {
 			return err
 		}
 		_, err = a.conn.r.Peek(1)
 		if err == nil {
-			return a.SetPatience(headPatience)
+			return a.SetReadTimeout(headTimeout)
 		}
 		if !TimedOut(err) {
 			return a.cause(err)
@@ -184,21 +184,21 @@
 		if resp.StatusCode >= 100 && resp.StatusCode < 200 {
 			continue
 		}
-		if call.Own == nil || call.Own(resp.Header) {
-			a.take(resp)
+		if call.Matches == nil || call.Matches(resp.Header) {
+			a.setHead(resp)
 			return nil
 		}
 		// An answer to an earlier request on this connection. It must not reach
 		// this caller, and the own one may follow it.
 		if _, err = io.Copy(io.Discard, resp.Body); err != nil || resp.Close {
-			return errForeign
+			return errMismatch
 		}
 		a.conn.dirty = true
 	}
-	return errForeign
+	return errMismatch
 }
 
-var errForeign = errors.New("answer belongs to another request")
+var errMismatch = errors.New("answer belongs to another request")
 
 // cause prefers what broke the sending to the end of the connection that
 // followed from it.
@@ -213,23 +213,23 @@
 	return err
 }
 
-func (a *Answer) take(resp *http.Response) {
+func (a *Answer) setHead(resp *http.Response) {
 	a.Status, a.Header, a.Length, a.body = resp.StatusCode, resp.Header, resp.ContentLength, resp.Body
 	// An answer without a length ends with its connection.
 	framed := resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0
-	a.keep = framed && !resp.Close
-	a.conn.keepAlive(resp.Header.Get("Keep-Alive"))
+	a.reusable = framed && !resp.Close
+	a.conn.setIdleTimeout(resp.Header.Get("Keep-Alive"))
 }
 
 // Read reads the body, waiting at most for the patience that was set last.
 func (a *Answer) Read(buf []byte) (n int, err error) {
 	n, err = a.body.Read(buf)
-	a.whole = a.whole || err == io.EOF
+	a.complete = a.complete || err == io.EOF
 	return n, err
 }
 
-// SetPatience bounds the wait of the next reads, from now on.
-func (a *Answer) SetPatience(patience clock.Millis) error {
+// SetReadTimeout bounds the wait of the next reads, from now on.
+func (a *Answer) SetReadTimeout(patience clock.Millis) error {
 	return a.conn.net.SetReadDeadline(time.Now().Add(patience.Duration()))
 }
 
@@ -249,41 +249,41 @@
 	}
 	// Bytes beyond the answer belong to no request: on this connection the next
 	// answer would not be the next request's.
-	clean := ended && sent && a.whole && a.keep && !a.conn.dirty && a.conn.r.Buffered() == 0
+	clean := ended && sent && a.complete && a.reusable && !a.conn.dirty && a.conn.r.Buffered() == 0
 	a.conn.release(clean)
 }
 
 // conn is one connection to an endpoint. One call at a time uses it.
 type conn struct {
-	net  net.Conn
-	r    *bufio.Reader
-	pool *Pool
-	to   string
+	net     net.Conn
+	r       *bufio.Reader
+	pool    *Pool
+	address string
 	// dirty connections have brought bytes that belonged to no request.
 	dirty bool
-	// mostIdle bounds the idle connections to the endpoint, by the last call.
-	mostIdle int
+	// maxIdle bounds the idle connections to the endpoint, by the last call.
+	maxIdle int
 	// idleSince and idleFor bound its use after the last answer.
-	idleSince clock.Millis
-	idleFor   clock.Millis
+	idleSince   clock.Millis
+	idleTimeout clock.Millis
 }
 
 const (
-	// defaultIdle is how long a connection is kept that announces no time of its
+	// defaultIdleTimeout is how long a connection is kept that announces no time of its
 	// own. Endpoints drop idle connections without notice, and sooner at times.
-	defaultIdle = 2 * clock.Second
-	// mostIdle bounds what an endpoint announces.
-	mostIdle = 10 * clock.Second
+	defaultIdleTimeout = 2 * clock.Second
+	// maxIdleTimeout bounds what an endpoint announces.
+	maxIdleTimeout = 10 * clock.Second
 )
 
-// keepAlive takes the idle time that an endpoint announces. Half of it is used:
+// setIdleTimeout takes the idle time that an endpoint announces. Half of it is used:
 // what is sent just as the endpoint closes is lost.
-func (c *conn) keepAlive(header string) {
-	c.idleFor = defaultIdle
+func (c *conn) setIdleTimeout(header string) {
+	c.idleTimeout = defaultIdleTimeout
 	for part := range strings.SplitSeq(header, ",") {
 		if text, ok := strings.CutPrefix(strings.TrimSpace(part), "timeout="); ok {
 			if n, err := strconv.Atoi(text); err == nil && n >= 0 {
-				c.idleFor = min(clock.Millis(n)*clock.Second/2, mostIdle)
+				c.idleTimeout = min(clock.Millis(n)*clock.Second/2, maxIdleTimeout)
 			}
 		}
 	}
@@ -292,6 +292,6 @@
 func (c *conn) release(clean bool) {
 	if !clean || !c.pool.put(c) {
 		_ = c.net.Close()
-		c.pool.opened.Add(-1)
+		c.pool.openConns.Add(-1)
 	}
 }
