--- a/limit/core.go
+++ b/limit/core.go
@@ -3,17 +3,16 @@
 import "github.com/parsleydeal/parsleydeal/clock"
 
 const (
-	// maxWait is how long a request may wait for a place.
+	// maxWait is how long a request may wait for a slot.
 	maxWait = 10 * clock.Second
-	// minRetryAfter and mostRetry bound the time at which a refused caller is told
-	// to come back.
+	// minRetryAfter and maxRetryAfter bound the retry delay that a refusal carries.
 	minRetryAfter = 200 * clock.Millis(1)
 	maxRetryAfter = 30 * clock.Second
-	// rateWindow is the span over which the rate of ended requests is smoothed.
+	// rateWindow is the window over which the completion rate is smoothed.
 	rateWindow = 2 * clock.Second
 )
 
-// Verdict is what becomes of a request that asks for a place.
+// Verdict is the outcome of a request for a slot.
 type Verdict int
 
 // The verdicts.
@@ -23,91 +22,92 @@
 	Refuse
 )
 
-// Admission decides who may start at one pool. It reads no clock and waits for
-// nothing; Queue runs it for requests.
+// Admission decides which requests may start at one pool. It reads no clock and never blocks;
+// Queue drives it on behalf of requests. It is not safe for concurrent use.
 type Admission struct {
 	window window
 	fair   fairQueue
-	// rate is how many requests end in a millisecond, smoothed over rateSpan as if
-	// all of it had been seen; it is 0 while unknown.
+	// rate is the number of completions per millisecond, smoothed as if the whole of rateWindow
+	// had been observed; 0 while unknown.
 	rate      float64
 	lastEndAt clock.Millis
-	// observed is how much of rateSpan had requests under way, at most all of it.
+	// observed is how much of rateWindow had requests in flight, at most rateWindow.
 	observed clock.Millis
 }
 
-// NewAdmission makes an idle core.
+// NewAdmission returns an Admission without requests.
 func NewAdmission() *Admission {
 	return &Admission{window: window{size: initialWindow}, fair: newFairQueue()}
 }
 
-// Arrive takes a request in. A request that could only give up waiting is
-// refused at once, with the time at which to come back. Dropped lists others
-// that had to make room; they are refused too.
-func (c *Admission) Arrive(now clock.Millis, it Item) (v Verdict, retry clock.Millis, dropped []Item) {
-	if c.fair.size == 0 && c.window.hasRoom() {
-		c.takeSlot(now)
+// Arrive admits a request. A request that could not start before its deadline or within maxWait
+// is refused at once, with the delay after which to retry. Dropped lists waiting requests that
+// were evicted to make room, which must be refused as well.
+func (a *Admission) Arrive(now clock.Millis, it Item) (v Verdict, retry clock.Millis, dropped []Item) {
+	if a.fair.size == 0 && a.window.hasRoom() {
+		a.takeSlot(now)
 		return Start, 0, nil
 	}
-	wait := c.expectedWait(it)
+	wait := a.expectedWait(it)
 	if wait > maxWait || now+wait > it.Deadline {
 		return Refuse, clampRetryAfter(wait), nil
 	}
-	out, full := c.fair.push(it)
+	evicted, full := a.fair.push(it)
 	if !full {
 		return Wait, 0, nil
 	}
-	if out.ID == it.ID {
+	if evicted.ID == it.ID {
 		return Refuse, clampRetryAfter(wait), nil
 	}
-	return Wait, 0, []Item{out}
+	return Wait, 0, []Item{evicted}
 }
 
-// expectedWait is about how long a request would wait.
-func (c *Admission) expectedWait(it Item) clock.Millis {
-	if c.rate == 0 {
+// expectedWait estimates how long a request would wait; 0 while the completion rate is unknown.
+func (a *Admission) expectedWait(it Item) clock.Millis {
+	if a.rate == 0 {
 		return 0
 	}
-	share, ahead := c.fair.share(it)
-	rate := c.rate * float64(rateWindow) / float64(max(c.observed, 1))
+	share, ahead := a.fair.share(it)
+	rate := a.rate * float64(rateWindow) / float64(max(a.observed, 1))
 	return clock.Millis(float64(ahead+1) / (rate * share))
 }
 
-// takeSlot takes a place. Time without any request under way says nothing of how
-// fast requests end: were it counted, the first ones after a start or a pause
-// would make the pool look many times slower than it is, and those behind them
-// would be refused and told to come back much too late.
-func (c *Admission) takeSlot(now clock.Millis) {
-	if c.window.inFlight == 0 {
-		c.lastEndAt = now
+// takeSlot occupies a slot. Time without any request in flight does not count towards the
+// completion rate: otherwise the first completions after a start or a pause would make the pool
+// look many times slower than it is, and the requests behind them would be refused with far too
+// long a retry delay.
+func (a *Admission) takeSlot(now clock.Millis) {
+	if a.window.inFlight == 0 {
+		a.lastEndAt = now
 	}
-	c.window.inFlight++
+	a.window.inFlight++
 }
 
-// RetryAfter is when a request refused now is told to come back.
-func (c *Admission) RetryAfter(it Item) clock.Millis { return clampRetryAfter(c.expectedWait(it)) }
+// RetryAfter returns the delay after which a request that is refused now should be retried.
+func (a *Admission) RetryAfter(it Item) clock.Millis { return clampRetryAfter(a.expectedWait(it)) }
 
 func clampRetryAfter(d clock.Millis) clock.Millis { return min(max(d, minRetryAfter), maxRetryAfter) }
 
-// Accepted tells that a gate took a started request, and returns who may start now.
-func (c *Admission) Accepted(now clock.Millis) (started, expired []Item) {
-	c.window.grow(now)
-	return c.startNext(now)
+// Accepted records that a gate accepted a started request. It returns the requests that may
+// start now, and those whose deadline has passed.
+func (a *Admission) Accepted(now clock.Millis) (started, expired []Item) {
+	a.window.grow(now)
+	return a.startNext(now)
 }
 
-// Release gives a place back and returns who may start now. Expired lists waiting
-// requests whose callers have given up by now.
-func (c *Admission) Release(now clock.Millis, o Outcome) (started, expired []Item) {
-	c.window.release(now, o)
+// Release frees the slot of a request that has ended. It returns the waiting requests that may
+// start now, and those whose deadline has passed.
+func (a *Admission) Release(now clock.Millis, o Outcome) (started, expired []Item) {
+	a.window.release(now, o)
 	if o != Refused {
-		c.recordEnd(now)
+		a.recordEnd(now)
 	}
-	return c.startNext(now)
+	return a.startNext(now)
 }
 
-func (c *Admission) startNext(now clock.Millis) (started, expired []Item) {
-	for c.window.hasRoom() {
-		it, ok := c.fair.pop()
+func (a *Admission) startNext(now clock.Millis) (started, expired []Item) {
+	for a.window.hasRoom() {
+		it, ok := a.fair.pop()
 		if !ok {
 			break
 		}
@@ -115,21 +115,20 @@
 			expired = append(expired, it)
 			continue
 		}
-		c.takeSlot(now)
+		a.takeSlot(now)
 		started = append(started, it)
 	}
 	return started, expired
 }
 
-// recordEnd smooths the rate of ended requests.
-func (c *Admission) recordEnd(now clock.Millis) {
-	span := max(now-c.lastEndAt, 0)
-	c.lastEndAt = now
-	keep := max(1-float64(span)/float64(rateWindow), 0)
-	c.rate = c.rate*keep + 1/float64(rateWindow)
-	c.observed = min(c.observed+span, rateWindow)
+// recordEnd updates the smoothed completion rate.
+func (a *Admission) recordEnd(now clock.Millis) {
+	elapsed := max(now-a.lastEndAt, 0)
+	a.lastEndAt = now
+	decay := max(1-float64(elapsed)/float64(rateWindow), 0)
+	a.rate = a.rate*decay + 1/float64(rateWindow)
+	a.observed = min(a.observed+elapsed, rateWindow)
 }
 
-// Remove takes out a request that no longer waits; found is false when it has
-// started or was dropped.
-func (c *Admission) Remove(it Item) (found bool) { return c.fair.remove(it) }
+// Remove takes a request out of the queue; found is false if it has started or was dropped.
+func (a *Admission) Remove(it Item) (found bool) { return a.fair.remove(it) }
--- a/limit/core_test.go
+++ b/limit/core_test.go
@@ -12,35 +12,35 @@
 	"pgregory.net/rapid"
 )
 
-// fullAdmission returns a core whose window is full.
+// fullAdmission returns an Admission whose window is full.
 func fullAdmission() *Admission {
-	c := NewAdmission()
+	a := NewAdmission()
 	for i := range int(initialWindow) {
-		c.Arrive(0, Item{ID: "busy-" + strconv.Itoa(i), Deadline: clock.Hour})
+		a.Arrive(0, Item{ID: "busy-" + strconv.Itoa(i), Deadline: clock.Hour})
 	}
-	return c
+	return a
 }
 
 func item(id, org string, weight int) Item {
 	return Item{ID: id, Organisation: org, Weight: weight, Deadline: clock.Hour}
 }
 
-// One organisation sends hundreds of requests at once, another sends a single
-// one after them. The single one must be next but one, not last.
+// One organisation sends hundreds of requests at once, and then another sends a single one. The
+// single one must be among the next two to start, not the last.
 func TestSingleRequestIsNotDelayedByBacklog(t *testing.T) {
 	is := is.New(t)
-	c := fullAdmission()
+	a := fullAdmission()
 	for i := range 300 {
-		c.Arrive(0, item("large-"+strconv.Itoa(i), "large", 1))
+		a.Arrive(0, item("large-"+strconv.Itoa(i), "large", 1))
 	}
-	c.Arrive(0, item("small", "small", 1))
-	one, _ := c.Release(1, Neutral)
-	two, _ := c.Release(1, Neutral)
+	a.Arrive(0, item("small", "small", 1))
+	one, _ := a.Release(1, Neutral)
+	two, _ := a.Release(1, Neutral)
 	is.True(one[0].ID == "small" || two[0].ID == "small")
 }
 
-// Two organisations always have requests waiting. Over time each must get its
-// weight's part, whatever the weights are and however many wait.
+// Two organisations always have requests waiting. Over time each must be served in proportion to
+// its weight.
 func TestServiceIsProportionalToWeights(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		is := is.New(t)
@@ -60,8 +60,8 @@
 	})
 }
 
-// An organisation asks for nothing for an hour and then for much. The hour must
-// not have earned it the pool for itself.
+// An organisation that has been idle for a long time sends many requests. The idle time must not
+// let it take the whole pool.
 func TestIdleTimeEarnsNoCredit(t *testing.T) {
 	is := is.New(t)
 	f := newFairQueue()
@@ -80,8 +80,8 @@
 	is.True(served["steady"] >= 9 && served["steady"] <= 11)
 }
 
-// An organisation marks all it sends as urgent. That may order its own requests
-// only, or everybody would have to do the same.
+// An organisation gives all its requests a high priority. Priority may only order its own
+// requests; otherwise every organisation would have to do the same.
 func TestPriorityOrdersOnlyOwnRequests(t *testing.T) {
 	is := is.New(t)
 	f := newFairQueue()
@@ -106,46 +106,46 @@
 	is.Equal(loud, 5)
 }
 
-// The queue is full of one organisation's requests. Somebody else's request must
-// find room, at the cost of the newest of those, and the bound must hold.
+// The queue is full of one organisation's requests. A request of another organisation must find
+// room by evicting the newest of those, and the queue must stay within its bound.
 func TestFullQueueDropsFromLongestQueue(t *testing.T) {
 	is := is.New(t)
-	c := fullAdmission()
+	a := fullAdmission()
 	for i := range maxWaiting {
-		v, _, _ := c.Arrive(0, item("large-"+strconv.Itoa(i), "large", 1))
+		v, _, _ := a.Arrive(0, item("large-"+strconv.Itoa(i), "large", 1))
 		is.Equal(v, Wait)
 	}
-	v, _, dropped := c.Arrive(0, item("small", "small", 1))
+	v, _, dropped := a.Arrive(0, item("small", "small", 1))
 	is.Equal(v, Wait)
 	is.Equal(dropped[0].ID, "large-"+strconv.Itoa(maxWaiting-1))
-	v, _, _ = c.Arrive(0, item("late", "large", 1))
+	v, _, _ = a.Arrive(0, item("late", "large", 1))
 	is.Equal(v, Refuse)
-	is.Equal(c.fair.size, maxWaiting)
+	is.Equal(a.fair.size, maxWaiting)
 }
 
-// The pool ends ten requests a second and fifty wait. One that has a second left
-// can only give up; it must hear so at once, and when to come back.
+// The pool completes ten requests a second and fifty are waiting. A request with one second left
+// cannot start in time; it must be refused at once, with the delay after which to retry.
 func TestWaitBeyondDeadlineIsRefusedAtOnce(t *testing.T) {
 	is := is.New(t)
-	c := fullAdmission()
+	a := fullAdmission()
 	now := clock.Millis(0)
 	for i := range 50 {
-		c.Arrive(now, item("w"+strconv.Itoa(i), "o", 1))
+		a.Arrive(now, item("w"+strconv.Itoa(i), "o", 1))
 	}
 	for range 40 {
 		now += 100
-		c.Release(now, Neutral)
-		c.Arrive(now, item("n"+strconv.Itoa(int(now)), "o", 1))
+		a.Release(now, Neutral)
+		a.Arrive(now, item("n"+strconv.Itoa(int(now)), "o", 1))
 	}
 	it := item("hurry", "o", 1)
 	it.Deadline = now + clock.Second
-	v, retry, _ := c.Arrive(now, it)
+	v, retry, _ := a.Arrive(now, it)
 	is.Equal(v, Refuse)
 	is.True(retry > 2*clock.Second && retry < 10*clock.Second)
 }
 
-// A pool runs dry and every attempt fails. The entry may try again only for one
-// request in ten, beside what it had saved up.
+// A pool is saturated and every attempt fails. Retries must stay within one per ten requests
+// plus the burst.
 func TestRetriesStayWithinBudget(t *testing.T) {
 	is := is.New(t)
 	r := NewRetryBudget()
@@ -164,8 +164,8 @@
 	is.True(tries > requests)
 }
 
-// Gates refuse for a while, then take work again. The window must fall fast and
-// come back to near where it was without creeping up one by one.
+// Gates refuse requests for a while and then accept them again. The window must shrink fast, and
+// recover to about its old size without growing by only one slot at a time.
 func TestWindowRecoversAfterSaturation(t *testing.T) {
 	is := is.New(t)
 	w := window{size: 50}
@@ -178,7 +178,7 @@
 	is.Equal(w.size, minWindow)
 	w.inFlight = int(w.size)
 	w.grow(now + growthPause)
-	is.Equal(w.size, minWindow) // it rests first
+	is.Equal(w.size, minWindow) // no growth during the pause
 	for range 60 {
 		w.inFlight = int(w.size)
 		w.grow(now + growthPause + 1)
@@ -186,37 +186,36 @@
 	is.True(w.size > 50)
 }
 
-// The window lies above what the gates hold, and many requests wait. Each one
-// refused must not start the next, or the whole queue would be refused within
-// the time of a few hops.
+// The window is larger than what the gates accept, and many requests wait. A refused request
+// must not start the next one, or the whole queue would be refused within a few round trips.
 func TestRefusalStartsNoWaitingRequest(t *testing.T) {
 	is := is.New(t)
-	c := fullAdmission()
+	a := fullAdmission()
 	for i := range 100 {
-		c.Arrive(0, item("w"+strconv.Itoa(i), "o", 1))
+		a.Arrive(0, item("w"+strconv.Itoa(i), "o", 1))
 	}
 	started := 0
 	for now := range clock.Millis(30) {
-		s, _ := c.Release(cutInterval+now, Refused)
+		s, _ := a.Release(cutInterval+now, Refused)
 		started += len(s)
 	}
 	is.Equal(started, 0)
 }
 
-// An entry starts before a large pool whose requests run for minutes. None has
-// ended yet, and still the window must not hold back what the gates take.
+// An entry starts in front of a large pool whose requests run for minutes. Although none has
+// ended yet, the window must not hold back requests that the gates accept.
 func TestWindowGrowsBeforeRequestsEnd(t *testing.T) {
 	is := is.New(t)
-	c := NewAdmission()
+	a := NewAdmission()
 	for i := range 1000 {
-		v, _, _ := c.Arrive(clock.Millis(i), item(strconv.Itoa(i), "o", 1))
+		v, _, _ := a.Arrive(clock.Millis(i), item(strconv.Itoa(i), "o", 1))
 		is.Equal(v, Start)
-		c.Accepted(clock.Millis(i))
+		a.Accepted(clock.Millis(i))
 	}
 }
 
-// A caller goes away while its request waits. Its place must go to the next one,
-// or the window would shrink by one for good.
+// A caller disconnects while its request waits. Its slot must go to the next request; otherwise
+// the window would shrink by one for good.
 func TestCancelledRequestFreesItsSlot(t *testing.T) {
 	is := is.New(t)
 	queues := NewQueues(clock.System())
@@ -234,30 +233,31 @@
 	is.Equal(q.admission.window.inFlight, int(initialWindow))
 }
 
-// An entry has just started before a cold pool that takes four requests at a
-// time, 100 ms each. Twenty come at once. After the first one has ended the
-// others must wait their half second, not be told to come back in eighteen.
+// An entry has just started in front of a cold pool that runs four requests at a time, 100 ms
+// each, and twenty arrive at once. After the first completion the others must wait their half
+// second. When idle time counted towards the completion rate, they were refused with a retry
+// delay of 18 s.
 func TestFirstCompletionsDoNotLookLikeSlowPool(t *testing.T) {
 	is := is.New(t)
 	for _, pause := range []clock.Millis{0, clock.Minute} {
-		c := NewAdmission()
-		c.window.size = 4
+		a := NewAdmission()
+		a.window.size = 4
 		now := clock.Millis(5000)
 		for round := range 2 {
 			for i := range 4 {
-				v, _, _ := c.Arrive(now, Item{ID: fmt.Sprint(round, "-", i), Organisation: "o", Weight: 1, Deadline: now + clock.Hour})
+				v, _, _ := a.Arrive(now, Item{ID: fmt.Sprint(round, "-", i), Organisation: "o", Weight: 1, Deadline: now + clock.Hour})
 				is.Equal(v, Start)
 			}
 			now += 100
-			c.Release(now, Served)
+			a.Release(now, Served)
 			for i := range 16 {
-				v, retry, _ := c.Arrive(now, Item{ID: fmt.Sprint(round, "+", i), Organisation: "o", Weight: 1, Deadline: now + clock.Hour})
-				is.True(v != Refuse) // it would be free in half a second
+				v, retry, _ := a.Arrive(now, Item{ID: fmt.Sprint(round, "+", i), Organisation: "o", Weight: 1, Deadline: now + clock.Hour})
+				is.True(v != Refuse) // a slot is free within half a second
 				is.Equal(retry, clock.Millis(0))
 			}
-			for c.window.inFlight > 0 {
+			for a.window.inFlight > 0 {
 				now += 25
-				c.Release(now, Served)
+				a.Release(now, Served)
 			}
 			now += pause
 		}
--- a/limit/queue.go
+++ b/limit/queue.go
@@ -9,23 +9,23 @@
 	"github.com/parsleydeal/parsleydeal/refusal"
 )
 
-// maxQueues bounds the pools with a queue of their own; one more shares the
-// queue without a name.
+// maxQueues bounds the pools with a queue of their own; all further pools share the queue of the
+// empty name.
 const maxQueues = 256
 
-// Queues holds the queue of each version or plain service.
+// Queues holds one queue for each model version or plain service. It is safe for concurrent use.
 type Queues struct {
 	clock  clock.Clock
 	mu     sync.Mutex
 	queues map[string]*Queue
 }
 
-// NewQueues makes no queue yet.
+// NewQueues returns an empty set of queues.
 func NewQueues(c clock.Clock) *Queues {
 	return &Queues{clock: c, queues: make(map[string]*Queue)}
 }
 
-// For returns the queue of a name.
+// For returns the queue of a version or service, and creates it if needed.
 func (q *Queues) For(name string) *Queue {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -40,25 +40,25 @@
 	return queue
 }
 
-// Queue lets requests start as a Core says.
+// Queue blocks requests until its Admission lets them start. It is safe for concurrent use.
 type Queue struct {
 	clock     clock.Clock
 	mu        sync.Mutex
 	admission *Admission
-	// waiting holds a channel for each request that waits: nil on it means
-	// start.
+	// waiting holds one channel for each waiting request: nil lets it start, an error refuses
+	// it.
 	waiting map[string]chan error
 }
 
-// Acquire waits for a place. It returns a refusal as soon as it is clear that
-// none will come in time; a request that entered must call Leave once.
+// Acquire waits for a slot. It returns a refusal as soon as it is clear that none will be free
+// in time, or if ctx ends first. After a nil error the caller must call Release exactly once.
 func (q *Queue) Acquire(ctx context.Context, it Item) (err error) {
 	ready, err := q.arrive(it)
 	if err != nil || ready == nil {
 		return err
 	}
-	limit := min(it.Deadline-q.clock.Now(), maxWait)
-	t := time.NewTimer(limit.Duration())
+	timeout := min(it.Deadline-q.clock.Now(), maxWait)
+	t := time.NewTimer(timeout.Duration())
 	defer t.Stop()
 	select {
 	case err = <-ready:
@@ -85,13 +85,13 @@
 	return ready, nil
 }
 
-func saturated(why string, retry clock.Millis) error {
-	return refusal.New(refusal.Saturated, why).WithRetryAfter(retry)
+func saturated(reason string, retry clock.Millis) error {
+	return refusal.New(refusal.Saturated, reason).WithRetryAfter(retry)
 }
 
-func (q *Queue) refuse(items []Item, why string) {
+func (q *Queue) refuse(items []Item, reason string) {
 	for _, it := range items {
-		q.notify(it, saturated(why, q.admission.RetryAfter(it)))
+		q.notify(it, saturated(reason, q.admission.RetryAfter(it)))
 	}
 }
 
@@ -102,8 +102,8 @@
 	}
 }
 
-// giveUp leaves the queue. The place may have come at the same moment; then it
-// is used, or given back when the caller is gone.
+// giveUp takes a request out of the queue. If it was granted a slot at the same moment, it uses
+// the slot, or releases it if the caller has disconnected.
 func (q *Queue) giveUp(ctx context.Context, it Item, ready chan error) (err error) {
 	q.mu.Lock()
 	found := q.admission.Remove(it)
@@ -122,14 +122,14 @@
 	return saturated("no place was free in time", retry)
 }
 
-// Accepted tells that a gate took a request which entered.
+// Accepted records that a gate accepted a request that holds a slot.
 func (q *Queue) Accepted() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.dispatch(q.admission.Accepted(q.clock.Now()))
 }
 
-// Release gives a place back.
+// Release frees the slot of a request that has ended.
 func (q *Queue) Release(o Outcome) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/limit/retries.go
+++ b/limit/retries.go
@@ -1,21 +1,21 @@
-// Package limit keeps load in bounds at an entry: a budget of retries, and a
-// queue that shares what a pool can take fairly among organisations.
+// Package limit bounds the load that an entry puts on pools: retry budgets, and a queue that
+// shares the capacity of a pool fairly among organisations.
 package limit
 
 import "sync"
 
 const (
-	// retryRatio is how many retries a request earns.
+	// retryRatio is how many retries each request adds to the budget.
 	retryRatio = 0.1
-	// retryBurst is how many may be saved up, so that a site with little traffic
-	// can leave a lost endpoint too.
+	// retryBurst bounds the budget that accumulates, so that a site with little traffic can also
+	// move requests away from an unreachable endpoint.
 	retryBurst = 10.0
 )
 
-// RetryBudget is the budget of one entry. When a pool runs dry every attempt fails
-// and asks for another one; without a budget the load on what is left would
-// multiply by the attempts allowed (a retry storm), and the pool could not come
-// back. Over n requests there are at most n*ratio + burst retries.
+// RetryBudget bounds the retries of one entry. When a pool is saturated, every attempt fails and
+// would be retried; without a budget the load on the remaining capacity would be multiplied by
+// the number of allowed attempts (a retry storm), and the pool could not recover. Over n
+// requests there are at most n*ratio + burst retries. It is safe for concurrent use.
 type RetryBudget struct {
 	mu sync.Mutex
 	// tokens is between 0 and burst.
@@ -24,23 +24,23 @@
 	burst  float64
 }
 
-// NewRetryBudget makes a full budget with the usual bounds.
+// NewRetryBudget returns a full budget with the default ratio and burst.
 func NewRetryBudget() *RetryBudget { return NewRetryBudgetWith(retryRatio, retryBurst) }
 
-// NewRetryBudgetWith makes a full budget in which a request earns a part of a retry
-// and at most burst retries are saved up.
+// NewRetryBudgetWith returns a full budget to which each request adds ratio retries, up to
+// burst.
 func NewRetryBudgetWith(ratio, burst float64) *RetryBudget {
 	return &RetryBudget{tokens: burst, ratio: ratio, burst: burst}
 }
 
-// RecordRequest counts a request.
+// RecordRequest adds a request's share of a retry to the budget.
 func (r *RetryBudget) RecordRequest() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.tokens = min(r.tokens+r.ratio, r.burst)
 }
 
-// TryRetry reports whether one more attempt is allowed.
+// TryRetry takes one retry from the budget and reports whether it was available.
 func (r *RetryBudget) TryRetry() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/limit/share.go
+++ b/limit/share.go
@@ -6,17 +6,17 @@
 	"github.com/parsleydeal/parsleydeal/clock"
 )
 
-// Share bounds the attempts beyond the first by the requests of the same span:
-// in each span there are at most ratio times its requests, and slack more. It
-// keeps one entry's share of a bound that holds over sliding spans for all of
-// them, and unlike Retries lets a busy span make up for a quiet one within it.
+// Share bounds retries relative to the requests of the same sliding window: each window allows
+// at most ratio times its requests plus slack. It is one entry's share of a bound on all
+// entries. Unlike RetryBudget, it lets a busy part of the window use what a quiet part left
+// over. It is safe for concurrent use.
 type Share struct {
 	mu           sync.Mutex
 	windowLength clock.Millis
 	ratio        float64
 	slack        float64
-	// buckets holds the counts of a span, one for each part of it; at is the number
-	// of the part that is counted now.
+	// buckets holds the counts of one window, and current is the number of the newest bucket,
+	// counted from time 0.
 	buckets [windowBuckets + 1]bucket
 	current clock.Millis
 }
@@ -26,14 +26,13 @@
 	retries  int
 }
 
-// windowBuckets is how finely a span is parted. Extra attempts are remembered for
-// one part more than requests, so that the bound holds for every span, wherever
-// in a part it begins.
+// windowBuckets is the number of buckets in a window. Retries are kept for one bucket longer
+// than requests, so that the bound holds for every window, wherever in a bucket it begins.
 const windowBuckets = 10
 
-// NewShare makes a share that has seen nothing.
-func NewShare(span clock.Millis, ratio, slack float64) *Share {
-	return &Share{windowLength: span, ratio: ratio, slack: slack}
+// NewShare returns a Share without requests.
+func NewShare(windowLength clock.Millis, ratio, slack float64) *Share {
+	return &Share{windowLength: windowLength, ratio: ratio, slack: slack}
 }
 
 // RecordRequest counts a request.
@@ -43,19 +42,19 @@
 	s.advance(now).requests++
 }
 
-// TryRetry counts one more attempt, if it is allowed.
+// TryRetry counts a retry if it is allowed, and reports whether it is.
 func (s *Share) TryRetry(now clock.Millis) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	slot := s.advance(now)
+	b := s.advance(now)
 	if !s.hasRoom() {
 		return false
 	}
-	slot.retries++
+	b.retries++
 	return true
 }
 
-// CanRetry reports whether one more attempt would be allowed.
+// CanRetry reports whether a retry would be allowed now, without counting it.
 func (s *Share) CanRetry(now clock.Millis) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -64,23 +63,23 @@
 }
 
 func (s *Share) hasRoom() bool {
-	requests, extra := 0, 0
+	requests, retries := 0, 0
 	for i, x := range s.buckets {
-		extra += x.retries
+		retries += x.retries
 		if clock.Millis(i) != (s.current+1)%clock.Millis(len(s.buckets)) {
 			requests += x.requests
 		}
 	}
-	return float64(extra+1) <= s.ratio*float64(requests)+s.slack
+	return float64(retries+1) <= s.ratio*float64(requests)+s.slack
 }
 
-// advance forgets what lies outside the span and returns the part of now.
+// advance clears the buckets that are older than the window and returns the current one.
 func (s *Share) advance(now clock.Millis) *bucket {
-	at := now / max(s.windowLength/windowBuckets, 1)
+	number := now / max(s.windowLength/windowBuckets, 1)
 	n := clock.Millis(len(s.buckets))
-	for i := s.current + 1; i <= at && i <= s.current+n; i++ {
+	for i := s.current + 1; i <= number && i <= s.current+n; i++ {
 		s.buckets[i%n] = bucket{}
 	}
-	s.current = max(s.current, at)
+	s.current = max(s.current, number)
 	return &s.buckets[s.current%n]
 }
--- a/limit/share_test.go
+++ b/limit/share_test.go
@@ -8,15 +8,15 @@
 	"pgregory.net/rapid"
 )
 
-// An outage makes every request ask for more attempts. Whatever the requests'
-// pattern, no span has more of them than its bound.
+// An outage makes every request ask for retries. Whatever the arrival pattern, no window may
+// contain more retries than the bound.
 func TestShareHoldsInEverySpan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const span = 10 * clock.Second
 		s := NewShare(span, 0.6, 5)
 		type step struct {
 			at    clock.Millis
-			extra bool
+			retry bool
 		}
 		var steps []step
 		now := clock.Millis(0)
@@ -31,31 +31,31 @@
 			}
 		}
 		for i := range steps {
-			requests, extra := 0, 0
+			requests, retries := 0, 0
 			for j := i; j < len(steps) && steps[j].at-steps[i].at < span; j++ {
-				if steps[j].extra {
-					extra++
+				if steps[j].retry {
+					retries++
 				} else {
 					requests++
 				}
 			}
-			// The bound counts the requests of this span or the one before it.
+			// The bound counts the requests of this window or the one before it.
 			before := 0
 			for j := range i {
-				if steps[i].at-steps[j].at <= span && !steps[j].extra {
+				if steps[i].at-steps[j].at <= span && !steps[j].retry {
 					before++
 				}
 			}
-			if float64(extra) > 0.6*float64(requests+before)+5 {
-				t.Fatalf("%d extra for %d requests, %d before", extra, requests, before)
+			if float64(retries) > 0.6*float64(requests+before)+5 {
+				t.Fatalf("%d retries for %d requests, %d before", retries, requests, before)
 			}
 		}
 	})
 }
 
-// Half of the answers of a few seconds are poor, as after a run of good ones.
-// With a small entry's share of the slack a bucket of tokens would let less than
-// a third of them be asked again, though the span as a whole allows it.
+// After a run of good answers, half of the answers of a few seconds are poor. With a small
+// entry's share of the slack, a token bucket would let fewer than a third of them be retried,
+// though the window as a whole allows it.
 func TestShareCarriesUnusedRetriesWithinWindow(t *testing.T) {
 	is := is.New(t)
 	s := NewShare(10*clock.Second, 0.63, 1.7)
--- a/limit/window.go
+++ b/limit/window.go
@@ -6,13 +6,13 @@
 	initialWindow = 64.0
 	minWindow     = 2.0
 	maxWindow     = 4096.0
-	// cutFactor is what a refusal for want of room leaves of the window, at most
-	// once in cutEvery.
+	// cutFactor is the factor by which a refusal for lack of room shrinks the window, at most
+	// once per cutInterval.
 	cutFactor   = 0.95
 	cutInterval = 100 * clock.Millis(1)
-	// growthPause is how long the window rests after a refusal. Growing at once would
-	// find the gates full at each turn, and what they refuse is lost to its caller,
-	// whoever's turn it was.
+	// growthPause is how long the window does not grow after a refusal. If it grew at once, it
+	// would overfill the gates again each time, and the requests that they refuse fail for their
+	// callers.
 	growthPause = clock.Second
 )
 
@@ -21,21 +21,22 @@
 
 // The outcomes.
 const (
-	// Served requests ended after they were taken.
+	// Served requests were accepted by a gate and ended.
 	Served Outcome = iota
 	// Refused requests found no room at the gates.
 	Refused
-	// Neutral ends say nothing of the pool's room.
+	// Neutral requests show nothing about the capacity of the pool.
 	Neutral
 )
 
-// window bounds what an entry has under way at one pool. It grows while gates
-// take the work and shrinks when they refuse it, so that all entries together
-// settle at what the gates' own windows allow.
+// window bounds the requests that an entry has in flight at one pool. It grows while gates
+// accept requests and shrinks when they refuse them, so that the windows of all entries converge
+// to what the gates' own windows allow.
 type window struct {
 	size     float64
 	inFlight int
-	// lastCutAt is the last cut by a part, refusedAt the last refusal.
+	// lastCutAt is the time of the last cut by cutFactor, lastRefusedAt that of the last
+	// refusal.
 	lastCutAt     clock.Millis
 	lastRefusedAt clock.Millis
 }
@@ -49,21 +50,21 @@
 	w.inFlight--
 }
 
-// grow widens the window for a request that a gate took. Counting taken rather
-// than ended requests lets an entry that just started widen it as fast as
-// requests come, also when each runs for a minute.
+// grow widens the window for a request that a gate accepted. Counting accepted rather than ended
+// requests lets an entry that has just started widen the window as fast as requests arrive, even
+// if each runs for a minute.
 func (w *window) grow(now clock.Millis) {
-	const busy = 0.5
-	if float64(w.inFlight) <= busy*w.size || w.lastRefusedAt > 0 && now-w.lastRefusedAt <= growthPause {
+	const busyFraction = 0.5
+	if float64(w.inFlight) <= busyFraction*w.size || w.lastRefusedAt > 0 && now-w.lastRefusedAt <= growthPause {
 		return
 	}
 	w.size = min(w.size+1, maxWindow)
 }
 
-// shrink narrows the window to what the gates hold without the refused request, so
-// that its place does not pull the next one out of the queue and into the same
-// refusal; and once in cutEvery by a part, so that entries that share a pool
-// come to share it evenly.
+// shrink narrows the window to the requests in flight without the refused one, so that the freed
+// slot does not start the next waiting request, which would be refused too. Once per cutInterval
+// it also multiplies the window by cutFactor, so that entries sharing a pool converge to equal
+// windows.
 func (w *window) shrink(now clock.Millis) {
 	w.lastRefusedAt = now
 	w.size = max(min(w.size, float64(w.inFlight-1)), minWindow)
