--- a/session/session.go
+++ b/session/session.go
@@ -1,5 +1,5 @@
-// Package session signs the tokens by which a session keeps its version. The
-// caller carries the token, so no process has a table of sessions to lose.
+// Package session signs the tokens that pin a session to a model version. The caller carries the
+// token, so no process keeps a session table that it could lose.
 package session
 
 import (
@@ -17,51 +17,50 @@
 // Errors is the namespace of this package's errors.
 var Errors = errorx.NewNamespace("session")
 
-// ErrRejected marks a token that this system did not sign for this caller, or
-// too long ago.
+// ErrRejected marks a token that is malformed, was not signed with one of the keys, has expired,
+// or was issued in the future.
 var ErrRejected = Errors.NewType("rejected")
 
 const (
-	// MaxTokenBytes bounds a token; longer text is rejected unread.
+	// MaxTokenBytes bounds a token; longer text is rejected without being parsed.
 	MaxTokenBytes = 4096
-	// ClockTolerance is how far the wall clocks of two entries may differ. Within it
-	// neither accepts or rejects a token wrongly, but for the token's last
-	// minutes.
+	// ClockTolerance is how far the wall clocks of two entries may differ. Up to that difference
+	// no entry wrongly accepts or rejects a token, except in the last minutes of the token's
+	// lifetime.
 	ClockTolerance = 10 * clock.Minute
-	// DefaultLifetime is how long a session lasts that nobody uses.
+	// DefaultLifetime is how long an unused session lasts.
 	DefaultLifetime = 24 * clock.Hour
-	// purpose is signed along, so that no other signature under the same secret
-	// passes for a token's.
+	// purpose is part of the signed text, so that no other signature made with the same secret
+	// is valid for a token.
 	purpose = "parsleydeal session 1"
 )
 
-// Token is what a session remembers.
+// Token is the state of a session.
 type Token struct {
 	ID           string `json:"id"`
 	Organisation string `json:"organisation"`
 	Route        string `json:"route"`
-	// Version is the version that the session keeps.
+	// Version is the model version that the session is pinned to.
 	Version string `json:"version"`
 	// CacheVM is the VM that holds the session's cache.
 	CacheVM string `json:"home"`
-	// Issued is when the token was signed, in seconds of the signer's wall
-	// clock since 1970. Each answer carries a token signed anew.
+	// Issued is when the token was signed, in seconds of the signer's wall clock since 1970.
+	// Each answer carries a newly signed token.
 	Issued int64 `json:"issued"`
 }
 
-// Keys signs and verifies tokens. All entries have the same secrets; a new one
-// is given to all before it becomes current, and an old one is taken away after
-// a lifetime.
+// Keys signs and verifies tokens. All entries have the same secrets. To rotate, a new secret is
+// given to all entries before it becomes current, and the old one is removed after a lifetime.
 type Keys struct {
 	secrets  map[string][]byte
 	current  string
 	lifetime clock.Millis
-	// wallClock reads the wall clock, in seconds since 1970. Instants of two VMs are
-	// compared by it only up to Tolerance.
+	// wallClock returns the wall clock time in seconds since 1970. Times of two VMs are
+	// comparable only up to ClockTolerance.
 	wallClock func() int64
 }
 
-// NewKeys makes keys from secrets by name; current names the one that signs.
+// NewKeys returns keys with the given secrets by key name; current names the key that signs.
 func NewKeys(secrets map[string]string, current string) *Keys {
 	k := &Keys{
 		secrets: make(map[string][]byte), current: current, lifetime: DefaultLifetime,
@@ -73,8 +72,7 @@
 	return k
 }
 
-// WithLifetime returns the keys with another lifetime of unused sessions; 0
-// leaves it.
+// WithLifetime sets the lifetime of unused sessions and returns k; d <= 0 leaves it unchanged.
 func (k *Keys) WithLifetime(d clock.Millis) *Keys {
 	if d > 0 {
 		k.lifetime = d
@@ -82,13 +80,13 @@
 	return k
 }
 
-// WithWallClock returns the keys with another wall clock, in seconds since 1970.
-func (k *Keys) WithWallClock(wall func() int64) *Keys {
-	k.wallClock = wall
+// WithWallClock sets the wall clock, which returns seconds since 1970, and returns k.
+func (k *Keys) WithWallClock(wallClock func() int64) *Keys {
+	k.wallClock = wallClock
 	return k
 }
 
-// Sign writes a token as "key.payload.signature", issued now.
+// Sign encodes a token as "key.payload.signature", issued now.
 func (k *Keys) Sign(t Token) (text string, err error) {
 	t.Issued = k.wallClock()
 	data, err := json.Marshal(t)
@@ -99,7 +97,8 @@
 	return k.current + "." + payload + "." + k.mac(k.current, payload), nil
 }
 
-// Verify reads a token that one of the keys signed within a lifetime.
+// Verify decodes a token that was signed with one of the keys within the lifetime. Every error
+// is an ErrRejected.
 func (k *Keys) Verify(text string) (t Token, err error) {
 	payload, err := k.verifySignature(text)
 	if err != nil {
@@ -118,8 +117,8 @@
 	return t, nil
 }
 
-// verifySignature returns the payload of a token whose signature is right. Nothing in
-// the token is read before that.
+// verifySignature returns the payload of a correctly signed token. The payload is not decoded
+// before the signature is verified.
 func (k *Keys) verifySignature(text string) (payload string, err error) {
 	if len(text) > MaxTokenBytes {
 		return "", ErrRejected.New("token has %d bytes, at most %d are allowed", len(text), MaxTokenBytes)
@@ -149,8 +148,8 @@
 	return s[:i], s[i+1:], true
 }
 
-// checkAge rejects a token that is too old. One from the future beyond what clocks
-// may differ is rejected too: it would outlive every lifetime.
+// checkAge rejects a token that is too old. It also rejects one issued further in the future
+// than clocks may differ, which would outlive its lifetime.
 func (k *Keys) checkAge(issued int64) error {
 	const perSecond = int64(clock.Second)
 	now := k.wallClock()
--- a/session/session_test.go
+++ b/session/session_test.go
@@ -21,8 +21,8 @@
 
 var token = Token{ID: "s", Organisation: "desk", Route: "dossier", Version: "large@2", CacheVM: "endpoint-1"}
 
-// Operators rotate the key while sessions go on: entries that have the new
-// secret read tokens of the old one until it is taken away.
+// Operators rotate the key during sessions: entries that have the new secret must accept tokens
+// signed with the old one until it is removed.
 func TestRotationKeepsSessions(t *testing.T) {
 	is := is.New(t)
 	now := start
@@ -39,11 +39,11 @@
 	_, err = after.Verify(again)
 	is.NoErr(err)
 	_, err = after.Verify(text)
-	is.True(err != nil) // the old secret is gone
+	is.True(err != nil) // the old secret has been removed
 }
 
-// Two entries' wall clocks differ by minutes: neither may cut a session that
-// the other has just signed. A session that is used lasts; an unused one ends.
+// The wall clocks of two entries differ by minutes: neither may end a session that the other has
+// just signed. A session that is used must last; an unused one must expire.
 func TestExpiryToleratesClockSkew(t *testing.T) {
 	is := is.New(t)
 	now := start
@@ -62,8 +62,8 @@
 	}
 }
 
-// A caller changes a token to reach a version or another's session. Every
-// change of any byte is refused, as is a token of another secret.
+// A caller modifies a token to reach another version or another caller's session. A change of
+// any byte must be rejected, as must a token signed with another secret.
 func TestForgedTokensAreRefused(t *testing.T) {
 	now := start
 	k := keysAt(&now, "a", map[string]string{"a": oldSecret})
@@ -85,7 +85,7 @@
 	})
 }
 
-// FuzzVerify reads hostile text: no crash, and nothing unsigned is accepted.
+// FuzzVerify checks that hostile text causes no crash and that nothing unsigned is accepted.
 func FuzzVerify(f *testing.F) {
 	now := start
 	k := keysAt(&now, "a.b", map[string]string{"a.b": oldSecret, "": newSecret})
