--- a/upstream/pool.go
+++ b/upstream/pool.go
@@ -13,31 +13,30 @@
 )
 
 const (
-	// connectTimeout bounds the making of a connection. Within a region one takes
-	// a few milliseconds; an endpoint without power does not answer at all.
+	// connectTimeout bounds connecting. Within a region it takes a few milliseconds; an endpoint
+	// without power does not answer at all.
 	connectTimeout = 300 * clock.Millis(1)
 	// readBufferSize fits the head of an answer and the events of a stream.
 	readBufferSize = 4 << 10
-	// unackedTimeout is how long sent bytes may stay unacknowledged before the
-	// connection counts as broken.
+	// unackedTimeout is how long sent bytes may stay unacknowledged before the connection counts
+	// as broken.
 	unackedTimeout = 3 * clock.Second
 )
 
-// Pool keeps idle connections to endpoints. It is safe for use by many
-// goroutines.
+// Pool keeps idle connections to endpoints. It is safe for concurrent use.
 type Pool struct {
 	clock  clock.Clock
 	dialer net.Dialer
 	mu     sync.Mutex
-	// idle holds at most as many connections of each address as the last call to it
-	// allowed, the one used last at the end.
+	// idle holds the idle connections by address, at most as many as the last call to the
+	// address allowed, the most recently used last.
 	idle map[string][]*conn
-	// openConns counts the connections open, made those ever made.
+	// openConns counts the connections that are open, totalConns all that were ever opened.
 	openConns  atomic.Int64
 	totalConns atomic.Int64
 }
 
-// NewPool makes an empty pool.
+// NewPool returns an empty pool.
 func NewPool(c clock.Clock) *Pool {
 	return &Pool{clock: c, dialer: net.Dialer{Timeout: connectTimeout.Duration(), KeepAlive: -1}, idle: make(map[string][]*conn)}
 }
@@ -45,7 +44,7 @@
 // OpenConns returns the number of open connections.
 func (p *Pool) OpenConns() int64 { return p.openConns.Load() }
 
-// TotalConns returns the number of connections ever made.
+// TotalConns returns the number of connections ever opened.
 func (p *Pool) TotalConns() int64 { return p.totalConns.Load() }
 
 func (p *Pool) acquire(ctx context.Context, call Call) (c *conn, err error) {
@@ -60,14 +59,14 @@
 		}
 		c.release(false)
 	}
-	raw, err := p.dialer.DialContext(ctx, "tcp4", call.Address)
+	netConn, err := p.dialer.DialContext(ctx, "tcp4", call.Address)
 	if err != nil {
 		return nil, err
 	}
 	p.openConns.Add(1)
 	p.totalConns.Add(1)
-	setUnackedTimeout(raw)
-	c = &conn{net: raw, r: bufio.NewReaderSize(raw, readBufferSize), pool: p, address: call.Address, maxIdle: call.MaxIdle}
+	setUnackedTimeout(netConn)
+	c = &conn{net: netConn, r: bufio.NewReaderSize(netConn, readBufferSize), pool: p, address: call.Address, maxIdle: call.MaxIdle}
 	if err = c.watchNew(call.SettleTime); err != nil {
 		c.release(false)
 		return nil, err
@@ -75,12 +74,13 @@
 	return c, nil
 }
 
-// watchNew watches a new connection for a while, and fails if the endpoint ends it.
-func (c *conn) watchNew(span clock.Millis) (err error) {
-	if span <= 0 {
+// watchNew waits for a short time on a new connection and fails if the endpoint closes it or
+// sends anything.
+func (c *conn) watchNew(d clock.Millis) (err error) {
+	if d <= 0 {
 		return nil
 	}
-	if err = c.net.SetReadDeadline(time.Now().Add(span.Duration())); err != nil {
+	if err = c.net.SetReadDeadline(time.Now().Add(d.Duration())); err != nil {
 		return err
 	}
 	if _, err = c.r.Peek(1); !TimedOut(err) {
@@ -89,8 +89,8 @@
 	return c.net.SetReadDeadline(time.Time{})
 }
 
-// errConnRejected tells of a new connection that was ended, or brought bytes, before
-// anything was sent on it.
+// errConnRejected is returned for a new connection that was closed, or on which bytes arrived,
+// before anything was sent on it.
 var errConnRejected = ErrNotSent.New("new connection was not kept open")
 
 func (p *Pool) pop(address string) *conn {
@@ -106,7 +106,7 @@
 }
 
 func (p *Pool) put(c *conn) bool {
-	// A read deadline that has passed would make the next look at it fail.
+	// A read deadline in the past would make the next check of the connection fail.
 	if c.net.SetReadDeadline(time.Time{}) != nil {
 		return false
 	}
@@ -120,16 +120,16 @@
 	return true
 }
 
-// Sweep closes connections that were idle for too long.
+// Sweep closes connections that have been idle for too long. It must be called regularly.
 func (p *Pool) Sweep() {
 	now := p.clock.Now()
-	var old []*conn
+	var expired []*conn
 	p.mu.Lock()
 	for address, all := range p.idle {
 		kept := all[:0]
 		for _, c := range all {
 			if now-c.idleSince > c.idleTimeout {
-				old = append(old, c)
+				expired = append(expired, c)
 			} else {
 				kept = append(kept, c)
 			}
@@ -141,14 +141,14 @@
 		}
 	}
 	p.mu.Unlock()
-	for _, c := range old {
+	for _, c := range expired {
 		c.release(false)
 	}
 }
 
-// usable reports whether an idle connection is open and has brought nothing. One
-// that the endpoint closed would take the request and lose it; on one with bytes
-// that belong to no request the next answer would be a wrong one.
+// usable reports whether an idle connection is open and has no unread bytes. A request sent on a
+// connection that the endpoint has closed would be lost, and with unread bytes that belong to no
+// request the next answer would be a wrong one.
 func (c *conn) usable() bool {
 	if c.r.Buffered() > 0 {
 		return false
@@ -167,8 +167,8 @@
 	return err == nil && quiet
 }
 
-// setUnackedTimeout has the kernel break a connection whose other side no longer
-// acknowledges anything.
+// setUnackedTimeout has the kernel break a connection whose peer no longer acknowledges sent
+// bytes.
 func setUnackedTimeout(c net.Conn) {
 	raw, err := c.(*net.TCPConn).SyscallConn()
 	if err != nil {
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -1,7 +1,6 @@
-// Package upstream sends requests to endpoints over HTTP/1.1 connections of its
-// own. net/http's transport repeats some requests by itself, adds headers and
-// hides which connection an answer came on; a router that must know whether a
-// request may have run can use none of this.
+// Package upstream sends requests to endpoints over its own HTTP/1.1 connections. The transport
+// of net/http retries some requests by itself, adds headers and hides which connection an answer
+// came from, so it does not suit a router that must know whether a request may have run.
 package upstream
 
 import (
@@ -25,15 +24,15 @@
 // Errors is the namespace of this package's errors.
 var Errors = errorx.NewNamespace("upstream")
 
-// Kinds of errors.
+// Types of errors.
 var (
-	// ErrNotSent marks a request of which nothing left this process.
+	// ErrNotSent marks a request of which no byte left this process.
 	ErrNotSent = Errors.NewType("not-sent")
-	// ErrLost marks a request that may have run: its connection broke or fell
-	// silent before the whole answer was in.
+	// ErrLost marks a request that may have run: its connection broke or timed out before the
+	// full answer was received.
 	ErrLost = Errors.NewType("lost")
-	// ErrSilent marks a request that may have run and whose endpoint sent nothing
-	// for too long.
+	// ErrSilent marks a request that may have run, and whose endpoint sent nothing before a
+	// timeout.
 	ErrSilent = ErrLost.NewSubtype("silent")
 )
 
@@ -46,58 +45,59 @@
 	Host   string
 	Header http.Header
 	Body   []byte
-	// HasBody says that a length is sent although the body is empty.
+	// HasBody is true if a Content-Length is sent even for an empty body.
 	HasBody bool
-	// NewConnection asks for a new connection. A kept one may have been closed by the
-	// other side, which shows only after the request was sent on it.
+	// NewConnection requires a new connection. The endpoint may have closed an idle one, which
+	// shows only after the request was sent on it.
 	NewConnection bool
 	// SettleTime is how long a new connection is watched before anything is sent on it. An
-	// endpoint that has as many connections as it takes accepts one more and resets it;
-	// a request that was sent by then may have run as far as its caller can know.
+	// endpoint at its connection limit accepts one more connection and then resets it; a request
+	// already sent by then may have run, as far as this process can know.
 	SettleTime clock.Millis
 	// MaxIdle bounds the idle connections to the address.
 	MaxIdle int
-	// Matches reports whether an answer belongs to this call.
+	// Matches reports whether an answer belongs to this call. Nil accepts every answer.
 	Matches func(h http.Header) bool
-	// FirstByteTimeout is asked how long to wait for the answer's first byte, with what has been
-	// waited already; 0 gives the call up.
+	// FirstByteTimeout returns how much longer to wait for the first byte of the answer after
+	// having waited the given time. A result of 0 or less ends the call.
 	FirstByteTimeout func(waited clock.Millis) clock.Millis
 }
 
-// Answer is an endpoint's answer whose body is still to be read.
+// Answer is an endpoint's answer whose body has not been read yet.
 type Answer struct {
 	Status int
 	Header http.Header
-	// Length is the body's length, or -1 when it is not announced.
+	// Length is the length of the body, or -1 if it is unknown.
 	Length int64
 	conn   *conn
 	body   io.ReadCloser
-	// bodySent is closed when the request's body was sent or could not be.
+	// bodySent is closed when the request has been sent or sending has failed.
 	bodySent chan struct{}
 	sendErr  *atomic.Pointer[error]
 	stop     func() bool
-	// connectTime is how long it took to have a connection.
+	// connectTime is how long it took to get a connection.
 	connectTime clock.Millis
-	// complete is true once the body was read to its end.
+	// complete is true once the body has been read to its end.
 	complete bool
-	// reusable says that the connection may be used again after the answer.
+	// reusable is true if the connection may be used again after the answer.
 	reusable bool
 	closed   bool
 }
 
-// maxSkipped bounds the answers to earlier requests that are passed over on a
-// connection before it is given up.
+// maxSkipped bounds the answers to earlier requests that are skipped on a connection before it
+// is closed.
 const maxSkipped = 2
 
-// Do sends a call and waits for the head of its answer. The connection is closed
-// as soon as the context ends, so that the endpoint stops its work.
+// Do sends a call and waits for the head of its answer. The error is an ErrNotSent, or an
+// ErrLost (with its subtype ErrSilent) if the request may have run. The connection is closed as
+// soon as ctx ends, so that the endpoint stops its work. The caller must close the answer.
 func (p *Pool) Do(ctx context.Context, call Call) (a *Answer, err error) {
-	begun := p.clock.Now()
+	start := p.clock.Now()
 	c, err := p.acquire(ctx, call)
 	if err != nil {
 		return nil, ErrNotSent.Wrap(err, "connect to %s", call.Address)
 	}
-	a = &Answer{conn: c, connectTime: p.clock.Since(begun), bodySent: make(chan struct{}), sendErr: &atomic.Pointer[error]{}}
+	a = &Answer{conn: c, connectTime: p.clock.Since(start), bodySent: make(chan struct{}), sendErr: &atomic.Pointer[error]{}}
 	a.stop = context.AfterFunc(ctx, func() { _ = c.net.Close() })
 	go a.send(call)
 	if err = a.awaitFirstByte(call); err == nil {
@@ -113,21 +113,21 @@
 	return nil, ErrLost.Wrap(err, "no answer from %s", call.Address)
 }
 
-// ConnectTime returns how long it took to have a connection; 0 for a kept one.
+// ConnectTime returns how long it took to get a connection; about 0 for an idle one.
 func (a *Answer) ConnectTime() clock.Millis { return a.connectTime }
 
-// headTimeout bounds the rest of a head once its first byte is there.
+// headTimeout bounds the rest of a head after its first byte.
 const headTimeout = 2 * clock.Second
 
-// awaitFirstByte waits for the first byte of the answer for as long as the call says.
+// awaitFirstByte waits for the first byte of the answer for as long as the call allows.
 func (a *Answer) awaitFirstByte(call Call) (err error) {
-	begun := a.conn.pool.clock.Now()
+	start := a.conn.pool.clock.Now()
 	for {
-		left := call.FirstByteTimeout(a.conn.pool.clock.Since(begun))
-		if left <= 0 {
+		remaining := call.FirstByteTimeout(a.conn.pool.clock.Since(start))
+		if remaining <= 0 {
 			return os.ErrDeadlineExceeded
 		}
-		if err = a.SetReadTimeout(left); err != nil {
+		if err = a.SetReadTimeout(remaining); err != nil {
 			return err
 		}
 		_, err = a.conn.r.Peek(1)
@@ -140,13 +140,13 @@
 	}
 }
 
-// TimedOut reports whether an error is that of a wait that took too long.
+// TimedOut reports whether err is a timeout.
 func TimedOut(err error) bool {
 	var t interface{ Timeout() bool }
 	return errors.As(err, &t) && t.Timeout()
 }
 
-// send writes the request beside the reading of its answer: an endpoint may
+// send writes the request concurrently with the reading of its answer, because an endpoint may
 // answer before it has read a long body.
 func (a *Answer) send(call Call) {
 	defer close(a.bodySent)
@@ -156,7 +156,7 @@
 	}
 }
 
-// encode writes a request with the headers given and nothing else but a length.
+// encode writes a request with the given headers and no others, except Host and Content-Length.
 func encode(call Call) []byte {
 	var b bytes.Buffer
 	b.Grow(len(call.Body) + 1024)
@@ -188,8 +188,8 @@
 			a.setHead(resp)
 			return nil
 		}
-		// An answer to an earlier request on this connection. It must not reach
-		// this caller, and the own one may follow it.
+		// This is an answer to an earlier request on this connection. It must not reach this
+		// caller, and the right one may follow.
 		if _, err = io.Copy(io.Discard, resp.Body); err != nil || resp.Close {
 			return errMismatch
 		}
@@ -200,8 +200,8 @@
 
 var errMismatch = errors.New("answer belongs to another request")
 
-// cause prefers what broke the sending to the end of the connection that
-// followed from it.
+// cause returns the error of sending the request, if there was one: the read error that followed
+// is only its consequence.
 func (a *Answer) cause(err error) error {
 	select {
 	case <-a.bodySent:
@@ -215,69 +215,70 @@
 
 func (a *Answer) setHead(resp *http.Response) {
 	a.Status, a.Header, a.Length, a.body = resp.StatusCode, resp.Header, resp.ContentLength, resp.Body
-	// An answer without a length ends with its connection.
+	// An answer without a length ends when its connection is closed.
 	framed := resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0
 	a.reusable = framed && !resp.Close
 	a.conn.setIdleTimeout(resp.Header.Get("Keep-Alive"))
 }
 
-// Read reads the body, waiting at most for the patience that was set last.
+// Read reads the body, within the read timeout that was set last.
 func (a *Answer) Read(buf []byte) (n int, err error) {
 	n, err = a.body.Read(buf)
 	a.complete = a.complete || err == io.EOF
 	return n, err
 }
 
-// SetReadTimeout bounds the wait of the next reads, from now on.
-func (a *Answer) SetReadTimeout(patience clock.Millis) error {
-	return a.conn.net.SetReadDeadline(time.Now().Add(patience.Duration()))
+// SetReadTimeout sets the deadline of all following reads to now plus the timeout.
+func (a *Answer) SetReadTimeout(timeout clock.Millis) error {
+	return a.conn.net.SetReadDeadline(time.Now().Add(timeout.Duration()))
 }
 
-// Close gives the connection back when it is clean, and closes it otherwise,
-// which also stops the endpoint's work.
+// Close returns the connection to the pool if the answer was read completely, and closes it
+// otherwise, which also stops the endpoint's work.
 func (a *Answer) Close() {
 	if a.closed {
 		return
 	}
 	a.closed = true
-	ended := a.stop()
+	active := a.stop()
 	sent := false
 	select {
 	case <-a.bodySent:
 		sent = a.sendErr.Load() == nil
 	default:
 	}
-	// Bytes beyond the answer belong to no request: on this connection the next
-	// answer would not be the next request's.
-	clean := ended && sent && a.complete && a.reusable && !a.conn.dirty && a.conn.r.Buffered() == 0
+	// Bytes after the answer belong to no request: the next request on this connection would
+	// read them as its answer.
+	clean := active && sent && a.complete && a.reusable && !a.conn.dirty && a.conn.r.Buffered() == 0
 	a.conn.release(clean)
 }
 
-// conn is one connection to an endpoint. One call at a time uses it.
+// conn is one connection to an endpoint. It is used by one call at a time.
 type conn struct {
 	net     net.Conn
 	r       *bufio.Reader
 	pool    *Pool
 	address string
-	// dirty connections have brought bytes that belonged to no request.
+	// dirty is true once an answer to an earlier request was skipped on this connection.
 	dirty bool
-	// maxIdle bounds the idle connections to the endpoint, by the last call.
+	// maxIdle bounds the idle connections to the endpoint, as given by the last call.
 	maxIdle int
-	// idleSince and idleFor bound its use after the last answer.
+	// idleSince is the end of the last answer, idleTimeout how long the connection may be used
+	// after it.
 	idleSince   clock.Millis
 	idleTimeout clock.Millis
 }
 
 const (
-	// defaultIdleTimeout is how long a connection is kept that announces no time of its
-	// own. Endpoints drop idle connections without notice, and sooner at times.
+	// defaultIdleTimeout is how long a connection is kept if its endpoint advertises no timeout.
+	// Endpoints drop idle connections without notice, sometimes sooner than advertised.
 	defaultIdleTimeout = 2 * clock.Second
-	// maxIdleTimeout bounds what an endpoint announces.
+	// maxIdleTimeout bounds the timeout that an endpoint advertises.
 	maxIdleTimeout = 10 * clock.Second
 )
 
-// setIdleTimeout takes the idle time that an endpoint announces. Half of it is used:
-// what is sent just as the endpoint closes is lost.
+// setIdleTimeout takes the idle timeout from a Keep-Alive header. Half of it is used, because a
+// request that is sent just as the endpoint closes the connection is lost.
 func (c *conn) setIdleTimeout(header string) {
 	c.idleTimeout = defaultIdleTimeout
 	for part := range strings.SplitSeq(header, ",") {
--- a/upstream/upstream_test.go
+++ b/upstream/upstream_test.go
@@ -15,7 +15,7 @@
 	"github.com/parsleydeal/parsleydeal/clock"
 )
 
-// serveConns serves each connection by a function until the test ends.
+// serveConns passes each connection to a function until the test ends.
 func serveConns(t *testing.T, serve func(c net.Conn, r *bufio.Reader)) (address string) {
 	t.Helper()
 	lis, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -48,8 +48,8 @@
 
 const own = "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 3\r\n\r\nown"
 
-// An endpoint closes a kept connection just after its answer. The next request
-// must not be sent on it: it would be lost, and may not be repeated.
+// An endpoint closes an idle connection just after its answer. The next request must not be sent
+// on it: it would be lost, and may not be retried.
 func TestClosedConnectionIsNotReused(t *testing.T) {
 	is := is.New(t)
 	address := serveConns(t, func(c net.Conn, r *bufio.Reader) {
@@ -70,8 +70,8 @@
 	is.Equal(p.TotalConns(), int64(3))
 }
 
-// An answer that nobody asked for comes late, where the next one is due. It is
-// passed over; two bytes too many after an answer cost the connection.
+// A late answer to another request arrives where the next answer is due. It must be skipped, and
+// the connection must not be reused afterwards.
 func TestLateAnswerIsSkipped(t *testing.T) {
 	is := is.New(t)
 	address := serveConns(t, func(c net.Conn, r *bufio.Reader) {
@@ -90,8 +90,8 @@
 	is.Equal(p.OpenConns(), int64(0))
 }
 
-// Errors say whether a request may have run: nothing left for an address without
-// a listener, while a silent or broken connection may have carried it.
+// Error types must show whether a request may have run: nothing was sent to an address without a
+// listener, while a silent or broken connection may have carried the request.
 func TestErrorTypesReportWhetherRequestMayHaveRun(t *testing.T) {
 	is := is.New(t)
 	p := NewPool(clock.System())
@@ -106,8 +106,8 @@
 	is.Equal(p.OpenConns(), int64(0))
 }
 
-// An endpoint refuses a long body before it has read it and reads on. The answer
-// is taken, and the rest of the body is not mistaken for the next request.
+// An endpoint refuses a long body before it has read it, and then reads on. The answer must be
+// returned, and the rest of the body must not be taken for the next request.
 func TestEarlyAnswerToLongBody(t *testing.T) {
 	is := is.New(t)
 	address := serveConns(t, func(c net.Conn, r *bufio.Reader) {
@@ -131,7 +131,7 @@
 	is.Equal(p.OpenConns(), int64(0))
 }
 
-// A chunked answer breaks off. It must not look whole.
+// The connection breaks in the middle of an answer. Reading it must return an error.
 func TestTruncatedAnswerIsAnError(t *testing.T) {
 	is := is.New(t)
 	for _, head := range []string{"Content-Length: 10\r\n\r\nown", "Transfer-Encoding: chunked\r\n\r\n3\r\nown\r\n"} {
@@ -148,8 +148,8 @@
 	}
 }
 
-// A request that may run only once is lost on a connection that a full endpoint accepts
-// and resets.
+// An endpoint at its connection limit accepts a new connection and resets it. A request that may
+// run only once must not be sent on it, or it is lost.
 func TestNothingIsSentOnConnectionOverLimit(t *testing.T) {
 	is := is.New(t)
 	got := make(chan struct{}, 1)
@@ -168,7 +168,8 @@
 	is.Equal(len(got), 0)
 }
 
-// Idle connections of many entries fill the bound of an endpoint, which then resets new ones.
+// Without a bound, the idle connections of many entries use up an endpoint's connection limit,
+// and the endpoint then resets new ones.
 func TestIdleConnectionsAreBounded(t *testing.T) {
 	is := is.New(t)
 	address := serveConns(t, func(c net.Conn, r *bufio.Reader) {
