--- a/view/status.go
+++ b/view/status.go
@@ -5,7 +5,7 @@
 // HoldStatus is one hold as operators see it.
 type HoldStatus struct {
 	Version string `json:"version"`
-	// Organisation is empty when the version is held for all.
+	// Organisation is empty if the version is held for all organisations.
 	Organisation string  `json:"organisation,omitempty"`
 	Released     int64   `json:"released"`
 	Signal       string  `json:"signal"`
@@ -14,7 +14,7 @@
 	Bad          float64 `json:"bad"`
 	Limit        float64 `json:"limit"`
 	Judge        string  `json:"judge"`
-	// Logged is false while only this process knows of the hold.
+	// Logged is false if only this process knows of the hold, because it is not in the log yet.
 	Logged bool `json:"logged"`
 }
 
@@ -30,8 +30,8 @@
 	return out
 }
 
-// RampsStatus lists the parts of their share that zones get which came back and
-// don't get all of it yet.
+// RampsStatus returns the fraction of its traffic share that each recovered zone gets, below 1.
+// Zones that get their full share are left out.
 func (v *View) RampsStatus(now clock.Millis) map[string]float64 {
 	out := make(map[string]float64)
 	for _, name := range v.zones.Names() {
@@ -42,7 +42,7 @@
 	return out
 }
 
-// RatingStatus is what raters said of a version on a route.
+// RatingStatus is the mean of the ratings of a version on a route.
 type RatingStatus struct {
 	Route   string  `json:"route"`
 	Version string  `json:"version"`
@@ -50,7 +50,7 @@
 	Mean    float64 `json:"mean"`
 }
 
-// RatingsStatus lists what is known of versions' quality.
+// RatingsStatus lists the ratings of the versions by route.
 func (v *View) RatingsStatus() (out []RatingStatus) {
 	out = []RatingStatus{}
 	for _, e := range v.quality.Wire() {
