--- a/limit/core_test.go
+++ b/limit/core_test.go
@@ -14,11 +14,11 @@
 
 // fullAdmission returns an Admission whose window is full.
 func fullAdmission() *Admission {
-	a := NewAdmission()
+	adm := NewAdmission()
 	for i := range int(initialWindow) {
-		a.Arrive(0, Item{ID: "busy-" + strconv.Itoa(i), Deadline: clock.Hour})
+		adm.Arrive(0, Item{ID: "busy-" + strconv.Itoa(i), Deadline: clock.Hour})
 	}
-	return a
+	return adm
 }
 
 func item(id, org string, weight int) Item {
@@ -29,13 +29,13 @@
 // single one must be among the next two to start, not the last.
 func TestSingleRequestIsNotDelayedByBacklog(t *testing.T) {
 	is := is.New(t)
-	a := fullAdmission()
+	adm := fullAdmission()
 	for i := range 300 {
-		a.Arrive(0, item("large-"+strconv.Itoa(i), "large", 1))
+		adm.Arrive(0, item("large-"+strconv.Itoa(i), "large", 1))
 	}
-	a.Arrive(0, item("small", "small", 1))
-	one, _ := a.Release(1, Neutral)
-	two, _ := a.Release(1, Neutral)
+	adm.Arrive(0, item("small", "small", 1))
+	one, _ := adm.Release(1, Neutral)
+	two, _ := adm.Release(1, Neutral)
 	is.True(one[0].ID == "small" || two[0].ID == "small")
 }
 
@@ -110,36 +110,36 @@
 // room by evicting the newest of those, and the queue must stay within its bound.
 func TestFullQueueDropsFromLongestQueue(t *testing.T) {
 	is := is.New(t)
-	a := fullAdmission()
+	adm := fullAdmission()
 	for i := range maxWaiting {
-		v, _, _ := a.Arrive(0, item("large-"+strconv.Itoa(i), "large", 1))
+		v, _, _ := adm.Arrive(0, item("large-"+strconv.Itoa(i), "large", 1))
 		is.Equal(v, Wait)
 	}
-	v, _, dropped := a.Arrive(0, item("small", "small", 1))
+	v, _, dropped := adm.Arrive(0, item("small", "small", 1))
 	is.Equal(v, Wait)
 	is.Equal(dropped[0].ID, "large-"+strconv.Itoa(maxWaiting-1))
-	v, _, _ = a.Arrive(0, item("late", "large", 1))
+	v, _, _ = adm.Arrive(0, item("late", "large", 1))
 	is.Equal(v, Refuse)
-	is.Equal(a.fair.size, maxWaiting)
+	is.Equal(adm.fair.size, maxWaiting)
 }
 
 // The pool completes ten requests a second and fifty are waiting. A request with one second left
 // cannot start in time; it must be refused at once, with the delay after which to retry.
 func TestWaitBeyondDeadlineIsRefusedAtOnce(t *testing.T) {
 	is := is.New(t)
-	a := fullAdmission()
+	adm := fullAdmission()
 	now := clock.Millis(0)
 	for i := range 50 {
-		a.Arrive(now, item("w"+strconv.Itoa(i), "o", 1))
+		adm.Arrive(now, item("w"+strconv.Itoa(i), "o", 1))
 	}
 	for range 40 {
 		now += 100
-		a.Release(now, Neutral)
-		a.Arrive(now, item("n"+strconv.Itoa(int(now)), "o", 1))
+		adm.Release(now, Neutral)
+		adm.Arrive(now, item("n"+strconv.Itoa(int(now)), "o", 1))
 	}
 	it := item("hurry", "o", 1)
 	it.Deadline = now + clock.Second
-	v, retry, _ := a.Arrive(now, it)
+	v, retry, _ := adm.Arrive(now, it)
 	is.Equal(v, Refuse)
 	is.True(retry > 2*clock.Second && retry < 10*clock.Second)
 }
@@ -190,13 +190,13 @@
 // must not start the next one, or the whole queue would be refused within a few round trips.
 func TestRefusalStartsNoWaitingRequest(t *testing.T) {
 	is := is.New(t)
-	a := fullAdmission()
+	adm := fullAdmission()
 	for i := range 100 {
-		a.Arrive(0, item("w"+strconv.Itoa(i), "o", 1))
+		adm.Arrive(0, item("w"+strconv.Itoa(i), "o", 1))
 	}
 	started := 0
 	for now := range clock.Millis(30) {
-		s, _ := a.Release(cutInterval+now, Refused)
+		s, _ := adm.Release(cutInterval+now, Refused)
 		started += len(s)
 	}
 	is.Equal(started, 0)
@@ -206,11 +206,11 @@
 // ended yet, the window must not hold back requests that the gates accept.
 func TestWindowGrowsBeforeRequestsEnd(t *testing.T) {
 	is := is.New(t)
-	a := NewAdmission()
+	adm := NewAdmission()
 	for i := range 1000 {
-		v, _, _ := a.Arrive(clock.Millis(i), item(strconv.Itoa(i), "o", 1))
+		v, _, _ := adm.Arrive(clock.Millis(i), item(strconv.Itoa(i), "o", 1))
 		is.Equal(v, Start)
-		a.Accepted(clock.Millis(i))
+		adm.Accepted(clock.Millis(i))
 	}
 }
 
@@ -240,24 +240,24 @@
 func TestFirstCompletionsDoNotLookLikeSlowPool(t *testing.T) {
 	is := is.New(t)
 	for _, pause := range []clock.Millis{0, clock.Minute} {
-		a := NewAdmission()
-		a.window.size = 4
+		adm := NewAdmission()
+		adm.window.size = 4
 		now := clock.Millis(5000)
 		for round := range 2 {
 			for i := range 4 {
-				v, _, _ := a.Arrive(now, Item{ID: fmt.Sprint(round, "-", i), Organisation: "o", Weight: 1, Deadline: now + clock.Hour})
+				v, _, _ := adm.Arrive(now, Item{ID: fmt.Sprint(round, "-", i), Organisation: "o", Weight: 1, Deadline: now + clock.Hour})
 				is.Equal(v, Start)
 			}
 			now += 100
-			a.Release(now, Served)
+			adm.Release(now, Served)
 			for i := range 16 {
-				v, retry, _ := a.Arrive(now, Item{ID: fmt.Sprint(round, "+", i), Organisation: "o", Weight: 1, Deadline: now + clock.Hour})
+				v, retry, _ := adm.Arrive(now, Item{ID: fmt.Sprint(round, "+", i), Organisation: "o", Weight: 1, Deadline: now + clock.Hour})
 				is.True(v != Refuse) // a slot is free within half a second
 				is.Equal(retry, clock.Millis(0))
 			}
-			for a.window.inFlight > 0 {
+			for adm.window.inFlight > 0 {
 				now += 25
-				a.Release(now, Served)
+				adm.Release(now, Served)
 			}
 			now += pause
 		}
--- a/limit/share_test.go
+++ b/limit/share_test.go
@@ -12,8 +12,8 @@
 // contain more retries than the bound.
 func TestShareHoldsInEverySpan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		const span = 10 * clock.Second
-		s := NewShare(span, 0.6, 5)
+		const windowLength = 10 * clock.Second
+		s := NewShare(windowLength, 0.6, 5)
 		type step struct {
 			at    clock.Millis
 			retry bool
@@ -32,7 +32,7 @@
 		}
 		for i := range steps {
 			requests, retries := 0, 0
-			for j := i; j < len(steps) && steps[j].at-steps[i].at < span; j++ {
+			for j := i; j < len(steps) && steps[j].at-steps[i].at < windowLength; j++ {
 				if steps[j].retry {
 					retries++
 				} else {
@@ -42,7 +42,7 @@
 			// The bound counts the requests of this window or the one before it.
 			before := 0
 			for j := range i {
-				if steps[i].at-steps[j].at <= span && !steps[j].retry {
+				if steps[i].at-steps[j].at <= windowLength && !steps[j].retry {
 					before++
 				}
 			}
--- a/view/status.go
+++ b/view/status.go
@@ -35,8 +35,8 @@
 func (v *View) RampsStatus(now clock.Millis) map[string]float64 {
 	out := make(map[string]float64)
 	for _, name := range v.zones.Names() {
-		if part := v.zones.Part(name, now); part < 1 {
-			out[name] = part
+		if fraction := v.zones.Part(name, now); fraction < 1 {
+			out[name] = fraction
 		}
 	}
 	return out
