--- a/entry/key.go
+++ b/entry/key.go
@@ -29,8 +29,8 @@
 // one that every entry works out for a keyed request, so that the retry comes
 // where the first attempt went.
 func (r *work) home() string {
-	if r.session.CacheVM != "" || r.key == "" || r.service != "" {
-		return r.session.CacheVM
+	if r.session.SessionVM != "" || r.key == "" || r.service != "" {
+		return r.session.SessionVM
 	}
 	vm, best := "", uint64(0)
 	for _, pool := range r.pools() {
--- a/entry/run.go
+++ b/entry/run.go
@@ -184,13 +184,13 @@
 
 // settleHome makes the endpoint that gets the request the session's home.
 func (e *Entry) settleHome(req *work, vm string) (err error) {
-	if req.service != "" || req.session.CacheVM == vm {
+	if req.service != "" || req.session.SessionVM == vm {
 		return nil
 	}
 	if req.cacheFrom == "" && req.pinned && req.moved == "" {
-		req.cacheFrom = req.session.CacheVM
+		req.cacheFrom = req.session.SessionVM
 	}
-	req.session.CacheVM = vm
+	req.session.SessionVM = vm
 	req.token, err = e.sessions.Sign(req.session)
 	return err
 }
--- a/session/session.go
+++ b/session/session.go
@@ -42,8 +42,8 @@
 	Route        string `json:"route"`
 	// Version is the model version that the session is pinned to.
 	Version string `json:"version"`
-	// CacheVM is the VM that holds the session's cache.
-	CacheVM string `json:"home"`
+	// SessionVM is the VM that holds the session's cache.
+	SessionVM string `json:"home"`
 	// Issued is when the token was signed, in seconds of the signer's wall clock since 1970.
 	// Each answer carries a newly signed token.
 	Issued int64 `json:"issued"`
--- a/session/session_test.go
+++ b/session/session_test.go
@@ -19,7 +19,7 @@
 	return NewKeys(secrets, current).WithWallClock(func() int64 { return *now })
 }
 
-var token = Token{ID: "s", Organisation: "desk", Route: "dossier", Version: "large@2", CacheVM: "endpoint-1"}
+var token = Token{ID: "s", Organisation: "desk", Route: "dossier", Version: "large@2", SessionVM: "endpoint-1"}
 
 // Operators rotate the key during sessions: entries that have the new secret must accept tokens
 // signed with the old one until it is removed.
