--- a/view/view.go
+++ b/view/view.go
@@ -38,7 +38,7 @@
 	checkpoint *table.Checkpoint
 }
 
-// New returns a view without holds, ratings, subsets, zones and digest.
+// New returns a view without holds, ratings, subsets, zones, peer state and checkpoint.
 func New(tables *table.Tables, revision int64, confirmedAt clock.Millis, members *membership.Members, draining bool) *View {
 	return &View{tables: tables, revision: revision, confirmedAt: confirmedAt, members: members, draining: draining}
 }
@@ -68,7 +68,7 @@
 	return &c
 }
 
-// Zones returns the zones that have recovered recently; nil if there is no information on zones.
+// Zones returns the zones that have recovered recently; it may be nil in tests.
 func (v *View) Zones() *zone.Ramps { return v.zones }
 
 // Subset returns the endpoints of a pool that this entry works with, or the full pool. Callers
