--- a/bench/choice.go
+++ b/bench/choice.go
@@ -173,7 +173,7 @@
 		}
 		r.after(choiceHopMillis, func() {
 			e.inflight.Add(x.vm.ID, -1)
-			e.inflight.Report(&wire.Load{Vm: x.vm.ID, Held: int32(x.held + len(x.queue)), Window: replicaPlaces}, r.now)
+			e.inflight.RecordLoad(&wire.Load{Vm: x.vm.ID, Held: int32(x.held + len(x.queue)), Window: replicaPlaces}, r.now)
 			next := maps.Clone(avoid)
 			if next == nil {
 				next = make(map[string]bool)
@@ -194,8 +194,8 @@
 	case leastReportedPolicy:
 		return r.leastReported(e)
 	}
-	vm, _ := choice.Endpoint(e.view, e.inflight, e.affinity, choice.Query{
-		Pools: []string{choicePool}, Seed: r.rng.Uint64(), Now: r.now, Avoid: avoid, Home: r.homes[session], Prefix: uint64(session) + 1,
+	vm, _ := choice.SelectEndpoint(e.view, e.inflight, e.affinity, choice.Query{
+		Pools: []string{choicePool}, Seed: r.rng.Uint64(), Now: r.now, Avoid: avoid, SessionVM: r.homes[session], Prefix: uint64(session) + 1,
 	})
 	return vm.ID
 }
@@ -260,7 +260,7 @@
 	}
 	r.after(choiceHopMillis, func() { e.inflight.Add(x.vm.ID, -1) })
 	r.after(r.late, func() {
-		e.inflight.Report(l, r.now)
+		e.inflight.RecordLoad(l, r.now)
 		e.reported[x.vm.ID] = int(l.GetHeld())
 	})
 }
--- a/bench/rollout.go
+++ b/bench/rollout.go
@@ -80,7 +80,7 @@
 type rolloutEntry struct {
 	vm       string
 	evidence evidence.State
-	counts   spread.Counts
+	counts   spread.CountReporter
 	rollout  rollout.State
 	holds    *rollout.Holds
 	sampler  *quality.Sampler
@@ -114,7 +114,7 @@
 	for i := range entries {
 		e := &rolloutEntry{vm: fmt.Sprintf("entry-%03d", i), rollout: rollout.NewState(), sampler: quality.NewSampler()}
 		e.evidence = evidence.NewState(e.vm, uint64(i)+1)
-		e.counts = spread.NewCounts(e.vm)
+		e.counts = spread.NewCountReporter(e.vm)
 		r.entries = append(r.entries, e)
 		r.byVM[e.vm] = e
 		r.vms = append(r.vms, provider.VM{ID: e.vm, Role: provider.EntryRole})
@@ -167,7 +167,7 @@
 func (r *rolloutRun) request(e *rolloutEntry) {
 	org := r.rng.IntN(orgCount)
 	m := r.tables.Routes["dossier"].Models[0]
-	version := choice.Share(r.tables, e.holds, m, organisationName(org), r.rng.Uint64())
+	version := choice.SelectVersion(r.tables, e.holds, m, organisationName(org), r.rng.Uint64())
 	if e.nodeHeld {
 		version = oldVersion
 	}
@@ -202,7 +202,7 @@
 	if version == oldVersion {
 		known = 1 << 20
 	}
-	if e.sampler.Take(r.now, known, false) && r.rng.Float64() > ratingLoss {
+	if e.sampler.Sample(r.now, known, false) && r.rng.Float64() > ratingLoss {
 		score := 0.0
 		if r.rng.Float64() < rating {
 			score = 1
@@ -235,7 +235,7 @@
 		return
 	}
 	deltas, _ := e.evidence.Reduce(ev)
-	known := rollout.Known{Self: e.vm, Now: r.now, Tables: r.tables, VMs: r.vms}
+	known := rollout.Env{Self: e.vm, Now: r.now, Tables: r.tables, VMs: r.vms}
 	effects, changed := e.rollout.Reduce(ev, deltas, known)
 	if changed {
 		e.holds = e.rollout.Holds(r.tables)
@@ -354,7 +354,7 @@
 	r := newRolloutRun(n, fault{org: -1}, sequential)
 	r.rng = rand.New(rand.NewPCG(11, uint64(n)))
 	judge := r.byVM[evidence.Judges(r.vms, newVersion)[0]]
-	totals := make([]evidence.Tally, n)
+	totals := make([]evidence.Stats, n)
 	baseline := 0
 	for second := range span {
 		r.now = clock.Millis(second) * clock.Second
@@ -382,7 +382,7 @@
 					score++
 				}
 			}
-			totals[i] = totals[i].Plus(evidence.Tally{Started: int64(begun - bad), Errors: int64(bad), Ratings: int64(rated), RatingSum: score})
+			totals[i] = totals[i].Plus(evidence.Stats{Started: int64(begun - bad), Errors: int64(bad), Ratings: int64(rated), RatingSum: score})
 			if e != judge {
 				counts = append(counts, countOf(e.vm, totals[i]))
 			}
@@ -393,7 +393,7 @@
 	return []Figure{{prefix + "false-holds", float64(len(r.log))}, {prefix + "false-holds-per-node-threshold", float64(baseline)}}
 }
 
-func countOf(vm string, t evidence.Tally) *wire.Count {
+func countOf(vm string, t evidence.Stats) *wire.Count {
 	return &wire.Count{
 		Vm: vm, Epoch: 1, Route: "dossier", Version: newVersion, Organisation: "org-0",
 		Started: t.Started, Errors: t.Errors, Ratings: t.Ratings, RatingSum: t.RatingSum,
--- a/bench/zone.go
+++ b/bench/zone.go
@@ -174,7 +174,7 @@
 
 // try is the entry's loop of attempts.
 func (r *zoneRun) try(e *zoneEntry, q zoneRequest, avoid map[string]bool) {
-	vm, ok := choice.Endpoint(e.view, e.inflight, e.affinity, choice.Query{Pools: []string{choicePool}, Avoid: avoid, Seed: q.seed, Now: r.now})
+	vm, ok := choice.SelectEndpoint(e.view, e.inflight, e.affinity, choice.Query{Pools: []string{choicePool}, Avoid: avoid, Seed: q.seed, Now: r.now})
 	if !ok || len(avoid) == choiceTries+1 || len(avoid) > 0 && !e.retries.TryRetry() {
 		r.count(1)
 		r.end(e, limit.Refused)
@@ -219,7 +219,7 @@
 
 func (r *zoneRun) report(e *zoneEntry, x *coldReplica) {
 	l := &wire.Load{Vm: x.vm.ID, Held: int32(x.held), Window: int32(x.window)}
-	e.inflight.Report(l, r.now)
+	e.inflight.RecordLoad(l, r.now)
 }
 
 func (r *zoneRun) end(e *zoneEntry, o limit.Outcome) {
--- a/cascade/cascade.go
+++ b/cascade/cascade.go
@@ -47,21 +47,21 @@
 	// Confidence is the model's own opinion of it, from 0 to 100; negative when it has
 	// none.
 	Confidence int
-	// Left is how much time is left for an answer to be of full use.
-	Left clock.Millis
+	// Remaining is how much time is left for an answer to be of full use.
+	Remaining clock.Millis
 }
 
-// Larger is what asking the largest model would take.
-type Larger struct {
-	// First is how long its first byte is expected to take, Wait the part of it in which
+// LargerModel is what asking the largest model would take.
+type LargerModel struct {
+	// FirstByte is how long its first byte is expected to take, Wait the part of it in which
 	// it only waits for others.
-	First clock.Millis
-	Wait  clock.Millis
+	FirstByte clock.Millis
+	QueueWait clock.Millis
 }
 
-// Judge decides on the answers of one entry and follows how crowded it finds the
+// Escalator decides on the answers of one entry and follows how crowded it finds the
 // endpoints. It is safe for use by many goroutines.
-type Judge struct {
+type Escalator struct {
 	rule rule
 	mu   sync.Mutex
 	// pressure is the part of its time that the largest model is charged for, from 0 to 1.
@@ -69,10 +69,10 @@
 	pressure float64
 }
 
-// NewJudge makes a judge that decides in the ways given. It takes endpoints for crowded at
+// NewEscalator makes a judge that decides in the ways given. It takes endpoints for crowded at
 // first: after a mass restart all callers come at once.
-func NewJudge(ways decision.Ways) *Judge {
-	return &Judge{rule: rules[ways.Of(decision.Drop)], pressure: 1}
+func NewEscalator(ways decision.Strategies) *Escalator {
+	return &Escalator{rule: rules[ways.For(decision.Drop)], pressure: 1}
 }
 
 // rule decides whether an answer is to be dropped for the largest model's, whose first
@@ -81,30 +81,30 @@
 type rule func(a Answer, first clock.Millis, pressure float64) bool
 
 // rules holds the ways of the decision.
-var rules = map[decision.Way]rule{
+var rules = map[decision.Strategy]rule{
 	decision.ByTime: func(a Answer, first clock.Millis, _ float64) bool {
-		return worth*(gain(a, first)-crowding*crowded(first, a.Left)) > 1
+		return worth*(gain(a, first)-crowding*crowded(first, a.Remaining)) > 1
 	},
 	decision.ByPressure: func(a Answer, first clock.Millis, pressure float64) bool {
-		return worth*(gain(a, first)-crowding*pressure*crowded(first, a.Left)) > 1
+		return worth*(gain(a, first)-crowding*pressure*crowded(first, a.Remaining)) > 1
 	},
-	decision.ByPrice:   func(a Answer, first clock.Millis, _ float64) bool { return worth*gain(a, first) > 1 },
-	decision.ByOpinion: func(a Answer, _ clock.Millis, _ float64) bool { return a.Confidence < 50 },
+	decision.ByPrice:  func(a Answer, first clock.Millis, _ float64) bool { return worth*gain(a, first) > 1 },
+	decision.ByRating: func(a Answer, _ clock.Millis, _ float64) bool { return a.Confidence < 50 },
 }
 
-// Drops reports whether an answer is to be dropped for the largest model's.
-func (j *Judge) Drops(a Answer, l Larger) bool {
+// ShouldEscalate reports whether an answer is to be dropped for the largest model's.
+func (j *Escalator) ShouldEscalate(a Answer, l LargerModel) bool {
 	j.mu.Lock()
-	j.pressure = min(max(j.pressure+pressureStep*(partOf(l.Wait, a.Left)-aimedWait), 0), 1)
+	j.pressure = min(max(j.pressure+pressureStep*(partOf(l.QueueWait, a.Remaining)-aimedWait), 0), 1)
 	pressure := j.pressure
 	j.mu.Unlock()
-	return a.Confidence >= 0 && j.rule(a, l.First, pressure)
+	return a.Confidence >= 0 && j.rule(a, l.FirstByte, pressure)
 }
 
 // gain is how much more use the caller has of the largest model's answer, as a part of
 // that of a good answer in time.
 func gain(a Answer, first clock.Millis) float64 {
-	return usefulness(first, a.Left) - chanceGood(a.Confidence)*usefulness(0, a.Left)
+	return usefulness(first, a.Remaining) - chanceGood(a.Confidence)*usefulness(0, a.Remaining)
 }
 
 // chanceGood is the probability that an answer is good by its model's opinion of it.
--- a/cascade/cascade_test.go
+++ b/cascade/cascade_test.go
@@ -12,14 +12,14 @@
 const aim = 2000 * clock.Millis(1)
 
 func drops(confidence int, first, left clock.Millis) bool {
-	return NewJudge(decision.Ways{}).Drops(Answer{Confidence: confidence, Left: left}, Larger{First: first, Wait: first})
+	return NewEscalator(decision.Strategies{}).ShouldEscalate(Answer{Confidence: confidence, Remaining: left}, LargerModel{FirstByte: first, QueueWait: first})
 }
 
 // Endpoints are overloaded, and the larger model's first byte takes as long as a
 // request has left. Small answers are handed on unless they are hopeless; as the load
 // falls more is asked for again, and never less, and a better answer is never dropped
 // where a worse one is kept.
-func TestLargerModelIsAskedLessUnderLoad(t *testing.T) {
+func TestFewerAnswersAreEscalatedUnderLoad(t *testing.T) {
 	is := is.New(t)
 	is.True(drops(50, 200, aim))
 	is.True(!drops(70, 200, aim))
@@ -41,7 +41,7 @@
 }
 
 // A model says nothing of its answer. It is handed on: nothing speaks against it.
-func TestAnswersWithoutAnOpinionAreKept(t *testing.T) {
+func TestAnswersWithoutConfidenceAreKept(t *testing.T) {
 	is := is.New(t)
 	is.True(!drops(-1, 100, aim))
 }
@@ -55,19 +55,19 @@
 
 // Endpoints are busy but nobody waits for the larger model. Charged for its time all the
 // same, poor answers are kept for the sake of requests that would be in time anyway.
-func TestLargerModelIsChargedAsFarAsItIsWaitedFor(t *testing.T) {
+func TestLargerModelIsChargedByItsQueueWait(t *testing.T) {
 	is := is.New(t)
-	j := NewJudge(decision.Ways{})
-	answer := Answer{Confidence: 49, Left: aim}
-	busy, queued := Larger{First: 900, Wait: 50}, Larger{First: 900, Wait: 700}
-	is.True(!j.Drops(answer, busy)) // nothing is known yet
+	j := NewEscalator(decision.Strategies{})
+	answer := Answer{Confidence: 49, Remaining: aim}
+	busy, queued := LargerModel{FirstByte: 900, QueueWait: 50}, LargerModel{FirstByte: 900, QueueWait: 700}
+	is.True(!j.ShouldEscalate(answer, busy)) // nothing is known yet
 	for range 100 {
-		j.Drops(answer, busy)
+		j.ShouldEscalate(answer, busy)
 	}
-	is.True(j.Drops(answer, busy))
+	is.True(j.ShouldEscalate(answer, busy))
 	for range 100 {
-		j.Drops(answer, queued)
+		j.ShouldEscalate(answer, queued)
 	}
-	is.True(!j.Drops(answer, queued))
-	is.True(!j.Drops(answer, busy))
+	is.True(!j.ShouldEscalate(answer, queued))
+	is.True(!j.ShouldEscalate(answer, busy))
 }
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -240,7 +240,7 @@
 	}()
 	l.Info("Entry serves callers", "vm", s.VM, "address", callers.Addr())
 	err = e.Serve(serving, secure(p.certificates.callers, callers))
-	switch handErr := e.HandBurn(inner); {
+	switch handErr := e.HandOverBurnCounts(inner); {
 	case errorx.IsOfType(handErr, node.ErrNoHeir):
 		l.Info("Nobody takes over what was counted for the burn report", "vm", s.VM, "reason", logbook.Text(handErr))
 	case handErr != nil:
@@ -267,7 +267,7 @@
 		return err
 	}
 	e := endpoint.New(p.node)
-	e.Measure()
+	e.RegisterMetrics()
 	p.port.Add(operations.Section{Name: "window", Read: e.WindowStatus})
 	inner, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
--- a/daemon/direct.go
+++ b/daemon/direct.go
@@ -117,12 +117,12 @@
 		Codec:   site.Codec{Operator: platform.DecodeOperator, Endpoints: platform.DecodeEndpoints, Verdicts: platform.DecodeVerdicts, VerdictRecord: platform.EncodeVerdict},
 		Address: s.Peer,
 		Send:    d.socket.Send,
-		Counted: func() site.Counted { return d.server.Counted() },
+		Counts:  func() site.TrafficCounts { return d.server.TrafficCounts() },
 	})
 	d.server = relay.New(relay.Config{
 		Clock: d.clock, Log: d.log, Dialect: platform.Dialect(), View: d.loop.View, Started: d.loop.Started(), Pool: upstream.NewPool(d.clock), Zone: s.Zone,
-		Strict: s.Direct.StrictKeys, KeyLease: s.Direct.KeyLease - leaseMargin, RetryRatio: s.Direct.RetryRatio, RetrySlack: s.Direct.RetrySlack, RetrySpan: s.Direct.RetrySpan,
-		ColdOverage: s.Direct.ColdOverage, ColdSlack: s.Direct.ColdSlack, SessionLife: s.Direct.SessionLife, Ways: ways,
+		Strict: s.Direct.StrictKeys, KeyLease: s.Direct.KeyLease - leaseMargin, RetryRatio: s.Direct.RetryRatio, RetrySlack: s.Direct.RetrySlack, RetryWindow: s.Direct.RetrySpan,
+		ColdOverage: s.Direct.ColdOverage, ColdSlack: s.Direct.ColdSlack, SessionIdleTimeout: s.Direct.SessionLife, Strategies: ways,
 	})
 	return d, nil
 }
@@ -156,9 +156,9 @@
 	}
 	go d.loop.Run(ctx)
 	go d.socket.Receive(ctx, d.hear)
-	go d.server.ShareWork(ctx, s.VM, d.socket.Send)
-	go d.server.AskSnapshot(ctx, s.VM, s.Peer, d.socket.Send)
-	go d.server.AnswerSnapshots(ctx, s.VM, d.socket.Send)
+	go d.server.SendReports(ctx, s.VM, d.socket.Send)
+	go d.server.RequestSnapshot(ctx, s.VM, s.Peer, d.socket.Send)
+	go d.server.ServeSnapshots(ctx, s.VM, d.socket.Send)
 	go d.tidy(ctx)
 	go idle.run(ctx, d.idleBound)
 	for {
@@ -180,10 +180,10 @@
 // at endpoints.
 func (d *direct) hear(r *wire.EntryReport) {
 	if r.GetZone() == "" {
-		d.server.HearWork(r)
+		d.server.ReceiveReport(r)
 		return
 	}
-	d.loop.Hear(r)
+	d.loop.Receive(r)
 }
 
 // leave stops without cutting a request: the entry is not ready any more, takes
@@ -221,13 +221,13 @@
 	if c == nil {
 		return 0
 	}
-	return c.Limits.Idle
+	return c.Limits.IdleTimeout
 }
 
 // tidy drops what is no longer needed.
 func (d *direct) tidy(ctx context.Context) {
 	for clock.Pause(ctx, tidyEvery) {
-		d.server.Tidy()
+		d.server.Sweep()
 	}
 }
 
@@ -269,7 +269,7 @@
 		fmt.Fprintf(w, "parsleydeal_members{role=\"endpoint\"} %d\n", v.Fleet().Size())
 		fmt.Fprintf(w, "parsleydeal_members{role=\"entry\"} %d\n", v.Entries())
 		fmt.Fprintf(w, "parsleydeal_log_lines_lost_total %d\n", d.book.Lost())
-		fmt.Fprintf(w, "parsleydeal_reports_lost_total %d\n", d.socket.Lost()+d.loop.Lost())
+		fmt.Fprintf(w, "parsleydeal_reports_lost_total %d\n", d.socket.Lost()+d.loop.Dropped())
 		metrics.WriteProcessMetrics(w)
 	})
 }
--- a/daemon/direct_test.go
+++ b/daemon/direct_test.go
@@ -485,7 +485,7 @@
 	entries := []*entryAt{w.entry("entry-a"), w.entry("entry-b"), w.entry("entry-c")}
 	w.store.Put("keyed.op", "evacuate/a", []byte("{}"))
 	for _, e := range entries {
-		w.eventually(time.Second, "the zone is out", func() bool { return e.loop.View().Fleet().Out("a") })
+		w.eventually(time.Second, "the zone is out", func() bool { return e.loop.View().Fleet().ZoneOut("a") })
 	}
 	before := w.endpoints["i-1"].Received()
 	for i := range 30 {
@@ -494,7 +494,7 @@
 	is.Equal(w.endpoints["i-1"].Received(), before)
 	w.store.Put("keyed.op", "evacuate/a", nil)
 	for _, e := range entries {
-		w.eventually(time.Second, "the zone is back", func() bool { return !e.loop.View().Fleet().Out("a") })
+		w.eventually(time.Second, "the zone is back", func() bool { return !e.loop.View().Fleet().ZoneOut("a") })
 	}
 }
 
--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -68,7 +68,7 @@
 	if !silent(ctx) {
 		return
 	}
-	e.inflight.Lost(vm, e.node.Clock().Now())
+	e.inflight.RecordUnreachable(vm, e.node.Clock().Now())
 	e.node.NotReached(vm)
 }
 
@@ -190,7 +190,7 @@
 func (e *Entry) note(p *wire.Piece) {
 	e.node.Behind(p.GetLoad().GetVm(), "", p.GetRevision())
 	if p.GetLoad() != nil {
-		e.inflight.Report(p.GetLoad(), e.node.Clock().Now())
+		e.inflight.RecordLoad(p.GetLoad(), e.node.Clock().Now())
 		e.node.Loop().Offer(event.LoadReceived{Now: e.node.Clock().Now(), Load: p.GetLoad()})
 	}
 }
--- a/entry/attempt_test.go
+++ b/entry/attempt_test.go
@@ -101,7 +101,7 @@
 // stranger's piece and a repeated one got into it. The run goes on at the
 // endpoint, and the entry asks it for the rest: the caller gets its own answer
 // whole.
-func TestEntryReattachesAfterCutConnection(t *testing.T) {
+func TestReattachAfterDisconnect(t *testing.T) {
 	is := is.New(t)
 	stranger := piece(1, "stranger ")
 	stranger.Request = "r2"
@@ -130,7 +130,7 @@
 
 // The endpoint no longer keeps the answer when the entry asks for the rest. What
 // broke is told, not that nothing is kept.
-func TestNothingKeptTellsOfTheBreak(t *testing.T) {
+func TestReattachToLostAnswerReportsDisconnect(t *testing.T) {
 	is := is.New(t)
 	gone := &wire.Piece{Request: "r1", Attempt: 1, Last: true, Refusal: refusal.New(refusal.NotKept, "").WithRun(refusal.Unknown).Wire()}
 	text, err := attemptAt(t, &scriptedGate{run: []*wire.Piece{piece(0, "one ")}, kept: []*wire.Piece{nil, gone}})
@@ -142,7 +142,7 @@
 
 // A service charges a fee and breaks off its answer. The caller is told that the
 // call ran, and the fee stands on the request's only bill.
-func TestBrokenCallIsBilled(t *testing.T) {
+func TestInterruptedCallIsBilled(t *testing.T) {
 	is := is.New(t)
 	broken := refusal.New(refusal.EngineFailed, "answer broke off").WithRun(refusal.Ran).Wire()
 	g := &scriptedGate{run: []*wire.Piece{piece(0, ""), {Request: "r1", Attempt: 1, Number: 1, Last: true, Refusal: broken, Step: &wire.Step{Attempt: 1, Cost: 5}}}}
--- a/entry/burn.go
+++ b/entry/burn.go
@@ -24,9 +24,9 @@
 	return err
 }
 
-// HandBurn gives what this process counted, and what it has taken over, to other
+// HandOverBurnCounts gives what this process counted, and what it has taken over, to other
 // entries. It is called at a planned stop.
-func (e *Entry) HandBurn(ctx context.Context) (err error) {
+func (e *Entry) HandOverBurnCounts(ctx context.Context) (err error) {
 	var packed [][]byte
 	for _, l := range e.burn.Lives(e.node.Settings().VM, e.node.Epoch()) {
 		data, err := l.Pack()
--- a/entry/connection_test.go
+++ b/entry/connection_test.go
@@ -9,7 +9,7 @@
 
 // Callers open more connections than the entry may hold. Each costs memory
 // before it sends a byte, so the one too many must wait until another closes.
-func TestOneConnectionTooManyWaits(t *testing.T) {
+func TestConnectionOverLimitWaits(t *testing.T) {
 	is := is.New(t)
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
--- a/entry/observe.go
+++ b/entry/observe.go
@@ -27,7 +27,7 @@
 // services have no version to judge.
 func (e *Entry) observe(req *work, vm string) *observer {
 	o := &observer{entry: e, req: req, vm: vm, sentAt: e.node.Clock().Now()}
-	if req.service == "" && !req.judging && !req.progress.Taken() && e.raters.sampler.Take(o.sentAt, req.ratingsOf(), req.trial) {
+	if req.service == "" && !req.judging && !req.progress.Taken() && e.raters.sampler.Sample(o.sentAt, req.ratingsOf(), req.trial) {
 		o.sample = &sampled{}
 	}
 	return o
--- a/entry/patience_test.go
+++ b/entry/patience_test.go
@@ -16,7 +16,7 @@
 // sending and tries another. The caller's body has already ended; stopping it
 // then must not look as if the caller had gone, or the next try is cancelled
 // and the caller hears "unknown" of a call that never ran.
-func TestStoppingAnEndedBodyKeepsTheRequest(t *testing.T) {
+func TestStopAfterEndOfBodyKeepsRequest(t *testing.T) {
 	is := is.New(t)
 	cancelled := make(chan bool, 1)
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -40,7 +40,7 @@
 
 // A caller sends part of its body and no more. Stopping must end the read at
 // once, not after the pause that the settings allow.
-func TestStoppingABodyEndsItsRead(t *testing.T) {
+func TestStopEndsPendingRead(t *testing.T) {
 	is := is.New(t)
 	ended := make(chan error, 1)
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/entry/plan.go
+++ b/entry/plan.go
@@ -56,7 +56,7 @@
 		Hash: xxhash.Sum64String(req.session.ID), InputTokens: int64(len(req.body) / bytesPerToken),
 	}
 	if kept != "" && lost == "" {
-		req.plans = choice.Kept(req.view, req.route, q, kept)
+		req.plans = choice.SessionPlans(req.view, req.route, q, kept)
 	} else {
 		req.plans = choice.Plans(req.view, req.route, q)
 	}
--- a/entry/run.go
+++ b/entry/run.go
@@ -98,13 +98,13 @@
 	full := make(map[string]bool)
 	err = refusal.New(refusal.NoEndpoint, "no endpoint can take the request").WithRetryAfter(startingRetry)
 	for i := range maxAttempts {
-		vm, ok := choice.Endpoint(req.view, e.inflight, e.affinity, e.query(req, avoid))
+		vm, ok := choice.SelectEndpoint(req.view, e.inflight, e.affinity, e.query(req, avoid))
 		if !ok && len(full) > 0 {
 			// Of two endpoints one was full and the other then fell silent: the first
 			// has had seconds to make room.
 			maps.DeleteFunc(avoid, func(id string, _ bool) bool { return full[id] })
 			clear(full)
-			vm, ok = choice.Endpoint(req.view, e.inflight, e.affinity, e.query(req, avoid))
+			vm, ok = choice.SelectEndpoint(req.view, e.inflight, e.affinity, e.query(req, avoid))
 		}
 		if !ok || i > 0 && !e.mayTryAgain(err) {
 			e.node.Log().Info("No further attempt", "request", req.id, "attempts", req.attempts, "endpoint-left", ok, "error", logbook.Text(err))
@@ -133,7 +133,7 @@
 			e.node.Log().Info("Attempt did not answer", "request", req.id, "endpoint", vm.ID, "attempt", req.attempts, "version", req.version, "revision", req.view.Revision(), "error", logbook.Text(err))
 		}
 		if unreached(err) || unready(err) {
-			e.inflight.Lost(vm.ID, e.node.Clock().Now())
+			e.inflight.RecordUnreachable(vm.ID, e.node.Clock().Now())
 		}
 		if err == nil {
 			return nil
@@ -178,7 +178,7 @@
 func (e *Entry) query(req *work, avoid map[string]bool) choice.Query {
 	return choice.Query{
 		Pools: req.pools(), Avoid: avoid, Seed: xxhash.Sum64String(req.id), Now: e.node.Clock().Now(),
-		Home: req.home(), Prefix: req.prefix,
+		SessionVM: req.home(), Prefix: req.prefix,
 	}
 }
 
--- a/entry/run_test.go
+++ b/entry/run_test.go
@@ -11,7 +11,7 @@
 // A request that did not run is refused without a time to come back: clients
 // would ask again at once, all together. One that ran must not be told to come
 // again, or it would be paid for twice.
-func TestOnlyWhatDidNotRunComesBack(t *testing.T) {
+func TestRetryAfterOnlyIfNotRun(t *testing.T) {
 	is := is.New(t)
 	lost := refusal.New(refusal.EndpointLost, "gone")
 	r, _ := refusal.As(comeBack(lost))
@@ -24,7 +24,7 @@
 
 // An engine fails an answer that had begun. That says nothing of the pool's
 // room, and must not narrow the window as a refusal for want of room does.
-func TestOnlyWantOfRoomNarrowsTheWindow(t *testing.T) {
+func TestOnlySaturationNarrowsWindow(t *testing.T) {
 	is := is.New(t)
 	is.Equal(outcomeOf(nil), limit.Served)
 	is.Equal(outcomeOf(refusal.New(refusal.Saturated, "full")), limit.Refused)
@@ -34,7 +34,7 @@
 // One of four endpoints has not started yet and refuses at once, which makes it look
 // the emptiest. Each refusal was paid for from the retry budget: after ten of them
 // callers got 503 though three endpoints were idle.
-func TestEndpointsThatHaveNotStartedUseUpNoRetries(t *testing.T) {
+func TestNotStartedEndpointsUseNoRetryBudget(t *testing.T) {
 	is := is.New(t)
 	e := &Entry{retries: limit.NewRetryBudget()}
 	starting := refusal.New(refusal.Starting, "endpoint has no tables yet")
--- a/evidence/state.go
+++ b/evidence/state.go
@@ -40,7 +40,7 @@
 // Delta is evidence that this process had not yet taken in.
 type Delta struct {
 	Key   Key
-	Tally Tally
+	Stats Stats
 }
 
 // source is one life of one process.
@@ -50,12 +50,12 @@
 }
 
 type ownCount struct {
-	tally     Tally
+	tally     Stats
 	changedAt clock.Millis
 }
 
 type sourceCounts struct {
-	tallies map[Key]Tally
+	tallies map[Key]Stats
 	// heard orders sources by their last new evidence.
 	heard uint64
 }
@@ -98,11 +98,11 @@
 		s.now = e.Now
 		return nil, s.renew()
 	case event.Begun:
-		return s.see(Key{e.Route, e.Version, e.Organisation}, Tally{Started: 1}), false
+		return s.see(Key{e.Route, e.Version, e.Organisation}, Stats{Started: 1}), false
 	case event.Observed:
 		return s.see(Key{e.Route, e.Version, e.Organisation}, observed(e)), false
 	case event.Rated:
-		return s.see(Key{e.Route, e.Version, e.Organisation}, Tally{Ratings: 1, RatingSum: e.Score}), false
+		return s.see(Key{e.Route, e.Version, e.Organisation}, Stats{Ratings: 1, RatingSum: e.Score}), false
 	case event.Judged:
 		return s.see(Key{e.Route, e.Version, e.Organisation}, judged(e)), false
 	case event.DigestReceived:
@@ -115,19 +115,19 @@
 	return deltas, false
 }
 
-func observed(e event.Observed) Tally {
+func observed(e event.Observed) Stats {
 	if e.Failed {
-		return Tally{Errors: 1}
+		return Stats{Errors: 1}
 	}
-	t := Tally{Good: 1}
+	t := Stats{Good: 1}
 	if e.Slow {
 		t.Slow = 1
 	}
 	return t
 }
 
-func judged(e event.Judged) Tally {
-	t := Tally{Judged: 1, Ratings: 1, RatingSum: e.Score}
+func judged(e event.Judged) Stats {
+	t := Stats{Judged: 1, Ratings: 1, RatingSum: e.Score}
 	if e.Passed {
 		t.Passed = 1
 		t.PassedSum = e.Score
@@ -135,7 +135,7 @@
 	return t
 }
 
-func (s *State) see(k Key, t Tally) []Delta {
+func (s *State) see(k Key, t Stats) []Delta {
 	if !t.sane() || k.Version == "" {
 		return nil
 	}
@@ -143,7 +143,7 @@
 		s.forgetOwn()
 	}
 	s.own[k] = ownCount{tally: s.own[k].tally.Plus(t), changedAt: s.now}
-	return []Delta{{Key: k, Tally: t}}
+	return []Delta{{Key: k, Stats: t}}
 }
 
 func (s *State) forgetOwn() {
@@ -162,15 +162,15 @@
 	}
 	from := s.others[src]
 	if from == nil {
-		from = &sourceCounts{tallies: make(map[Key]Tally)}
+		from = &sourceCounts{tallies: make(map[Key]Stats)}
 		s.others[src] = from
 	}
 	old, known := from.tallies[k]
-	d = Delta{Key: k, Tally: t.since(old)}
-	if d.Tally == (Tally{}) {
+	d = Delta{Key: k, Stats: t.since(old)}
+	if d.Stats == (Stats{}) {
 		return d, false
 	}
-	from.tallies[k] = old.Plus(d.Tally)
+	from.tallies[k] = old.Plus(d.Stats)
 	s.clock++
 	from.heard = s.clock
 	if !known {
@@ -255,8 +255,8 @@
 }
 
 // Totals sums, by key, what this process saw and what others told it.
-func (s *State) Totals() map[Key]Tally {
-	sums := make(map[Key]Tally)
+func (s *State) Totals() map[Key]Stats {
+	sums := make(map[Key]Stats)
 	for k, c := range s.own {
 		sums[k] = sums[k].Plus(c.tally)
 	}
--- a/evidence/state_test.go
+++ b/evidence/state_test.go
@@ -19,13 +19,13 @@
 		is := is.New(t)
 		s := NewState("judge", 1)
 		newest := make(map[source]int64)
-		sum := Tally{}
+		sum := Stats{}
 		for range rapid.IntRange(1, 60).Draw(t, "reports") {
 			src := source{rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "vm"), rapid.Uint64Range(1, 2).Draw(t, "epoch")}
 			n := rapid.Int64Range(1, 20).Draw(t, "count")
 			newest[src] = max(newest[src], n)
 			d, _ := s.Merge(&wire.Count{Vm: src.vm, Epoch: src.epoch, Version: "m@1", Started: 2 * n, Errors: n})
-			sum = sum.Plus(d.Tally)
+			sum = sum.Plus(d.Stats)
 		}
 		want := int64(0)
 		for _, n := range newest {
@@ -38,7 +38,7 @@
 
 // A process's own counts come back to it through a peer, or a broken peer sends
 // counts that cannot be. Neither may change what is known.
-func TestEchoAndNonsenseAreIgnored(t *testing.T) {
+func TestEchoedAndInvalidCountsAreIgnored(t *testing.T) {
 	is := is.New(t)
 	s := NewState("judge", 7)
 	for _, c := range []*wire.Count{
@@ -56,7 +56,7 @@
 
 // One report is lost. What it told must come again in later ones, or the judge
 // would never learn of it once traffic has stopped.
-func TestLostReportIsMadeGood(t *testing.T) {
+func TestLostReportIsRepeated(t *testing.T) {
 	is := is.New(t)
 	s := NewState("a", 1)
 	s.Reduce(event.Tick{Now: 1})
--- a/evidence/tally.go
+++ b/evidence/tally.go
@@ -16,8 +16,8 @@
 	Organisation string
 }
 
-// Tally counts what was seen. All fields only grow.
-type Tally struct {
+// Stats counts what was seen. All fields only grow.
+type Stats struct {
 	// Started counts answers whose first token came.
 	Started int64
 	// Good and Errors count attempts that ended whole and through the version's
@@ -35,7 +35,7 @@
 }
 
 // Plus returns the sum of two tallies.
-func (t Tally) Plus(o Tally) Tally {
+func (t Stats) Plus(o Stats) Stats {
 	t.Started += o.Started
 	t.Good += o.Good
 	t.Errors += o.Errors
@@ -50,8 +50,8 @@
 
 // since returns what t counts beyond an older tally of the same process; fields
 // in which the older one is ahead give nothing.
-func (t Tally) since(o Tally) Tally {
-	return Tally{
+func (t Stats) since(o Stats) Stats {
+	return Stats{
 		Started:   max(t.Started-o.Started, 0),
 		Good:      max(t.Good-o.Good, 0),
 		Errors:    max(t.Errors-o.Errors, 0),
@@ -65,7 +65,7 @@
 }
 
 // sane reports whether a peer's tally can be a count at all.
-func (t Tally) sane() bool {
+func (t Stats) sane() bool {
 	for _, n := range []int64{t.Started, t.Good, t.Errors, t.Slow, t.Ratings, t.Judged, t.Passed} {
 		if n < 0 {
 			return false
@@ -79,9 +79,9 @@
 	return !math.IsNaN(sum) && sum >= 0 && sum <= float64(n)
 }
 
-func fromWire(c *wire.Count) (k Key, t Tally) {
+func fromWire(c *wire.Count) (k Key, t Stats) {
 	k = Key{Route: c.GetRoute(), Version: c.GetVersion(), Organisation: c.GetOrganisation()}
-	t = Tally{
+	t = Stats{
 		Started: c.GetStarted(), Good: c.GetGood(), Errors: c.GetErrors(), Slow: c.GetSlow(),
 		Ratings: c.GetRatings(), RatingSum: c.GetRatingSum(),
 		Judged: c.GetJudged(), Passed: c.GetPassed(), PassedSum: c.GetPassedSum(),
@@ -89,7 +89,7 @@
 	return k, t
 }
 
-func toWire(vm string, epoch uint64, k Key, t Tally) *wire.Count {
+func toWire(vm string, epoch uint64, k Key, t Stats) *wire.Count {
 	return &wire.Count{
 		Vm: vm, Epoch: epoch, Route: k.Route, Version: k.Version, Organisation: k.Organisation,
 		Started: t.Started, Good: t.Good, Errors: t.Errors, Slow: t.Slow,
--- a/node/inherit.go
+++ b/node/inherit.go
@@ -44,7 +44,7 @@
 		}
 	}
 	taken := len(lives) == 0
-	for _, v := range spread.First("burn/"+n.cfg.Settings.VM, heirs, able) {
+	for _, v := range spread.RendezvousTop("burn/"+n.cfg.Settings.VM, heirs, able) {
 		for _, life := range lives {
 			ok, handErr := n.hand(ctx, v, life)
 			if handErr != nil {
--- a/node/peer.go
+++ b/node/peer.go
@@ -34,7 +34,7 @@
 	if now < due {
 		return
 	}
-	estimates := &wire.Digest{Estimates: n.View().Quality().Wire()}
+	estimates := &wire.Digest{Estimates: n.View().Quality().Estimates()}
 	pause := max(int64(estimatesEvery), int64(proto.Size(estimates))*int64(clock.Second)/estimatesBytes)
 	if n.estimatesAt.CompareAndSwap(due, now+pause) {
 		d.Estimates = estimates.GetEstimates()
--- a/refusal/response.go
+++ b/refusal/response.go
@@ -14,11 +14,11 @@
 	http.StatusRequestTimeout: true, http.StatusMisdirectedRequest: true, http.StatusTooManyRequests: true, http.StatusServiceUnavailable: true,
 }
 
-// HonestStatus returns the HTTP status for callers that take some statuses for a
+// RetrySafeStatus returns the HTTP status for callers that take some statuses for a
 // promise. A refusal of a request that may have run never gets one of these, or
 // the caller would run it a second time; one that did not run gets one wherever
 // its own status promises nothing, so that the caller may come back.
-func (r *Refusal) HonestStatus() int {
+func (r *Refusal) RetrySafeStatus() int {
 	status := r.Status()
 	switch {
 	case r.run != NotRun && promises[status]:
@@ -50,7 +50,7 @@
 	if after > 0 && r.run == NotRun {
 		h.Set("Retry-After", strconv.FormatFloat(float64(after)/float64(clock.Second), 'f', 3, 64))
 	}
-	w.WriteHeader(r.HonestStatus())
+	w.WriteHeader(r.RetrySafeStatus())
 	if req.Method != http.MethodHead {
 		_, _ = w.Write(data)
 	}
--- a/relay/admit.go
+++ b/relay/admit.go
@@ -62,12 +62,12 @@
 // were stopped there is no other to go to.
 func (x *exchange) awaitStart() {
 	s := x.server
-	if x.view.Started() || s.cfg.Ways.Of(decision.Early) != decision.Hold {
+	if x.view.Started() || s.cfg.Strategies.For(decision.EarlyRequests) != decision.Hold {
 		return
 	}
 	hold := s.startedAt + startFor - x.startedAt
-	if x.req.Patience > 0 {
-		hold = min(hold, clock.Millis(startPart*float64(x.req.Patience)))
+	if x.req.CallerTimeout > 0 {
+		hold = min(hold, clock.Millis(startPart*float64(x.req.CallerTimeout)))
 	}
 	if hold <= 0 {
 		return
@@ -167,8 +167,8 @@
 	if limit <= 0 {
 		limit = defaultTimeout
 	}
-	if x.req.Patience > 0 {
-		limit = min(limit, x.req.Patience)
+	if x.req.CallerTimeout > 0 {
+		limit = min(limit, x.req.CallerTimeout)
 	}
 	x.deadline = x.startedAt + limit
 }
--- a/relay/admit_test.go
+++ b/relay/admit_test.go
@@ -16,7 +16,7 @@
 
 // All entries start at once, and their callers come before they know their site. Hundreds
 // were refused, though the entry would have known half a second later.
-func TestEarlyRequestWaitsForItsEntry(t *testing.T) {
+func TestEarlyRequestWaitsForStart(t *testing.T) {
 	for _, x := range []struct {
 		name     string
 		patience clock.Millis
@@ -38,7 +38,7 @@
 			c := clock.Boot()
 			begun := c.Now()
 			known := make(chan struct{})
-			route := &catalog.Route{Name: "r", Host: "h", Prefix: "/", Public: true, Kind: catalog.Idempotent, Timeout: 2000, Aim: 500, MaxAttempts: 2, Targets: []catalog.Target{{Service: "app", Weight: 1}}}
+			route := &catalog.Route{Name: "r", Host: "h", Prefix: "/", Public: true, Kind: catalog.Idempotent, Timeout: 2000, LatencyTarget: 500, MaxAttempts: 2, Targets: []catalog.Target{{Service: "app", Weight: 1}}}
 			before, after := site.NewState(site.Self{Name: "e"}, 0).View(), viewOf(route, []fleet.Change{slotsOf("i-1", e.Address())})
 			server := serverOn(c, nil)
 			server.cfg.Started = known
@@ -51,10 +51,10 @@
 				}
 			}
 			server.cfg.Dialect.Read = func(r *http.Request) (*Request, error) {
-				return &Request{ID: "r-1", Method: r.Method, Path: "/x", Host: "h", Patience: x.patience}, nil
+				return &Request{ID: "r-1", Method: r.Method, Path: "/x", Host: "h", CallerTimeout: x.patience}, nil
 			}
-			server.cfg.Dialect.Refuse = func(http.Header, string) {}
-			server.cfg.Ways, err = decision.Choose(map[string]string{"early-requests": x.way})
+			server.cfg.Dialect.SetRefusalHeaders = func(http.Header, string) {}
+			server.cfg.Strategies, err = decision.Choose(map[string]string{"early-requests": x.way})
 			is.NoErr(err)
 			go func() {
 				clock.Pause(t.Context(), x.knownIn)
--- a/relay/attempt.go
+++ b/relay/attempt.go
@@ -54,7 +54,7 @@
 		x.placedAt = now
 	}
 	work := s.board.Begin(a.endpoint, x.query(a.plan))
-	a.expected = work.Expected()
+	a.expected = work.ExpectedFirstByte()
 	defer work.End()
 	defer s.tally.begin(x.service, a.endpoint.Version)()
 	defer s.sessions.use(x.session, x.service, a.endpoint.Version, s.cfg.Clock.Now)()
@@ -72,9 +72,9 @@
 	defer answer.Close()
 	a.firstAfter = max(s.cfg.Clock.Now()-a.startedAt, 1)
 	x.connected += answer.ConnectTime()
-	work.Read(s.cfg.Clock.Now())
+	work.FirstByte(s.cfg.Clock.Now())
 	s.pace.miss(x.route, a.plan.model(), a.firstAfter-a.expected)
-	s.board.Heard(a.endpoint.ID, s.cfg.Clock.Now())
+	s.board.RecordActivity(a.endpoint.ID, s.cfg.Clock.Now())
 	h := s.cfg.Dialect.Head(answer.Status, answer.Header)
 	a.status, a.confidence = h.Status, h.Confidence
 	a.learn(h)
@@ -85,7 +85,7 @@
 func (a *attempt) countLimited() {
 	s := a.exchange.server
 	switch {
-	case !s.board.Stated(a.endpoint).HasRate:
+	case !s.board.Advertised(a.endpoint).HasRate:
 	case a.exchange.sends == 0:
 		s.limitedFirst.Inc()
 	default:
@@ -96,17 +96,17 @@
 // call makes the request for the endpoint.
 func (a *attempt) call() upstream.Call {
 	x := a.exchange
-	o := Order{
+	o := AttemptParams{
 		Endpoint: a.endpoint.ID, Address: a.endpoint.Address, Organisation: x.organisation, Model: a.plan.model(),
-		Left: max(x.left(), 1), Priority: x.priority, After: x.req.After, HasAfter: x.req.HasAfter,
+		Remaining: max(x.left(), 1), Priority: x.priority, LastEventID: x.req.LastEventID, Resumes: x.req.Resumes,
 		// A kept connection may be dead, which shows only after the request was sent
 		// on it; a request that may not be repeated would be lost.
-		Fresh: !x.route.Repeatable(),
+		NewConnection: !x.route.Repeatable(),
 	}
 	c := x.server.cfg.Dialect.Call(x.req, o, x.req.body)
 	c.HasBody = x.req.hasBody
 	c.FirstByteTimeout = a.wait
-	if c.NewConnection && x.server.cfg.Ways.Of(decision.Connection) == decision.Watched {
+	if c.NewConnection && x.server.cfg.Strategies.For(decision.Connection) == decision.Watched {
 		c.SettleTime = settleFor
 	}
 	c.MaxIdle = x.server.mostIdle(x.view, x.service)
@@ -144,18 +144,18 @@
 func (a *attempt) wait(waited clock.Millis) clock.Millis {
 	x := a.exchange
 	left := x.left()
-	way := x.server.cfg.Ways.Of(decision.Patience)
-	if !x.mayRepeatAfter(1) || way == decision.Endless {
+	way := x.server.cfg.Strategies.For(decision.FirstByteTimeout)
+	if !x.mayRepeatAfter(1) || way == decision.CallerTimeout {
 		return left
 	}
 	patience := x.server.pace.patience(x.route, a.plan.model())
 	if way == decision.ByError {
 		patience = x.server.pace.patienceFor(x.route, a.plan.model(), a.expected)
 	}
-	if x.server.board.HeardSince(a.endpoint.ID, a.startedAt) {
+	if x.server.board.ActiveSince(a.endpoint.ID, a.startedAt) {
 		patience = clock.Millis(aliveFactor * float64(patience))
 	}
-	if waited >= patience && !x.server.cfg.Ways.Off(decision.StayIfBusy) && !a.roomElsewhere() {
+	if waited >= patience && !x.server.cfg.Strategies.Disabled(decision.StayIfBusy) && !a.roomElsewhere() {
 		return min(recheckAfter, left)
 	}
 	return min(patience-waited, left)
@@ -170,32 +170,32 @@
 // have had its answer a moment later.
 func (a *attempt) roomElsewhere() bool {
 	x := a.exchange
-	return x.server.board.Room(x.view.Fleet(), x.queryAgain(a.plan))
+	return x.server.board.HasCapacity(x.view.Fleet(), x.queryAgain(a.plan))
 }
 
 // learn takes what the head of an answer says of the endpoint.
 func (a *attempt) learn(h Head) {
 	s := a.exchange.server
 	now := s.cfg.Clock.Now()
-	a.held = h.Held
-	if h.HasLoad && !h.Elsewhere {
-		s.board.Load(a.endpoint.ID, h.Held, h.Slots, now)
-		s.board.Waiting(a.endpoint.ID, h.Waiting, now)
+	a.held = h.Outstanding
+	if h.HasLoad && !h.WrongEndpoint {
+		s.board.RecordLoad(a.endpoint.ID, h.Outstanding, h.Slots, now)
+		s.board.RecordQueueLength(a.endpoint.ID, h.QueueLength, now)
 	}
-	if !h.Elsewhere && (h.Signed || h.NotRun) {
+	if !h.WrongEndpoint && (h.Signed || h.NotRun) {
 		a.state(h, now)
 	}
 }
 
 // state takes the endpoint's statement, and logs what is new in it.
 func (a *attempt) state(h Head, now clock.Millis) {
-	s, e, said := a.exchange.server, a.endpoint, h.Statement
+	s, e, said := a.exchange.server, a.endpoint, h.Advertisement
 	log := func(message string, fields ...any) {
 		s.cfg.Log.Info(message, append(fields, "endpoint", e.ID, "address", e.Address, "zone", e.Zone, "request", a.exchange.req.ID, "status", h.Status)...)
 	}
-	if s.board.State(e, said, a.startedAt, now) {
+	if s.board.RecordAdvertisement(e, said, a.startedAt, now) {
 		s.statements.Inc()
-		log("Endpoint's statement changed", "born", e.Born, "leaving", said.Leaving, "has-rate", said.HasRate, "rate", said.Rate, "after", now-a.startedAt)
+		log("Endpoint's statement changed", "born", e.Incarnation, "leaving", said.Leaving, "has-rate", said.HasRate, "rate", said.Rate, "after", now-a.startedAt)
 	}
 	if said.PauseFor > 0 {
 		log("Endpoint asked for a pause", "pause", said.PauseFor)
@@ -206,8 +206,8 @@
 func (a *attempt) judge(h Head, answer *upstream.Answer) (r result, err error) {
 	x := a.exchange
 	switch {
-	case h.NotRun || h.Elsewhere:
-		a.elsewhere = h.Elsewhere
+	case h.NotRun || h.WrongEndpoint:
+		a.elsewhere = h.WrongEndpoint
 		x.runs--
 		return notRun, refusal.New(refusal.Saturated, "endpoint refused the request with status "+strconv.Itoa(h.Status))
 	case !h.Signed || h.Encoded:
--- a/relay/backoff.go
+++ b/relay/backoff.go
@@ -24,7 +24,7 @@
 	if r.Run() != refusal.NotRun {
 		return 0
 	}
-	switch r.HonestStatus() {
+	switch r.RetrySafeStatus() {
 	case 429, 503:
 	default:
 		return 0
--- a/relay/pace.go
+++ b/relay/pace.go
@@ -74,14 +74,14 @@
 
 // grade compares a span with those kept, by each grade times a factor; not known
 // while too few are. A slow one is beyond the middle one by a margin.
-func (s *spans) grade(span, factor float64, margin func(middle float64) float64) (slow [len(upgrade.Grades)]bool, known bool) {
+func (s *spans) grade(span, factor float64, margin func(middle float64) float64) (slow [len(upgrade.SlowThresholds)]bool, known bool) {
 	if !s.known() {
 		return slow, false
 	}
 	sorted := slices.Sorted(slices.Values(s.newest))
 	middle := ranked(sorted, 0.5)
-	for i, g := range upgrade.Grades {
-		usual := max(ranked(sorted, g.Rank), middle+margin(middle))
+	for i, g := range upgrade.SlowThresholds {
+		usual := max(ranked(sorted, g.Quantile), middle+margin(middle))
 		// Delays may be below zero, of which a multiple is no longer span.
 		slow[i] = span > usual+(g.Factor*factor-1)*math.Abs(usual)
 	}
@@ -162,7 +162,7 @@
 // grade reports by which grades a span is longer than usual at the load of its endpoint; not
 // known while too few were seen. Where there are too few at that load, those at the next
 // higher one are usual, and else those at the next lower one with a margin.
-func (p *pace) grade(k paceKey, held int, span, factor float64) (slow [len(upgrade.Grades)]bool, known bool) {
+func (p *pace) grade(k paceKey, held int, span, factor float64) (slow [len(upgrade.SlowThresholds)]bool, known bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	all := p.spans[k]
@@ -229,7 +229,7 @@
 	defer p.mu.Unlock()
 	mean, ok := p.means[paceKey{route: r.Name, model: model}]
 	if !ok {
-		return max(r.Aim, leastPatience)
+		return max(r.LatencyTarget, leastPatience)
 	}
-	return max(clock.Millis(aimPart*float64(r.Aim)), clock.Millis(patienceFactor*mean), leastPatience)
+	return max(clock.Millis(aimPart*float64(r.LatencyTarget)), clock.Millis(patienceFactor*mean), leastPatience)
 }
--- a/relay/pace_test.go
+++ b/relay/pace_test.go
@@ -21,7 +21,7 @@
 // A new version is four times as slow as the old one. It gets a twentieth of the requests, at
 // endpoints that hold one or two, while those of the old version hold up to forty: by all
 // spans of the old version hardly any of its answers was slow, and it was completed.
-func TestSlowVersionOnIdleEndpointsIsSlow(t *testing.T) {
+func TestSlowVersionIsDetectedOnIdleEndpoints(t *testing.T) {
 	for name, x := range map[string]struct {
 		base        float64
 		least, most int
@@ -55,7 +55,7 @@
 
 // A new version's endpoints hold more than any of the old one did yet. Its answers are not
 // slow for that alone.
-func TestVersionUnderMoreLoadIsComparedWithAMargin(t *testing.T) {
+func TestVersionUnderMoreLoadIsComparedWithMargin(t *testing.T) {
 	is := is.New(t)
 	p, k := newPace(), paceKey{route: "r"}
 	_, known := p.grade(k, 4, 10, 1)
@@ -72,7 +72,7 @@
 
 // A small model's answers are dropped for a larger one's before their events come. A slow
 // version was completed on a handful of timed answers where most of its own were dropped.
-func TestDroppedAnswersTellAVersionsPace(t *testing.T) {
+func TestDroppedAnswersAreGradedByFirstByteDelay(t *testing.T) {
 	is := is.New(t)
 	route := &catalog.Route{Name: "r", Kind: catalog.Streaming}
 	x := &exchange{route: route}
--- a/relay/plan.go
+++ b/relay/plan.go
@@ -17,7 +17,7 @@
 		return plan{}
 	}
 	models := x.route.Models
-	if x.req.HasAfter || len(models) == 1 {
+	if x.req.Resumes || len(models) == 1 {
 		return plan{models: models[len(models)-1:]}
 	}
 	return plan{models: []string{models[0], models[len(models)-1]}}
@@ -57,8 +57,8 @@
 	if !room {
 		return false
 	}
-	answer := cascade.Answer{Confidence: confidence, Left: x.startedAt + x.route.Aim - q.Now}
-	return x.server.judge.Drops(answer, cascade.Larger{First: expected.First, Wait: expected.Wait})
+	answer := cascade.Answer{Confidence: confidence, Remaining: x.startedAt + x.route.LatencyTarget - q.Now}
+	return x.server.judge.ShouldEscalate(answer, cascade.LargerModel{FirstByte: expected.FirstByte, QueueWait: expected.Wait})
 }
 
 func (p plan) next() plan { return plan{models: p.models[1:]} }
--- a/relay/plan_test.go
+++ b/relay/plan_test.go
@@ -19,7 +19,7 @@
 // one takes most of the time that is left to read, and prompts wait where it would go.
 // Its answer was dropped, and the better one came too late to be of full use. For a
 // short prompt at an idle endpoint the same answer is dropped.
-func TestAnswersAreKeptWhenTheLargerModelWouldBeLate(t *testing.T) {
+func TestAnswersAreKeptWhenLargerModelWouldBeLate(t *testing.T) {
 	for _, x := range []struct {
 		name    string
 		tokens  int
@@ -35,7 +35,7 @@
 			a := smallAnswer(x.tokens)
 			if x.waiting > 0 {
 				e := a.exchange.view.Fleet().Find("i-1")
-				a.exchange.server.board.Begin(e, placement.Query{Model: "large", Parts: []placement.Part{{ID: "other", Tokens: x.waiting}}, AllTold: true, Now: 1000})
+				a.exchange.server.board.Begin(e, placement.Query{Model: "large", Blocks: []placement.Block{{ID: "other", Tokens: x.waiting}}, FullMesh: true, Now: 1000})
 			}
 			is.Equal(a.poor(45), x.drops)
 		})
@@ -45,22 +45,22 @@
 // smallAnswer is an attempt at the smallest of two models, whose answer has come.
 func smallAnswer(tokens int) *attempt {
 	c := clock.New(func() clock.Millis { return 1000 })
-	route := &catalog.Route{Name: "r", Kind: catalog.Idempotent, Timeout: 8000, Aim: 1500, MaxAttempts: 3, Models: []string{"small", "large"}, Targets: []catalog.Target{{Service: "app", Weight: 1}}}
+	route := &catalog.Route{Name: "r", Kind: catalog.Idempotent, Timeout: 8000, LatencyTarget: 1500, MaxAttempts: 3, Models: []string{"small", "large"}, Targets: []catalog.Target{{Service: "app", Weight: 1}}}
 	endpoint := &fleet.Endpoint{ID: "i-1", Service: "app", Address: "10.0.0.1:1", Version: "v1", Slots: 24}
 	view := viewOf(route, []fleet.Change{{ID: "i-1", Endpoint: endpoint}})
-	server := New(Config{Clock: c, Log: log.New(io.Discard), View: func() *site.View { return view }, Pool: upstream.NewPool(c), RetryRatio: 1, RetrySlack: 100, RetrySpan: 1000})
+	server := New(Config{Clock: c, Log: log.New(io.Discard), View: func() *site.View { return view }, Pool: upstream.NewPool(c), RetryRatio: 1, RetrySlack: 100, RetryWindow: 1000})
 	return &attempt{plan: plan{models: []string{"small", "large"}}, exchange: &exchange{
 		server: server, view: view, startedAt: 900, deadline: 8900, route: route, service: "app",
-		req: &Request{ID: "r-1", AnyModel: true, Parts: []placement.Part{{ID: "own", Tokens: tokens}}},
+		req: &Request{ID: "r-1", AnyModel: true, Blocks: []placement.Block{{ID: "own", Tokens: tokens}}},
 	}}
 }
 
 // An endpoint loses an answer that was expected at once, and its request waits for as long as
 // the route's longest prompts take.
-func TestPatienceFollowsHowFarExpectationsAreOff(t *testing.T) {
+func TestFirstByteTimeoutFollowsPredictionError(t *testing.T) {
 	is := is.New(t)
 	p := newPace()
-	r := &catalog.Route{Name: "r", Aim: 2000}
+	r := &catalog.Route{Name: "r", LatencyTarget: 2000}
 	p.add(r.Name, "m", 400)
 	usual := p.patience(r, "m")
 	is.Equal(usual, clock.Millis(1600))
@@ -79,11 +79,11 @@
 }
 
 // Entries that each keep what one may keep fill the endpoints' bound together.
-func TestIdleConnectionsAreAShareOfTheBound(t *testing.T) {
+func TestIdleConnectionsAreDividedAmongEntries(t *testing.T) {
 	is := is.New(t)
 	s := site.NewState(site.Self{Name: "e"}, 0)
 	services := map[string]catalog.Service{"app": {Name: "app", MaxConnections: 220}, "free": {Name: "free"}}
-	site.Reduce(s, site.OperatorRead{Now: 1, Whole: true, News: site.OperatorNews{Config: (&catalog.Config{Version: 1, Services: services}).Index()}})
+	site.Reduce(s, site.OperatorRead{Now: 1, Full: true, Update: site.OperatorUpdate{Config: (&catalog.Config{Version: 1, Services: services}).Index()}})
 	addresses := make(map[string]string)
 	for i := range 26 {
 		addresses[string(rune('a'+i))] = "x"
--- a/relay/request.go
+++ b/relay/request.go
@@ -25,36 +25,36 @@
 	Key    string
 	// Session is empty for a request that belongs to none.
 	Session string
-	// Patience is how long the caller waits; 0 when it does not say.
-	Patience clock.Millis
+	// CallerTimeout is how long the caller waits; 0 when it does not say.
+	CallerTimeout clock.Millis
 	// AnyModel says that the system names the model; otherwise it is Model.
 	AnyModel bool
 	Model    string
-	Parts    []placement.Part
-	// After is the number of the last event that the caller has, HasAfter says
+	Blocks   []placement.Block
+	// LastEventID is the number of the last event that the caller has, HasAfter says
 	// that it resumes a stream.
-	After    string
-	HasAfter bool
+	LastEventID string
+	Resumes     bool
 
 	hasBody bool
 	body    []byte
 }
 
-// Order is one attempt as it is sent to an endpoint.
-type Order struct {
+// AttemptParams is one attempt as it is sent to an endpoint.
+type AttemptParams struct {
 	Endpoint     string
 	Address      string
 	Organisation string
 	// Model is set when the system names the model.
 	Model string
-	// Left is the time that is left of the request.
-	Left clock.Millis
+	// Remaining is the time that is left of the request.
+	Remaining clock.Millis
 	// Priority is the rank of the request, 0 first.
 	Priority int
-	// After is the number of the last event that the caller has.
-	After    string
-	HasAfter bool
-	Fresh    bool
+	// LastEventID is the number of the last event that the caller has.
+	LastEventID   string
+	Resumes       bool
+	NewConnection bool
 }
 
 // Head is what the head of an endpoint's answer says.
@@ -64,22 +64,22 @@
 	Signed bool
 	// NotRun says that the endpoint did not run the request and never will.
 	NotRun bool
-	// Elsewhere says that another endpoint has the address.
-	Elsewhere bool
+	// WrongEndpoint says that another endpoint has the address.
+	WrongEndpoint bool
 	// Encoded bodies are not the endpoint's.
 	Encoded bool
-	// Held is the number of requests that the endpoint works on or has waiting,
+	// Outstanding is the number of requests that the endpoint works on or has waiting,
 	// Slots how many it works on at once; HasLoad says that they are known.
-	Held    int
-	Slots   int
-	HasLoad bool
-	// Waiting is the number of requests that wait to be begun.
-	Waiting int
+	Outstanding int
+	Slots       int
+	HasLoad     bool
+	// QueueLength is the number of requests that wait to be begun.
+	QueueLength int
 	// Confidence is the model's own opinion of its answer, 0 to 100; -1 when it
 	// has none.
 	Confidence int
-	// Statement is what else the answer says of its endpoint.
-	Statement placement.Statement
+	// Advertisement is what else the answer says of its endpoint.
+	Advertisement placement.Advertisement
 	// Header holds what is handed on to the caller.
 	Header http.Header
 }
@@ -88,8 +88,8 @@
 type Dialect struct {
 	// Read reads a request's head. A refusal says what is wrong with it.
 	Read func(r *http.Request) (req *Request, err error)
-	Call func(req *Request, o Order, body []byte) upstream.Call
+	Call func(req *Request, o AttemptParams, body []byte) upstream.Call
 	Head func(status int, h http.Header) Head
-	// Refuse names the request in the head of a refusal.
-	Refuse func(h http.Header, id string)
+	// SetRefusalHeaders names the request in the head of a refusal.
+	SetRefusalHeaders func(h http.Header, id string)
 }
--- a/relay/run.go
+++ b/relay/run.go
@@ -57,7 +57,7 @@
 			return x.giveUp(kept, x.markRun(err))
 		}
 		e, why := x.pick(p)
-		if why != placement.Picked {
+		if why != placement.Selected {
 			return x.giveUp(kept, x.markRun(x.unplaced(p, why)))
 		}
 		x.tried[e.ID] = true
@@ -111,7 +111,7 @@
 // was silent only where there is nothing else: nothing seems to run there, since nobody
 // has had an answer.
 func (x *exchange) pick(p plan) (e *fleet.Endpoint, why placement.Reason) {
-	e, why = x.server.board.Pick(x.view.Fleet(), x.query(p))
+	e, why = x.server.board.Select(x.view.Fleet(), x.query(p))
 	if len(x.tried) == 0 {
 		return e, why
 	}
@@ -121,7 +121,7 @@
 		}
 		q := x.queryAgain(p)
 		q.Avoid = avoid
-		e, why = x.server.board.Pick(x.view.Fleet(), q)
+		e, why = x.server.board.Select(x.view.Fleet(), q)
 	}
 	return e, why
 }
@@ -130,8 +130,8 @@
 // caller who has waited, and there is nobody to turn away to.
 func (x *exchange) queryAgain(p plan) placement.Query {
 	q := x.query(p)
-	if q.Patience > 0 {
-		q.Patience = max(x.left(), 1)
+	if q.FirstByteBudget > 0 {
+		q.FirstByteBudget = max(x.left(), 1)
 	}
 	return q
 }
@@ -144,17 +144,17 @@
 	version := rule.Version(catalog.Fraction(x.session), s.sessions.version(x.session, x.service, now, x.view))
 	return placement.Query{
 		Service: x.service, Version: version, Rule: rule, Zone: s.cfg.Zone, Avoid: x.tried, Model: p.model(),
-		Parts: x.req.Parts, Bytes: len(x.req.body), Bounds: s.bounds(x.view, x.service), AllTold: x.view.AllTold(), Patience: x.patience(now), Now: now,
+		Blocks: x.req.Blocks, Bytes: len(x.req.body), Bounds: s.bounds(x.view, x.service), FullMesh: x.view.FullMesh(), FirstByteBudget: x.patience(now), Now: now,
 	}
 }
 
 // patience is how long an endpoint may be expected to take for the first byte; 0
 // for any time, once the caller has a part of its answer.
 func (x *exchange) patience(now clock.Millis) clock.Millis {
-	if x.written || x.route.Aim <= 0 || x.server.cfg.Ways.Off(decision.LatePrompts) {
+	if x.written || x.route.LatencyTarget <= 0 || x.server.cfg.Strategies.Disabled(decision.LatePrompts) {
 		return 0
 	}
-	return placement.Patience(x.route.Aim, now-x.startedAt)
+	return placement.FirstByteBudget(x.route.LatencyTarget, now-x.startedAt)
 }
 
 // unplaced refuses a request for which there is no endpoint.
@@ -162,7 +162,7 @@
 	if why == placement.Full {
 		q := x.query(p)
 		q.Avoid = nil
-		return refusal.New(refusal.Saturated, "all endpoints are full: "+x.server.board.Census(x.view.Fleet(), q).String())
+		return refusal.New(refusal.Saturated, "all endpoints are full: "+x.server.board.CountObstacles(x.view.Fleet(), q).String())
 	}
 	return refusal.New(refusal.NoEndpoint, "no endpoint may get the request")
 }
@@ -223,7 +223,7 @@
 	defer s.mu.Unlock()
 	b, ok := s.budgets[service]
 	if !ok {
-		b = limit.NewShare(s.cfg.RetrySpan, s.cfg.RetryRatio*ratioPart, s.cfg.RetrySlack*slackPart/float64(entries))
+		b = limit.NewShare(s.cfg.RetryWindow, s.cfg.RetryRatio*ratioPart, s.cfg.RetrySlack*slackPart/float64(entries))
 		s.budgets[service] = b
 	}
 	return b
@@ -251,19 +251,19 @@
 	switch {
 	case callerLeft:
 	case r == done || r == poor:
-		s.board.Outcome(a.endpoint.ID, false, now)
+		s.board.RecordOutcome(a.endpoint.ID, false, now)
 	case a.status == 0 && r == notRun, a.elsewhere:
-		s.board.Lost(a.endpoint.ID, now)
-	case a.silent && !s.board.HeardSince(a.endpoint.ID, a.startedAt):
-		s.board.Lost(a.endpoint.ID, now)
+		s.board.RecordUnreachable(a.endpoint.ID, now)
+	case a.silent && !s.board.ActiveSince(a.endpoint.ID, a.startedAt):
+		s.board.RecordUnreachable(a.endpoint.ID, now)
 	case a.silent:
 		// It answers others, so that it is slow and not gone; the next requests
 		// wait longer.
 		s.pace.add(x.route.Name, a.plan.model(), now-a.startedAt)
 		s.pace.miss(x.route, a.plan.model(), now-a.startedAt-a.expected)
-		s.board.Outcome(a.endpoint.ID, true, now)
+		s.board.RecordOutcome(a.endpoint.ID, true, now)
 	default:
-		s.board.Outcome(a.endpoint.ID, true, now)
+		s.board.RecordOutcome(a.endpoint.ID, true, now)
 	}
 	if !callerLeft && r != notRun {
 		s.count(x, a, r)
--- a/relay/run_test.go
+++ b/relay/run_test.go
@@ -29,17 +29,17 @@
 	s := site.NewState(site.Self{Name: "e"}, 0)
 	config := &catalog.Config{Version: 1, Routes: []*catalog.Route{route}, Services: map[string]catalog.Service{"app": {Name: "app"}}}
 	site.Reduce(s, site.VerdictsRead{Now: 1})
-	site.Reduce(s, site.OperatorRead{Now: 1, Whole: true, News: site.OperatorNews{Config: config.Index()}})
-	site.Reduce(s, site.EndpointsRead{Now: 1, Whole: true, Changes: changes})
+	site.Reduce(s, site.OperatorRead{Now: 1, Full: true, Update: site.OperatorUpdate{Config: config.Index()}})
+	site.Reduce(s, site.EndpointsRead{Now: 1, Full: true, Changes: changes})
 	return s.View()
 }
 
 // serverOn makes a server that speaks plain HTTP to the endpoints of a view.
 func serverOn(c clock.Clock, view *site.View) *Server {
 	return New(Config{
-		Clock: c, Log: log.New(io.Discard), View: func() *site.View { return view }, Pool: upstream.NewPool(c), RetryRatio: 1, RetrySlack: 100, RetrySpan: 1000,
+		Clock: c, Log: log.New(io.Discard), View: func() *site.View { return view }, Pool: upstream.NewPool(c), RetryRatio: 1, RetrySlack: 100, RetryWindow: 1000,
 		Dialect: Dialect{
-			Call: func(req *Request, o Order, _ []byte) upstream.Call {
+			Call: func(req *Request, o AttemptParams, _ []byte) upstream.Call {
 				return upstream.Call{Address: o.Address, Method: "GET", Target: "/x", Host: "h", Header: http.Header{"Request-Id": {req.ID}}}
 			},
 			Head: func(status int, h http.Header) Head {
@@ -57,7 +57,7 @@
 // A request's time is up by the process's clock a moment before its timer fires,
 // while its endpoint has just failed it. No further attempt is made:
 // each would open a connection, or begin the request, in vain.
-func TestNothingIsSentWithoutTimeLeft(t *testing.T) {
+func TestNoAttemptWithoutTimeRemaining(t *testing.T) {
 	for _, kind := range []catalog.Kind{catalog.Idempotent, catalog.NonIdempotent} {
 		t.Run(fmt.Sprint(kind), func(t *testing.T) { runOutOfTime(t, kind) })
 	}
@@ -71,7 +71,7 @@
 	var now atomic.Int64
 	now.Store(1000)
 	c := clock.New(func() clock.Millis { return clock.Millis(now.Load()) })
-	route := &catalog.Route{Name: "r", Kind: kind, Timeout: 500, Aim: 100, MaxAttempts: 5, Targets: []catalog.Target{{Service: "app", Weight: 1}}}
+	route := &catalog.Route{Name: "r", Kind: kind, Timeout: 500, LatencyTarget: 100, MaxAttempts: 5, Targets: []catalog.Target{{Service: "app", Weight: 1}}}
 	var changes []fleet.Change
 	for i := range 4 {
 		name := fmt.Sprintf("i-%d", i)
@@ -93,14 +93,14 @@
 	r, ok := refusal.As(err)
 	is.True(ok)
 	is.Equal(r.Code(), refusal.DeadlinePassed)
-	is.Equal(r.HonestStatus(), http.StatusGatewayTimeout)
+	is.Equal(r.RetrySafeStatus(), http.StatusGatewayTimeout)
 	is.Equal(x.sends, 1)
 }
 
 // One endpoint is slow and the other full. The request left the slow one after the usual
 // span, found no place, and its caller was failed at once, a moment before the answer
 // would have come. It stays where it is until another endpoint would answer in time.
-func TestRequestStaysWhereNoOtherEndpointHasRoom(t *testing.T) {
+func TestRequestStaysWhenNoOtherEndpointHasRoom(t *testing.T) {
 	for _, full := range []bool{true, false} {
 		t.Run(fmt.Sprintf("other full %t", full), func(t *testing.T) { leaveSlowEndpoint(t, full) })
 	}
@@ -116,13 +116,13 @@
 	other, err := standin.StartEndpoint("i-other", nil)
 	is.NoErr(err)
 	defer other.Close()
-	route := &catalog.Route{Name: "r", Kind: catalog.Idempotent, Timeout: 3000, Aim: 500, MaxAttempts: 3, Targets: []catalog.Target{{Service: "app", Weight: 1}}}
+	route := &catalog.Route{Name: "r", Kind: catalog.Idempotent, Timeout: 3000, LatencyTarget: 500, MaxAttempts: 3, Targets: []catalog.Target{{Service: "app", Weight: 1}}}
 	view := viewOf(route, []fleet.Change{
 		slotsOf("i-slow", slow.Address()),
 		slotsOf("i-other", other.Address()),
 	})
 	server := serverOn(c, view)
-	server.board.Load("i-other", 100, 4, c.Now())
+	server.board.RecordLoad("i-other", 100, 4, c.Now())
 	w := httptest.NewRecorder()
 	x := &exchange{
 		server: server, view: view, w: w, r: httptest.NewRequest(http.MethodGet, "/x", nil), startedAt: c.Now(), deadline: c.Now() + 3000,
@@ -131,7 +131,7 @@
 	go func() {
 		time.Sleep(50 * time.Millisecond)
 		if !otherFull {
-			server.board.Load("i-other", 0, 4, c.Now()+10000) // long after, so that the word replaces the old one
+			server.board.RecordLoad("i-other", 0, 4, c.Now()+10000) // long after, so that the word replaces the old one
 		}
 	}()
 	is.NoErr(x.run(context.Background()))
@@ -142,7 +142,7 @@
 // A plain request took half a second at its entry and a few milliseconds at its endpoint.
 // Its line says in which phase the rest went: the caller's body, the first attempt's
 // beginning, or a connection.
-func TestEndOfARequestNamesItsPhases(t *testing.T) {
+func TestRequestLogHasPhaseDurations(t *testing.T) {
 	is := is.New(t)
 	out := &bytes.Buffer{}
 	s := site.NewState(site.Self{Name: "e"}, 0)
@@ -155,7 +155,7 @@
 // An endpoint lost an answer while the others were busy. The request was sent there again,
 // since nothing seemed to run there, until its caller's time was up, though a late answer
 // was to be had elsewhere.
-func TestSilentEndpointIsNotAskedAgain(t *testing.T) {
+func TestSilentEndpointIsNotRetried(t *testing.T) {
 	is := is.New(t)
 	c := clock.Boot()
 	silent, err := standin.StartEndpoint("i-silent", func(*http.Request) standin.Reply { return standin.Reply{Delay: 20 * time.Second} })
@@ -164,16 +164,16 @@
 	busy, err := standin.StartEndpoint("i-busy", func(*http.Request) standin.Reply { return standin.Reply{Events: 2, BreakAfter: -1} })
 	is.NoErr(err)
 	defer busy.Close()
-	route := &catalog.Route{Name: "r", Kind: catalog.Streaming, Resumable: true, Timeout: 5000, Aim: 300, MaxAttempts: 3, Targets: []catalog.Target{{Service: "app", Weight: 1}}}
+	route := &catalog.Route{Name: "r", Kind: catalog.Streaming, Resumable: true, Timeout: 5000, LatencyTarget: 300, MaxAttempts: 3, Targets: []catalog.Target{{Service: "app", Weight: 1}}}
 	view := viewOf(route, []fleet.Change{
 		slotsOf("i-silent", silent.Address()),
 		slotsOf("i-busy", busy.Address()),
 	})
 	server := serverOn(c, view)
-	server.board.Waiting("i-busy", 20, c.Now()+1000) // its word stays fresh for a while
+	server.board.RecordQueueLength("i-busy", 20, c.Now()+1000) // its word stays fresh for a while
 	x := &exchange{
 		server: server, view: view, w: httptest.NewRecorder(), r: httptest.NewRequest(http.MethodGet, "/x", nil), startedAt: c.Now(), deadline: c.Now() + 5000,
-		req: &Request{ID: "r-1", Method: http.MethodGet, Model: "m", Parts: []placement.Part{{ID: "own", Tokens: 900}}}, route: route, service: "app",
+		req: &Request{ID: "r-1", Method: http.MethodGet, Model: "m", Blocks: []placement.Block{{ID: "own", Tokens: 900}}}, route: route, service: "app",
 	}
 	is.NoErr(x.run(context.Background()))
 	is.Equal(x.endpoint, "i-busy")
--- a/relay/server.go
+++ b/relay/server.go
@@ -38,21 +38,21 @@
 	KeyLease clock.Millis
 	// RetryRatio and RetrySlack bound the attempts beyond the first that a service
 	// gets from all entries in each RetrySpan.
-	RetryRatio float64
-	RetrySlack float64
-	RetrySpan  clock.Millis
+	RetryRatio  float64
+	RetrySlack  float64
+	RetryWindow clock.Millis
 	// ColdOverage and ColdSlack widen what an endpoint in cold start takes.
-	ColdOverage float64
-	ColdSlack   float64
-	SessionLife clock.Millis
-	// Ways holds how decisions are made.
-	Ways decision.Ways
+	ColdOverage        float64
+	ColdSlack          float64
+	SessionIdleTimeout clock.Millis
+	// Strategies holds how decisions are made.
+	Strategies decision.Strategies
 }
 
 // Server answers callers.
 type Server struct {
 	cfg      Config
-	board    *placement.Board
+	board    *placement.Selector
 	sessions *sessions
 	tally    *tally
 	meter    *meter.Meter
@@ -63,7 +63,7 @@
 	limitedFirst   *metrics.Counter
 	limitedFurther *metrics.Counter
 	pace           *pace
-	judge          *cascade.Judge
+	judge          *cascade.Escalator
 	leaving        atomic.Bool
 	// startedAt is when the server was made.
 	startedAt clock.Millis
@@ -82,8 +82,8 @@
 	set := metrics.NewSet()
 	return &Server{
 		cfg: cfg, startedAt: cfg.Clock.Now(), meter: meter.New(set), metrics: set, statements: set.NewCounter("parsleydeal_endpoint_statements_total"),
-		limitedFirst: set.NewCounter(`parsleydeal_limited_sends_total{attempt="first"}`), limitedFurther: set.NewCounter(`parsleydeal_limited_sends_total{attempt="further"}`), board: placement.NewBoardWith(cfg.Ways), sessions: newSessions(cfg.SessionLife), tally: newTally(),
-		asking: make(chan string, answersWaiting), pace: newPace(), judge: cascade.NewJudge(cfg.Ways), budgets: make(map[string]*limit.Share),
+		limitedFirst: set.NewCounter(`parsleydeal_limited_sends_total{attempt="first"}`), limitedFurther: set.NewCounter(`parsleydeal_limited_sends_total{attempt="further"}`), board: placement.NewSelectorWith(cfg.Strategies), sessions: newSessions(cfg.SessionIdleTimeout), tally: newTally(),
+		asking: make(chan string, answersWaiting), pace: newPace(), judge: cascade.NewEscalator(cfg.Strategies), budgets: make(map[string]*limit.Share),
 	}
 }
 
@@ -93,17 +93,17 @@
 // Active returns the number of requests under way.
 func (s *Server) Active() int64 { return s.active.Load() }
 
-// Counted returns what traffic has counted since the start.
-func (s *Server) Counted() site.Counted {
+// TrafficCounts returns what traffic has counted since the start.
+func (s *Server) TrafficCounts() site.TrafficCounts {
 	c := s.tally.counted()
-	c.Kept = s.sessions.kept(s.cfg.View(), s.cfg.Clock.Now())
+	c.KeptSessions = s.sessions.kept(s.cfg.View(), s.cfg.Clock.Now())
 	return c
 }
 
-// Tidy drops what is no longer needed; it is called now and then.
-func (s *Server) Tidy() {
+// Sweep drops what is no longer needed; it is called now and then.
+func (s *Server) Sweep() {
 	s.sessions.sweep(s.cfg.Clock.Now())
-	s.board.Keep(s.cfg.View().Fleet(), s.cfg.Clock.Now())
+	s.board.Prune(s.cfg.View().Fleet(), s.cfg.Clock.Now())
 	s.cfg.Pool.Sweep()
 }
 
@@ -235,9 +235,9 @@
 	switch {
 	case x.route == nil:
 		return ""
-	case x.route.Aim > 0 && first > x.route.Aim:
+	case x.route.LatencyTarget > 0 && first > x.route.LatencyTarget:
 		return "first-byte"
-	case x.route.Gap > 0 && x.pause > x.route.Gap:
+	case x.route.TargetGap > 0 && x.pause > x.route.TargetGap:
 		return "pause"
 	}
 	return ""
@@ -271,7 +271,7 @@
 // refuse writes a typed refusal.
 func (x *exchange) refuse(err error) {
 	r := refusal.Of(err)
-	x.server.cfg.Dialect.Refuse(x.w.Header(), x.id())
+	x.server.cfg.Dialect.SetRefusalHeaders(x.w.Header(), x.id())
 	r.Write(x.w, x.r, retryAfter(r, x))
 }
 
--- a/relay/share.go
+++ b/relay/share.go
@@ -47,11 +47,11 @@
 	return clock.Millis(math.Ceil(max(-a.left, 0) * float64(clock.Second) / shareBytes))
 }
 
-// ShareWork tells the entries near by of this one's work at endpoints until the context
+// SendReports tells the entries near by of this one's work at endpoints until the context
 // ends: a long prompt at once, all else now and then. Entries that know only their own
 // work send a prompt where those of others wait, and have its parts read again where
 // another endpoint holds them.
-func (s *Server) ShareWork(ctx context.Context, name string, send func(r *wire.EntryReport, to []string) error) {
+func (s *Server) SendReports(ctx context.Context, name string, send func(r *wire.EntryReport, to []string) error) {
 	spent := allowance{at: s.cfg.Clock.Now()}
 	wholeAt, busy := spent.at, false
 	for s.shareDue(ctx, &spent, wholeAt+sharePause) {
@@ -60,7 +60,7 @@
 			wholeAt = spent.at
 		}
 		to := s.cfg.View().Neighbours()
-		r := &wire.EntryReport{Process: name, Work: workOf(s.board.Tell(spent.at, whole)), Partial: !whole}
+		r := &wire.EntryReport{Process: name, Work: workOf(s.board.Report(spent.at, whole)), Partial: !whole}
 		// An empty report follows the last one that had work: others would else take it
 		// for work that goes on.
 		if len(to) == 0 || len(r.GetWork()) == 0 && (!whole || !busy) {
@@ -94,20 +94,20 @@
 	return true
 }
 
-// HearWork takes another entry's word on its work.
-func (s *Server) HearWork(r *wire.EntryReport) {
+// ReceiveReport takes another entry's word on its work.
+func (s *Server) ReceiveReport(r *wire.EntryReport) {
 	if s.hearSnapshot(r) {
 		return
 	}
-	s.board.Hear(r.GetProcess(), toldOf(r.GetWork()), !r.GetPartial(), s.cfg.Clock.Now())
+	s.board.Receive(r.GetProcess(), toldOf(r.GetWork()), !r.GetPartial(), s.cfg.Clock.Now())
 }
 
-func toldOf(work []*wire.EndpointWork) (told []placement.Told) {
+func toldOf(work []*wire.EndpointWork) (told []placement.EndpointReport) {
 	for _, w := range work {
-		t := placement.Told{Endpoint: w.GetEndpoint(), Pending: float64(w.GetReadingMillis()), Unanswered: int(w.GetUnanswered()), Parts: w.GetParts(), Waiting: int(w.GetWaiting()), WordAge: clock.Millis(w.GetWordAgeMillis())}
+		t := placement.EndpointReport{Endpoint: w.GetEndpoint(), PendingMillis: float64(w.GetReadingMillis()), Unanswered: int(w.GetUnanswered()), Blocks: w.GetParts(), QueueLength: int(w.GetWaiting()), QueueLengthAge: clock.Millis(w.GetWordAgeMillis())}
 		if s := w.GetStatement(); possible(s) {
-			t.Statement = placement.Statement{Rate: s.GetRate(), HasRate: s.Rate != nil, Leaving: s.GetLeaving()}
-			t.StatementAge, t.Born = clock.Millis(s.GetAgeMillis()), s.GetBorn()
+			t.Advertisement = placement.Advertisement{Rate: s.GetRate(), HasRate: s.Rate != nil, Leaving: s.GetLeaving()}
+			t.AdvertisementAge, t.Incarnation = clock.Millis(s.GetAgeMillis()), s.GetBorn()
 		}
 		told = append(told, t)
 	}
@@ -120,13 +120,13 @@
 	return s.GetAgeMillis() > 0 && s.GetRate() >= 0 && !math.IsInf(s.GetRate(), 0)
 }
 
-func workOf(told []placement.Told) (out []*wire.EndpointWork) {
+func workOf(told []placement.EndpointReport) (out []*wire.EndpointWork) {
 	for _, t := range told {
-		w := &wire.EndpointWork{Endpoint: t.Endpoint, ReadingMillis: int32(t.Pending), Unanswered: int32(t.Unanswered), Parts: t.Parts, Waiting: int32(t.Waiting), WordAgeMillis: int32(t.WordAge)}
-		if t.StatementAge > 0 {
-			w.Statement = &wire.EndpointStatement{Born: t.Born, AgeMillis: int32(t.StatementAge), Leaving: t.Statement.Leaving}
-			if t.Statement.HasRate {
-				w.Statement.Rate = &t.Statement.Rate
+		w := &wire.EndpointWork{Endpoint: t.Endpoint, ReadingMillis: int32(t.PendingMillis), Unanswered: int32(t.Unanswered), Parts: t.Blocks, Waiting: int32(t.QueueLength), WordAgeMillis: int32(t.QueueLengthAge)}
+		if t.AdvertisementAge > 0 {
+			w.Statement = &wire.EndpointStatement{Born: t.Incarnation, AgeMillis: int32(t.AdvertisementAge), Leaving: t.Advertisement.Leaving}
+			if t.Advertisement.HasRate {
+				w.Statement.Rate = &t.Advertisement.Rate
 			}
 		}
 		out = append(out, w)
--- a/relay/share_test.go
+++ b/relay/share_test.go
@@ -20,7 +20,7 @@
 // A site grows, and with it the reports of work and the entries that hear them; long
 // prompts come all the time, each of which others should hear of at once. What an entry
 // sends for it in a second stays the same; its word becomes older.
-func TestSharedWorkKeepsItsBytes(t *testing.T) {
+func TestReportsStayWithinByteBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		size, to := rapid.IntRange(60, 60000).Draw(t, "size"), rapid.IntRange(1, 400).Draw(t, "to")
 		span := 100 * clock.Second
@@ -43,7 +43,7 @@
 
 // An entry starts while its neighbours work. It asks one of them for what endpoints keep, once
 // it knows one, and takes nothing over that it did not ask for; strangers get no answer.
-func TestStartedEntryAsksForASnapshot(t *testing.T) {
+func TestStartedEntryRequestsSnapshot(t *testing.T) {
 	is := is.New(t)
 	c := clock.Boot()
 	// serverOf makes the server of an entry that knows another one near by.
@@ -54,20 +54,20 @@
 	}
 	old, started := serverOf("old", "e"), serverOf("e", "old")
 	at := &fleet.Endpoint{ID: "i-1", Service: "app", Version: "v1", Slots: 4}
-	q := placement.Query{Service: "app", Model: "m", Now: c.Now(), Parts: []placement.Part{{ID: "case", Tokens: 900}, {ID: "own", Tokens: 100}}}
-	old.board.Begin(at, q).Read(c.Now() + 20)
+	q := placement.Query{Service: "app", Model: "m", Now: c.Now(), Blocks: []placement.Block{{ID: "case", Tokens: 900}, {ID: "own", Tokens: 100}}}
+	old.board.Begin(at, q).FirstByte(c.Now() + 20)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go old.AnswerSnapshots(ctx, "old", func(r *wire.EntryReport, to []string) error {
+	go old.ServeSnapshots(ctx, "old", func(r *wire.EntryReport, to []string) error {
 		is.Equal(to, []string{"e:1"})
-		started.HearWork(r)
+		started.ReceiveReport(r)
 		return nil
 	})
-	old.HearWork(&wire.EntryReport{Process: "x", Address: "stranger:1", AskParts: true})
-	started.HearWork(&wire.EntryReport{Process: "x", Partial: true, Speeds: []*wire.ModelSpeed{{Model: "m", TokenMillis: 9, Measured: 9}}})
-	started.AskSnapshot(ctx, "e", "e:1", func(r *wire.EntryReport, to []string) error {
+	old.ReceiveReport(&wire.EntryReport{Process: "x", Address: "stranger:1", AskParts: true})
+	started.ReceiveReport(&wire.EntryReport{Process: "x", Partial: true, Speeds: []*wire.ModelSpeed{{Model: "m", TokenMillis: 9, Measured: 9}}})
+	started.RequestSnapshot(ctx, "e", "e:1", func(r *wire.EntryReport, to []string) error {
 		is.Equal(to, []string{"old:1"})
-		old.HearWork(r)
+		old.ReceiveReport(r)
 		return nil
 	})
 	_, speeds := started.board.Snapshot(c.Now())
@@ -77,7 +77,7 @@
 
 // Speeds that no model has come from a broken or strange process. They would send all prompts
 // to one model's endpoints, or none.
-func TestSpeedsThatCannotBeAreDropped(t *testing.T) {
+func TestInvalidSpeedsAreDropped(t *testing.T) {
 	is := is.New(t)
 	for _, s := range []*wire.ModelSpeed{{Model: "m", Measured: 1}, {Model: "m", TokenMillis: -1, Measured: 1}, {Model: "m", TokenMillis: math.NaN(), Measured: 1}, {Model: "m", TokenMillis: 1}, {Model: "m", TokenMillis: 99, Measured: 1}, {Model: "m", TokenMillis: 1, Measured: 1, BeyondMillis: math.NaN()}, {Model: "m", TokenMillis: 1, Measured: 1, BeyondMillis: -1e9}} {
 		is.Equal(len(measuredOf([]*wire.ModelSpeed{s})), 0)
--- a/relay/snapshot.go
+++ b/relay/snapshot.go
@@ -26,11 +26,11 @@
 	answersWaiting = 8
 )
 
-// AskSnapshot asks one neighbour after another what endpoints keep and how fast models
+// RequestSnapshot asks one neighbour after another what endpoints keep and how fast models
 // read, until one has answered. An entry that knows neither has prompts read again that
 // its neighbours know where to send.
-func (s *Server) AskSnapshot(ctx context.Context, name, address string, send func(r *wire.EntryReport, to []string) error) {
-	if s.cfg.Ways.Of(decision.Start) != decision.Snapshot {
+func (s *Server) RequestSnapshot(ctx context.Context, name, address string, send func(r *wire.EntryReport, to []string) error) {
+	if s.cfg.Strategies.For(decision.Start) != decision.Snapshot {
 		return
 	}
 	r := &wire.EntryReport{Process: name, Address: address, AskParts: true, Partial: true}
@@ -52,8 +52,8 @@
 	}
 }
 
-// AnswerSnapshots answers entries that have just started, until the context ends.
-func (s *Server) AnswerSnapshots(ctx context.Context, name string, send func(r *wire.EntryReport, to []string) error) {
+// ServeSnapshots answers entries that have just started, until the context ends.
+func (s *Server) ServeSnapshots(ctx context.Context, name string, send func(r *wire.EntryReport, to []string) error) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -90,7 +90,7 @@
 		return false
 	}
 	if s.wantsSnapshot.CompareAndSwap(true, false) {
-		s.board.Adopt(toldOf(r.GetWork()), measuredOf(r.GetSpeeds()), s.cfg.Clock.Now())
+		s.board.ApplySnapshot(toldOf(r.GetWork()), measuredOf(r.GetSpeeds()), s.cfg.Clock.Now())
 		s.cfg.Log.Info("Snapshot of endpoints was taken over", "from", r.GetProcess(), "endpoints", len(r.GetWork()), "models", len(r.GetSpeeds()))
 	}
 	return true
@@ -98,7 +98,7 @@
 
 func speedsOf(speeds []placement.ModelSpeed) (out []*wire.ModelSpeed) {
 	for _, s := range speeds {
-		out = append(out, &wire.ModelSpeed{Model: s.Model, TokenMillis: s.Token, Measured: int32(s.Measured), BeyondMillis: s.Beyond})
+		out = append(out, &wire.ModelSpeed{Model: s.Model, TokenMillis: s.MillisPerToken, Measured: int32(s.Samples), BeyondMillis: s.ExcessMillis})
 	}
 	return out
 }
@@ -109,7 +109,7 @@
 	for _, s := range speeds {
 		beyond := math.Abs(s.GetBeyondMillis()) < mostBeyond
 		if beyond && s.GetTokenMillis() > 0 && s.GetTokenMillis() < slowestToken && s.GetMeasured() > 0 {
-			out = append(out, placement.ModelSpeed{Model: s.GetModel(), Token: s.GetTokenMillis(), Measured: int(s.GetMeasured()), Beyond: s.GetBeyondMillis()})
+			out = append(out, placement.ModelSpeed{Model: s.GetModel(), MillisPerToken: s.GetTokenMillis(), Samples: int(s.GetMeasured()), ExcessMillis: s.GetBeyondMillis()})
 		}
 	}
 	return out
--- a/relay/stream.go
+++ b/relay/stream.go
@@ -52,7 +52,7 @@
 			a.openedAt = a.lastAt
 		}
 		a.events++
-		x.server.board.Heard(a.endpoint.ID, a.lastAt)
+		x.server.board.RecordActivity(a.endpoint.ID, a.lastAt)
 		if err = x.emit(e); err != nil {
 			return ended, err
 		}
@@ -64,7 +64,7 @@
 	if !x.mayRepeat() {
 		return max(x.left(), 1)
 	}
-	return max(min(max(gapFactor*x.route.Gap, leastGap), x.left()), 1)
+	return max(min(max(gapFactor*x.route.TargetGap, leastGap), x.left()), 1)
 }
 
 // open begins the answer to the caller. Its length is not known when a part of
@@ -94,7 +94,7 @@
 	x.events++
 	x.emittedAt = now
 	if e.id != "" {
-		x.req.After, x.req.HasAfter = e.id, true
+		x.req.LastEventID, x.req.Resumes = e.id, true
 	}
 	return nil
 }
--- a/relay/tally.go
+++ b/relay/tally.go
@@ -16,7 +16,7 @@
 	bad     bool
 	// timed says that the answer's pace could be told, slow by which grades it was.
 	timed bool
-	slow  [len(upgrade.Grades)]bool
+	slow  [len(upgrade.SlowThresholds)]bool
 	// delay says that it was told by the delay of a dropped answer's first byte.
 	delay bool
 }
@@ -78,10 +78,10 @@
 }
 
 // counted returns a copy of all counts.
-func (t *tally) counted() site.Counted {
+func (t *tally) counted() site.TrafficCounts {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	c := site.Counted{Counts: make(map[string]upgrade.Counts, len(t.counts)), Running: make(map[string]map[string]int, len(t.running))}
+	c := site.TrafficCounts{Counts: make(map[string]upgrade.Counts, len(t.counts)), Running: make(map[string]map[string]int, len(t.running))}
 	for service, counts := range t.counts {
 		c.Counts[service] = maps.Clone(counts)
 	}
--- a/rollout/hold.go
+++ b/rollout/hold.go
@@ -87,14 +87,14 @@
 	return one
 }
 
-// MostTold bounds the holds in one message to a peer; a reader of the log knows
+// MaxDigestHolds bounds the holds in one message to a peer; a reader of the log knows
 // them all.
-const MostTold = 64
+const MaxDigestHolds = 64
 
-// Told lists the holds that stand on the log, for peers.
-func (h *Holds) Told() (out []*wire.Hold) {
+// Logged lists the holds that stand on the log, for peers.
+func (h *Holds) Logged() (out []*wire.Hold) {
 	for _, x := range h.List() {
-		if x.GetOffset() >= 0 && len(out) < MostTold {
+		if x.GetOffset() >= 0 && len(out) < MaxDigestHolds {
 			out = append(out, x)
 		}
 	}
--- a/rollout/judge.go
+++ b/rollout/judge.go
@@ -10,7 +10,7 @@
 )
 
 // take adds evidence to the tests of its own organisation and of all.
-func (s *State) take(d evidence.Delta, known Known) (effects []event.Effect, changed bool) {
+func (s *State) take(d evidence.Delta, known Env) (effects []event.Effect, changed bool) {
 	if known.Tables == nil {
 		return nil, false
 	}
@@ -28,7 +28,7 @@
 			continue
 		}
 		control := s.control(k, route)
-		for i, sample := range samplesOf(d.Tally) {
+		for i, sample := range samplesOf(d.Stats) {
 			if sample.N > 0 || sample.Bad > 0 {
 				t[i].Add(sample, limits[i], control[i], whole[i])
 			}
@@ -76,7 +76,7 @@
 // samplesOf parts a tally by signal. Errors are set against answers begun, not
 // against answers ended: errors end sooner, so that the first seconds of a good
 // version would show its errors alone.
-func samplesOf(t evidence.Tally) (out [signals]Sample) {
+func samplesOf(t evidence.Stats) (out [signals]Sample) {
 	out[failing] = Sample{N: float64(t.Started + t.Errors), Bad: float64(t.Errors)}
 	out[slowing] = Sample{N: float64(t.Good), Bad: float64(t.Slow)}
 	out[rating] = Sample{N: float64(t.Ratings), Bad: float64(t.Ratings) - t.RatingSum}
@@ -105,7 +105,7 @@
 }
 
 // judge finds a hold due when a test of the key has crossed.
-func (s *State) judge(k evidence.Key, r table.Route, limits [signals]float64, known Known) (effects []event.Effect, changed bool) {
+func (s *State) judge(k evidence.Key, r table.Route, limits [signals]float64, known Env) (effects []event.Effect, changed bool) {
 	t := s.tests[k]
 	if t == nil || s.Holds(known.Tables).Held(k.Version, k.Organisation) {
 		return nil, false
@@ -161,7 +161,7 @@
 
 // find makes a hold pending. The last version that a route can still serve is
 // not held: that would refuse everything, so operators are told instead.
-func (s *State) find(scope Scope, h *wire.Hold, known Known) (effects []event.Effect, changed bool) {
+func (s *State) find(scope Scope, h *wire.Hold, known Env) (effects []event.Effect, changed bool) {
 	s.reset(scope)
 	if !replaceable(scope, known.Tables, s.Holds(known.Tables)) {
 		if told, ok := s.reported[scope]; ok && told == h.GetReleased() {
--- a/rollout/state.go
+++ b/rollout/state.go
@@ -46,8 +46,8 @@
 	return [...]string{"errors", "ratings", "slow"}[s]
 }
 
-// Known is what the reducer may look at beside its own state.
-type Known struct {
+// Env is what the reducer may look at beside its own state.
+type Env struct {
 	Self   string
 	Now    clock.Millis
 	Tables *table.Tables
@@ -136,7 +136,7 @@
 }
 
 // Reduce takes an event and the evidence it brought.
-func (s *State) Reduce(e event.Event, deltas []evidence.Delta, known Known) (effects []event.Effect, changed bool) {
+func (s *State) Reduce(e event.Event, deltas []evidence.Delta, known Env) (effects []event.Effect, changed bool) {
 	switch e := e.(type) {
 	case event.LogRead:
 		if e.Stream == provider.HoldStream {
@@ -157,7 +157,7 @@
 	return effects, changed
 }
 
-func (s *State) read(e event.LogRead, known Known) (effects []event.Effect, changed bool) {
+func (s *State) read(e event.LogRead, known Env) (effects []event.Effect, changed bool) {
 	for _, r := range e.Page.Records {
 		h, err := Decode(r.Data)
 		if err != nil {
@@ -177,8 +177,8 @@
 // hear takes holds that a peer knows from the log, so that processes which read
 // it seldom, or can't, know them too. One already known is left alone: hearing
 // of it again says nothing of whether the log still has it.
-func (s *State) hear(holds []*wire.Hold, known Known) (changed bool) {
-	for _, h := range holds[:min(len(holds), MostTold)] {
+func (s *State) hear(holds []*wire.Hold, known Env) (changed bool) {
+	for _, h := range holds[:min(len(holds), MaxDigestHolds)] {
 		old, seen := s.logged[scopeOf(h)]
 		if _, _, ok := table.SplitVersion(h.GetVersion()); !ok || h.GetOffset() < 0 {
 			continue
@@ -192,7 +192,7 @@
 
 // log takes a hold from the log and reports whether it is a new one. A second
 // record of the same hold, from another judge or a retry, changes nothing.
-func (s *State) log(h *wire.Hold, known Known) (fresh bool) {
+func (s *State) log(h *wire.Hold, known Env) (fresh bool) {
 	scope := scopeOf(h)
 	old, seen := s.logged[scope]
 	if seen && old.hold.GetReleased() > h.GetReleased() {
@@ -225,7 +225,7 @@
 	}
 }
 
-func (s *State) appended(e event.AppendDone, known Known) {
+func (s *State) appended(e event.AppendDone, known Env) {
 	if e.Stream != provider.HoldStream || e.Err == nil {
 		return
 	}
--- a/rollout/state_test.go
+++ b/rollout/state_test.go
@@ -22,13 +22,13 @@
 	}
 }
 
-func known(self string, now clock.Millis, t *table.Tables) Known {
+func known(self string, now clock.Millis, t *table.Tables) Env {
 	vms := []provider.VM{{ID: "a", Role: provider.EntryRole}, {ID: "b", Role: provider.EntryRole}}
-	return Known{Self: self, Now: now, Tables: t, VMs: vms}
+	return Env{Self: self, Now: now, Tables: t, VMs: vms}
 }
 
-func seen(version, org string, t evidence.Tally) []evidence.Delta {
-	return []evidence.Delta{{Key: evidence.Key{Route: "r", Version: version, Organisation: org}, Tally: t}}
+func seen(version, org string, t evidence.Stats) []evidence.Delta {
+	return []evidence.Delta{{Key: evidence.Key{Route: "r", Version: version, Organisation: org}, Stats: t}}
 }
 
 func appends(effects []event.Effect) (out []event.Append) {
@@ -54,7 +54,7 @@
 	return names[0], names[1]
 }
 
-var bad = evidence.Tally{Started: 20, Errors: 20}
+var bad = evidence.Stats{Started: 20, Errors: 20}
 
 // A version fails half of its requests. The first judge puts a hold on the log;
 // every other process reads it and gives the version no new work. The record
@@ -86,7 +86,7 @@
 
 // The first judge vanishes, or its append fails, just after the evidence came.
 // The second one, which got the same counts, must put the hold on the log.
-func TestSecondJudgeStepsIn(t *testing.T) {
+func TestSecondJudgeTakesOver(t *testing.T) {
 	is := is.New(t)
 	first, second := judges()
 	s := NewState()
@@ -105,11 +105,11 @@
 
 // The version was good for a million requests and turns bad. The good past must
 // not have to be outweighed first.
-func TestVersionTurnsBadLate(t *testing.T) {
+func TestVersionThatTurnsBadLateIsHeld(t *testing.T) {
 	is := is.New(t)
 	s := NewState()
 	for range 1000 {
-		_, changed := s.Reduce(event.Observed{}, seen("m@2", "o", evidence.Tally{Started: 990, Errors: 10}), known("a", 0, tables(0)))
+		_, changed := s.Reduce(event.Observed{}, seen("m@2", "o", evidence.Stats{Started: 990, Errors: 10}), known("a", 0, tables(0)))
 		is.True(!changed)
 	}
 	_, changed := s.Reduce(event.Observed{}, seen("m@2", "o", bad), known("a", 0, tables(0)))
@@ -118,12 +118,12 @@
 
 // One organisation's requests make the version fail while those of the others
 // are answered well. Only that organisation is moved away from it.
-func TestBadForOneOrganisation(t *testing.T) {
+func TestVersionIsHeldForOneOrganisation(t *testing.T) {
 	is := is.New(t)
 	s := NewState()
-	s.Reduce(event.Observed{}, seen("m@2", "bad", evidence.Tally{Started: 1, Errors: 1}), known("a", 0, tables(0)))
-	s.Reduce(event.Observed{}, seen("m@2", "good", evidence.Tally{Started: 35}), known("a", 0, tables(0)))
-	s.Reduce(event.Observed{}, seen("m@2", "bad", evidence.Tally{Started: 20, Errors: 20}), known("a", 0, tables(0)))
+	s.Reduce(event.Observed{}, seen("m@2", "bad", evidence.Stats{Started: 1, Errors: 1}), known("a", 0, tables(0)))
+	s.Reduce(event.Observed{}, seen("m@2", "good", evidence.Stats{Started: 35}), known("a", 0, tables(0)))
+	s.Reduce(event.Observed{}, seen("m@2", "bad", evidence.Stats{Started: 20, Errors: 20}), known("a", 0, tables(0)))
 	is.True(s.Holds(tables(0)).Held("m@2", "bad"))
 	is.True(!s.Holds(tables(0)).Held("m@2", "good"))
 }
@@ -133,11 +133,11 @@
 func TestCommonCauseHoldsNothing(t *testing.T) {
 	is := is.New(t)
 	s := NewState()
-	s.Reduce(event.Observed{}, seen("m@1", "o", evidence.Tally{Started: 90_000}), known("a", 0, tables(0)))
-	s.Reduce(event.Observed{}, seen("m@2", "o", evidence.Tally{Started: 10_000}), known("a", 0, tables(0)))
+	s.Reduce(event.Observed{}, seen("m@1", "o", evidence.Stats{Started: 90_000}), known("a", 0, tables(0)))
+	s.Reduce(event.Observed{}, seen("m@2", "o", evidence.Stats{Started: 10_000}), known("a", 0, tables(0)))
 	for range 300 {
-		s.Reduce(event.Observed{}, seen("m@1", "o", evidence.Tally{Started: 42, Errors: 18}), known("a", 0, tables(0)))
-		s.Reduce(event.Observed{}, seen("m@2", "o", evidence.Tally{Started: 5, Errors: 2}), known("a", 0, tables(0)))
+		s.Reduce(event.Observed{}, seen("m@1", "o", evidence.Stats{Started: 42, Errors: 18}), known("a", 0, tables(0)))
+		s.Reduce(event.Observed{}, seen("m@2", "o", evidence.Stats{Started: 5, Errors: 2}), known("a", 0, tables(0)))
 	}
 	is.Equal(len(s.Holds(tables(0)).List()), 0)
 }
@@ -173,18 +173,18 @@
 
 // A bad rating is worth as much as what lacks to 1: the mean falls from 0.9 to
 // 0.6 while no request fails.
-func TestPoorRatingsHold(t *testing.T) {
+func TestPoorRatingsHoldVersion(t *testing.T) {
 	is := is.New(t)
 	s := NewState()
-	s.Reduce(event.Rated{}, seen("m@2", "o", evidence.Tally{Ratings: 200, RatingSum: 170}), known("a", 0, tables(0)))
+	s.Reduce(event.Rated{}, seen("m@2", "o", evidence.Stats{Ratings: 200, RatingSum: 170}), known("a", 0, tables(0)))
 	is.True(!s.Holds(tables(0)).Held("m@2", "o"))
-	s.Reduce(event.Rated{}, seen("m@2", "o", evidence.Tally{Ratings: 200, RatingSum: 120}), known("a", 0, tables(0)))
+	s.Reduce(event.Rated{}, seen("m@2", "o", evidence.Stats{Ratings: 200, RatingSum: 120}), known("a", 0, tables(0)))
 	is.True(s.Holds(tables(0)).Held("m@2", "o"))
 }
 
 // The log keeps records for a limited time, and processes that start later read
 // none of the older ones. A hold that stands must be written again by then.
-func TestHoldIsRenewedBeforeTheLogForgets(t *testing.T) {
+func TestHoldIsRenewedBeforeRetentionEnds(t *testing.T) {
 	is := is.New(t)
 	first, _ := judges()
 	s := NewState()
@@ -227,12 +227,12 @@
 // A gate reads the log seldom. It must learn of a hold from any peer that knows
 // it from the log, and not from one that only found it due itself; and a judge
 // that keeps hearing of its hold must still renew it on the log.
-func TestHoldTravelsInDigests(t *testing.T) {
+func TestHoldIsReceivedInDigests(t *testing.T) {
 	is := is.New(t)
 	first, _ := judges()
 	s, gate := NewState(), NewState()
 	tell := func(now clock.Millis) event.DigestReceived {
-		return event.DigestReceived{Now: now, Digest: &wire.Digest{Holds: s.Holds(tables(0)).Told()}}
+		return event.DigestReceived{Now: now, Digest: &wire.Digest{Holds: s.Holds(tables(0)).Logged()}}
 	}
 	effects, _ := s.Reduce(event.Observed{}, seen("m@2", "o", bad), known(first, 0, tables(0)))
 	gate.Reduce(tell(0), nil, known("z", 0, tables(0)))
--- a/rollout/test.go
+++ b/rollout/test.go
@@ -103,10 +103,10 @@
 	return worse(t.since, beside) >= commonWorse
 }
 
-// Leans reports whether the evidence is half of what holds a version, and in the same
+// Suspicious reports whether the evidence is half of what holds a version, and in the same
 // span it did worse than the versions beside it by a G statistic that one look passes by
 // chance in 1 of 70 cases. It is no verdict, but a reason not to give the version more.
-func (t *Test) Leans(control Sample) bool {
+func (t *Test) Suspicious(control Sample) bool {
 	return t.evidence() >= threshold/2 && worse(t.since, control.minus(t.startedAt)) >= leaningWorse
 }
 
--- a/rollout/turn.go
+++ b/rollout/turn.go
@@ -14,7 +14,7 @@
 
 // tick appends pending holds when it is this process's turn, and renews logged
 // ones before the log drops them.
-func (s *State) tick(known Known) (effects []event.Effect, changed bool) {
+func (s *State) tick(known Env) (effects []event.Effect, changed bool) {
 	if known.Tables == nil {
 		return nil, false
 	}
@@ -38,7 +38,7 @@
 	return append(effects, s.renew(known)...), changed
 }
 
-func (s *State) renew(known Known) (effects []event.Effect) {
+func (s *State) renew(known Env) (effects []event.Effect) {
 	for _, scope := range sortedScopes(s.logged) {
 		l := s.logged[scope]
 		if !inForce(known.Tables, scope, l.hold) {
@@ -59,7 +59,7 @@
 }
 
 // turn is this process's place among the judges of a version.
-func turn(known Known, version string) int {
+func turn(known Env, version string) int {
 	judges := evidence.Judges(known.VMs, version)
 	if i := slices.Index(judges, known.Self); i >= 0 {
 		return i
--- a/upgrade/evidence.go
+++ b/upgrade/evidence.go
@@ -22,7 +22,7 @@
 	// Timed counts answers whose pace could be told, Slow those of them that were
 	// slow by each grade.
 	Timed int64
-	Slow  [len(Grades)]int64
+	Slow  [len(SlowThresholds)]int64
 }
 
 func (c Count) minus(o Count) Count { return c.plus(o, -1) }
@@ -44,26 +44,26 @@
 // failLimit is the part of a good version's answers that may fail.
 const failLimit = 0.05
 
-// Grade is one way in which an answer may be slow: it took longer than a quantile of
+// SlowThreshold is one way in which an answer may be slow: it took longer than a quantile of
 // the old version's answers, or than a multiple of that.
-type Grade struct {
-	// Rank is the part of the old version's answers that are below the quantile.
-	Rank   float64
-	Factor float64
+type SlowThreshold struct {
+	// Quantile is the part of the old version's answers that are below the quantile.
+	Quantile float64
+	Factor   float64
 	// limit is the part of a good version's answers that may be slow by the grade;
 	// the old version itself has 1-Rank of them at a factor of 1.
 	limit float64
 }
 
-// Grades are the ways in which answers may be slow. A version that is several times
+// SlowThresholds are the ways in which answers may be slow. A version that is several times
 // slower throughout is told soonest by a high rank, unless the old version has many
 // slow answers itself: where the load makes its streams' pauses differ several times, a
 // slow version's lie hardly beyond the 0.8 quantile. One that is slow at times only is
 // told by a multiple, beyond which the old version has few answers.
-var Grades = [...]Grade{
-	{Rank: 0.65, Factor: 1, limit: 0.4},
-	{Rank: 0.8, Factor: 1, limit: 0.25},
-	{Rank: 0.8, Factor: 2.5, limit: 0.06},
+var SlowThresholds = [...]SlowThreshold{
+	{Quantile: 0.65, Factor: 1, limit: 0.4},
+	{Quantile: 0.8, Factor: 1, limit: 0.25},
+	{Quantile: 0.8, Factor: 2.5, limit: 0.06},
 }
 
 // allRoutes is the route under which the outcomes of all routes are judged.
@@ -83,10 +83,10 @@
 }
 
 // measures lists all ways: failing, and slow by each grade.
-var measures = func() (all [1 + len(Grades)]measure) {
+var measures = func() (all [1 + len(SlowThresholds)]measure) {
 	all[0] = measure{"failing", failLimit, false, func(c Count) rollout.Sample { return sampleOf(c.Ended, c.Bad) }}
-	for i, g := range Grades {
-		name := fmt.Sprintf("slower than %g times the %g quantile", g.Factor, g.Rank)
+	for i, g := range SlowThresholds {
+		name := fmt.Sprintf("slower than %g times the %g quantile", g.Factor, g.Quantile)
 		all[1+i] = measure{name, g.limit, true, func(c Count) rollout.Sample { return sampleOf(c.Timed, c.Slow[i]) }}
 	}
 	return all
@@ -131,7 +131,7 @@
 // for a verdict.
 func (b *bench) leaning() string {
 	for i, m := range measures {
-		if b.tests[i].Leans(b.old[i]) {
+		if b.tests[i].Suspicious(b.old[i]) {
 			return m.name
 		}
 	}
--- a/upgrade/order.go
+++ b/upgrade/order.go
@@ -10,8 +10,8 @@
 	Service string
 	// Target is the new version.
 	Target string
-	// Span is the time that the move may take.
-	Span clock.Millis
+	// Duration is the time that the move may take.
+	Duration clock.Millis
 	// Number tells one order for a service from the next; it grows.
 	Number int64
 }
--- a/upgrade/rule.go
+++ b/upgrade/rule.go
@@ -18,7 +18,7 @@
 
 // RuleAt returns the rule of a running move at an instant.
 func RuleAt(o Order, startedAt, now clock.Millis, current string, exposure float64) Rule {
-	passed := float64(now-startedAt) / float64(max(o.Span, 1))
+	passed := float64(now-startedAt) / float64(max(o.Duration, 1))
 	return Rule{Current: current, Target: o.Target, Share: Share(passed, exposure), Pinned: passed < firstPart}
 }
 
--- a/upgrade/upgrade.go
+++ b/upgrade/upgrade.go
@@ -50,15 +50,15 @@
 // Age returns how long the order has been under way.
 func (u *Upgrade) Age(now clock.Millis) clock.Millis { return now - u.startedAt }
 
-// Begun takes an earlier beginning that a peer has seen, so that a process that
+// AdjustStart takes an earlier beginning that a peer has seen, so that a process that
 // started in the middle of a move does not begin it anew.
-func (u *Upgrade) Begun(at clock.Millis) {
+func (u *Upgrade) AdjustStart(at clock.Millis) {
 	u.startedAt = min(u.startedAt, at)
 }
 
-// Passed is the part of the span that has passed.
-func (u *Upgrade) Passed(now clock.Millis) float64 {
-	return float64(u.Age(now)) / float64(max(u.order.Span, 1))
+// ElapsedRatio is the part of the span that has passed.
+func (u *Upgrade) ElapsedRatio(now clock.Millis) float64 {
+	return float64(u.Age(now)) / float64(max(u.order.Duration, 1))
 }
 
 // Set takes a state that was agreed on elsewhere. A verdict is final.
@@ -70,10 +70,10 @@
 	return true
 }
 
-// Take adds the cumulative counts of one process; what is missing has not changed.
+// AddCounts adds the cumulative counts of one process; what is missing has not changed.
 // A process that starts again has another name, so that its counts never fall
 // back.
-func (u *Upgrade) Take(process string, counts Counts) {
+func (u *Upgrade) AddCounts(process string, counts Counts) {
 	before, ok := u.seen[process]
 	if !ok {
 		before = make(Counts)
@@ -119,10 +119,10 @@
 			return u.Set(RolledBack, v+" on "+nameOf(route))
 		}
 	}
-	if v := u.leaning(); v != "" && u.Passed(now) >= firstPart {
+	if v := u.leaning(); v != "" && u.ElapsedRatio(now) >= firstPart {
 		return u.Set(RolledBack, "its share was to rise, and it seems "+v)
 	}
-	if old > 0 || u.Passed(now) < fullFrom {
+	if old > 0 || u.ElapsedRatio(now) < fullFrom {
 		u.idleSince = 0
 	} else if u.idleSince == 0 {
 		u.idleSince = now
@@ -130,7 +130,7 @@
 	switch {
 	case u.idleSince > 0 && now-u.idleSince >= settle:
 		return u.Set(Completed, "old version is idle")
-	case u.Passed(now) >= fullFrom && u.Age(now) >= u.order.Span-lastCall:
+	case u.ElapsedRatio(now) >= fullFrom && u.Age(now) >= u.order.Duration-lastCall:
 		return u.Set(Completed, "time is up")
 	}
 	return false
--- a/view/status.go
+++ b/view/status.go
@@ -35,7 +35,7 @@
 func (v *View) RampsStatus(now clock.Millis) map[string]float64 {
 	out := make(map[string]float64)
 	for _, name := range v.zones.Names() {
-		if fraction := v.zones.Part(name, now); fraction < 1 {
+		if fraction := v.zones.Fraction(name, now); fraction < 1 {
 			out[name] = fraction
 		}
 	}
@@ -53,7 +53,7 @@
 // RatingsStatus lists the ratings of the versions by route.
 func (v *View) RatingsStatus() (out []RatingStatus) {
 	out = []RatingStatus{}
-	for _, e := range v.quality.Wire() {
+	for _, e := range v.quality.Estimates() {
 		out = append(out, RatingStatus{e.GetRoute(), e.GetVersion(), e.GetRatings(), e.GetRatingSum() / float64(max(e.GetRatings(), 1))})
 	}
 	return out
--- a/view/view.go
+++ b/view/view.go
@@ -27,13 +27,13 @@
 	// counts is the evidence that this process reports to others.
 	counts []*wire.Count
 	// quality may be nil in tests.
-	quality *quality.Book
+	quality *quality.Snapshot
 	// subsets holds the endpoints that this entry works with, by pool; nil in processes other
 	// than entries.
 	subsets map[string][]provider.VM
 	// zones may be nil in tests.
 	zones  *zone.Ramps
-	spread spread.Picture
+	spread spread.Snapshot
 	// checkpoint has the same log offset as the tables.
 	checkpoint *table.Checkpoint
 }
@@ -45,7 +45,7 @@
 
 // WithEvidence returns a copy of the view with the holds in force, the evidence that this
 // process reports and the ratings of versions.
-func (v *View) WithEvidence(holds *rollout.Holds, counts []*wire.Count, q *quality.Book) *View {
+func (v *View) WithEvidence(holds *rollout.Holds, counts []*wire.Count, q *quality.Snapshot) *View {
 	c := *v
 	c.holds = holds
 	c.counts = counts
@@ -84,7 +84,7 @@
 func (v *View) Holds() *rollout.Holds { return v.holds }
 
 // Quality returns the ratings of the versions.
-func (v *View) Quality() *quality.Book { return v.quality }
+func (v *View) Quality() *quality.Snapshot { return v.quality }
 
 // Counts returns the evidence that this process reports to others on the versions that it used.
 func (v *View) Counts() []*wire.Count { return v.counts }
@@ -109,7 +109,7 @@
 func (v *View) Draining() bool { return v.draining }
 
 // WithSpread returns a copy of the view with the state that peers receive.
-func (v *View) WithSpread(p spread.Picture) *View {
+func (v *View) WithSpread(p spread.Snapshot) *View {
 	next := *v
 	next.spread = p
 	return &next
@@ -132,7 +132,7 @@
 // Digest returns the state that this process sends to its peers at the given time.
 func (v *View) Digest(now clock.Millis) *wire.Digest {
 	d := v.spread.Digest(v.revision, now-v.confirmedAt, v.draining, v.members)
-	d.Holds = v.holds.Told()
+	d.Holds = v.holds.Logged()
 	return d
 }
 
