--- a/limit/share.go
+++ b/limit/share.go
@@ -6,81 +6,80 @@
 	"github.com/parsleydeal/parsleydeal/clock"
 )
 
-// Share bounds the attempts beyond the first by the requests of the same span:
-// in each span there are at most ratio times its requests, and slack more. It
-// keeps one entry's share of a bound that holds over sliding spans for all of
-// them, and unlike Retries lets a busy span make up for a quiet one within it.
+// Share bounds retries relative to the requests of the same sliding window: each window allows
+// at most ratio times its requests plus slack. It is one entry's share of a bound on all
+// entries. Unlike RetryBudget, it lets a busy part of the window use what a quiet part left
+// over. It is safe for concurrent use.
 type Share struct {
-	mu    sync.Mutex
-	span  clock.Millis
-	ratio float64
-	slack float64
-	// slots holds the counts of a span, one for each part of it; at is the number
-	// of the part that is counted now.
-	slots [shareSlots + 1]shareSlot
-	at    clock.Millis
+	mu           sync.Mutex
+	windowLength clock.Millis
+	ratio        float64
+	slack        float64
+	// buckets holds the counts of one window, and current is the number of the newest bucket,
+	// counted from time 0.
+	buckets [windowBuckets + 1]bucket
+	current clock.Millis
 }
 
-type shareSlot struct {
+type bucket struct {
 	requests int
-	extra    int
+	retries  int
 }
 
-// shareSlots is how finely a span is parted. Extra attempts are remembered for
-// one part more than requests, so that the bound holds for every span, wherever
-// in a part it begins.
-const shareSlots = 10
+// windowBuckets is the number of buckets in a window. Retries are kept for one bucket longer
+// than requests, so that the bound holds for every window, wherever in a bucket it begins.
+const windowBuckets = 10
 
-// NewShare makes a share that has seen nothing.
-func NewShare(span clock.Millis, ratio, slack float64) *Share {
-	return &Share{span: span, ratio: ratio, slack: slack}
+// NewShare returns a Share without requests.
+func NewShare(windowLength clock.Millis, ratio, slack float64) *Share {
+	return &Share{windowLength: windowLength, ratio: ratio, slack: slack}
 }
 
 // RecordRequest counts a request.
 func (s *Share) RecordRequest(now clock.Millis) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.turn(now).requests++
+	s.advance(now).requests++
 }
 
-// TryRetry counts one more attempt, if it is allowed.
+// TryRetry counts a retry if it is allowed, and reports whether it is.
 func (s *Share) TryRetry(now clock.Millis) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	slot := s.turn(now)
-	if !s.room() {
+	b := s.advance(now)
+	if !s.hasRoom() {
 		return false
 	}
-	slot.extra++
+	b.retries++
 	return true
 }
 
-// CanRetry reports whether one more attempt would be allowed.
+// CanRetry reports whether a retry would be allowed now, without counting it.
 func (s *Share) CanRetry(now clock.Millis) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.turn(now)
-	return s.room()
+	s.advance(now)
+	return s.hasRoom()
 }
 
-func (s *Share) room() bool {
-	requests, extra := 0, 0
-	for i, x := range s.slots {
-		extra += x.extra
-		if clock.Millis(i) != (s.at+1)%clock.Millis(len(s.slots)) {
+func (s *Share) hasRoom() bool {
+	requests, retries := 0, 0
+	for i, x := range s.buckets {
+		retries += x.retries
+		if clock.Millis(i) != (s.current+1)%clock.Millis(len(s.buckets)) {
 			requests += x.requests
 		}
 	}
-	return float64(extra+1) <= s.ratio*float64(requests)+s.slack
+	return float64(retries+1) <= s.ratio*float64(requests)+s.slack
 }
 
-// turn forgets what lies outside the span and returns the part of now.
-func (s *Share) turn(now clock.Millis) *shareSlot {
-	at := now / max(s.span/shareSlots, 1)
-	n := clock.Millis(len(s.slots))
-	for i := s.at + 1; i <= at && i <= s.at+n; i++ {
-		s.slots[i%n] = shareSlot{}
+// advance clears the buckets that are older than the window and returns the current one.
+func (s *Share) advance(now clock.Millis) *bucket {
+	number := now / max(s.windowLength/windowBuckets, 1)
+	n := clock.Millis(len(s.buckets))
+	for i := s.current + 1; i <= number && i <= s.current+n; i++ {
+		s.buckets[i%n] = bucket{}
 	}
-	s.at = max(s.at, at)
-	return &s.slots[s.at%n]
+	s.current = max(s.current, number)
+	return &s.buckets[s.current%n]
 }
--- a/upstream/pool.go
+++ b/upstream/pool.go
@@ -13,85 +13,85 @@
 )
 
 const (
-	// connectTimeout bounds the making of a connection. Within a region one takes
-	// a few milliseconds; an endpoint without power does not answer at all.
+	// connectTimeout bounds connecting. Within a region it takes a few milliseconds; an endpoint
+	// without power does not answer at all.
 	connectTimeout = 300 * clock.Millis(1)
-	// readBuffer fits the head of an answer and the events of a stream.
-	readBuffer = 4 << 10
-	// silentAfter is how long sent bytes may stay unacknowledged before the
-	// connection counts as broken.
-	silentAfter = 3 * clock.Second
+	// readBufferSize fits the head of an answer and the events of a stream.
+	readBufferSize = 4 << 10
+	// unackedTimeout is how long sent bytes may stay unacknowledged before the connection counts
+	// as broken.
+	unackedTimeout = 3 * clock.Second
 )
 
-// Pool keeps idle connections to endpoints. It is safe for use by many
-// goroutines.
+// Pool keeps idle connections to endpoints. It is safe for concurrent use.
 type Pool struct {
 	clock  clock.Clock
 	dialer net.Dialer
 	mu     sync.Mutex
-	// idle holds at most as many connections of each address as the last call to it
-	// allowed, the one used last at the end.
+	// idle holds the idle connections by address, at most as many as the last call to the
+	// address allowed, the most recently used last.
 	idle map[string][]*conn
-	// opened counts the connections open, made those ever made.
-	opened atomic.Int64
-	made   atomic.Int64
+	// openConns counts the connections that are open, totalConns all that were ever opened.
+	openConns  atomic.Int64
+	totalConns atomic.Int64
 }
 
-// NewPool makes an empty pool.
+// NewPool returns an empty pool.
 func NewPool(c clock.Clock) *Pool {
 	return &Pool{clock: c, dialer: net.Dialer{Timeout: connectTimeout.Duration(), KeepAlive: -1}, idle: make(map[string][]*conn)}
 }
 
 // OpenConns returns the number of open connections.
-func (p *Pool) OpenConns() int64 { return p.opened.Load() }
+func (p *Pool) OpenConns() int64 { return p.openConns.Load() }
 
-// TotalConns returns the number of connections ever made.
-func (p *Pool) TotalConns() int64 { return p.made.Load() }
+// TotalConns returns the number of connections ever opened.
+func (p *Pool) TotalConns() int64 { return p.totalConns.Load() }
 
-func (p *Pool) take(ctx context.Context, call Call) (c *conn, err error) {
+func (p *Pool) acquire(ctx context.Context, call Call) (c *conn, err error) {
 	for !call.NewConnection {
 		c = p.pop(call.Address)
 		if c == nil {
 			break
 		}
-		if p.clock.Now()-c.idleSince <= c.idleFor && c.quiet() {
-			c.mostIdle = call.MaxIdle
+		if p.clock.Now()-c.idleSince <= c.idleTimeout && c.usable() {
+			c.maxIdle = call.MaxIdle
 			return c, nil
 		}
 		c.release(false)
 	}
-	raw, err := p.dialer.DialContext(ctx, "tcp4", call.Address)
+	netConn, err := p.dialer.DialContext(ctx, "tcp4", call.Address)
 	if err != nil {
 		return nil, err
 	}
-	p.opened.Add(1)
-	p.made.Add(1)
-	limitSilence(raw)
-	c = &conn{net: raw, r: bufio.NewReaderSize(raw, readBuffer), pool: p, to: call.Address, mostIdle: call.MaxIdle}
-	if err = c.settle(call.SettleTime); err != nil {
+	p.openConns.Add(1)
+	p.totalConns.Add(1)
+	setUnackedTimeout(netConn)
+	c = &conn{net: netConn, r: bufio.NewReaderSize(netConn, readBufferSize), pool: p, address: call.Address, maxIdle: call.MaxIdle}
+	if err = c.watchNew(call.SettleTime); err != nil {
 		c.release(false)
 		return nil, err
 	}
 	return c, nil
 }
 
-// settle watches a new connection for a while, and fails if the endpoint ends it.
-func (c *conn) settle(span clock.Millis) (err error) {
-	if span <= 0 {
+// watchNew waits for a short time on a new connection and fails if the endpoint closes it or
+// sends anything.
+func (c *conn) watchNew(d clock.Millis) (err error) {
+	if d <= 0 {
 		return nil
 	}
-	if err = c.net.SetReadDeadline(time.Now().Add(span.Duration())); err != nil {
+	if err = c.net.SetReadDeadline(time.Now().Add(d.Duration())); err != nil {
 		return err
 	}
 	if _, err = c.r.Peek(1); !TimedOut(err) {
-		return errUnsettled.WithUnderlyingErrors(err)
+		return errConnRejected.WithUnderlyingErrors(err)
 	}
 	return c.net.SetReadDeadline(time.Time{})
 }
 
-// errUnsettled tells of a new connection that was ended, or brought bytes, before
-// anything was sent on it.
-var errUnsettled = ErrNotSent.New("new connection was not kept open")
+// errConnRejected is returned for a new connection that was closed, or on which bytes arrived,
+// before anything was sent on it.
+var errConnRejected = ErrNotSent.New("new connection was not kept open")
 
 func (p *Pool) pop(address string) *conn {
 	p.mu.Lock()
@@ -106,30 +106,30 @@
 }
 
 func (p *Pool) put(c *conn) bool {
-	// A read deadline that has passed would make the next look at it fail.
+	// A read deadline in the past would make the next check of the connection fail.
 	if c.net.SetReadDeadline(time.Time{}) != nil {
 		return false
 	}
 	c.idleSince = p.clock.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.idle[c.to]) >= c.mostIdle {
+	if len(p.idle[c.address]) >= c.maxIdle {
 		return false
 	}
-	p.idle[c.to] = append(p.idle[c.to], c)
+	p.idle[c.address] = append(p.idle[c.address], c)
 	return true
 }
 
-// Sweep closes connections that were idle for too long.
+// Sweep closes connections that have been idle for too long. It must be called regularly.
 func (p *Pool) Sweep() {
 	now := p.clock.Now()
-	var old []*conn
+	var expired []*conn
 	p.mu.Lock()
 	for address, all := range p.idle {
 		kept := all[:0]
 		for _, c := range all {
-			if now-c.idleSince > c.idleFor {
-				old = append(old, c)
+			if now-c.idleSince > c.idleTimeout {
+				expired = append(expired, c)
 			} else {
 				kept = append(kept, c)
 			}
@@ -141,15 +141,15 @@
 		}
 	}
 	p.mu.Unlock()
-	for _, c := range old {
+	for _, c := range expired {
 		c.release(false)
 	}
 }
 
-// quiet reports whether an idle connection is open and has brought nothing. One
-// that the endpoint closed would take the request and lose it; on one with bytes
-// that belong to no request the next answer would be a wrong one.
-func (c *conn) quiet() bool {
+// usable reports whether an idle connection is open and has no unread bytes. A request sent on a
+// connection that the endpoint has closed would be lost, and with unread bytes that belong to no
+// request the next answer would be a wrong one.
+func (c *conn) usable() bool {
 	if c.r.Buffered() > 0 {
 		return false
 	}
@@ -167,14 +167,14 @@
 	return err == nil && quiet
 }
 
-// limitSilence has the kernel break a connection whose other side no longer
-// acknowledges anything.
-func limitSilence(c net.Conn) {
+// setUnackedTimeout has the kernel break a connection whose peer no longer acknowledges sent
+// bytes.
+func setUnackedTimeout(c net.Conn) {
 	raw, err := c.(*net.TCPConn).SyscallConn()
 	if err != nil {
 		return
 	}
 	_ = raw.Control(func(fd uintptr) {
-		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(silentAfter))
+		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedTimeout))
 	})
 }
--- a/upstream/upstream_test.go
+++ b/upstream/upstream_test.go
@@ -15,8 +15,8 @@
 	"github.com/parsleydeal/parsleydeal/clock"
 )
 
-// script serves each connection by a function until the test ends.
-func script(t *testing.T, serve func(c net.Conn, r *bufio.Reader)) (address string) {
+// serveConns passes each connection to a function until the test ends.
+func serveConns(t *testing.T, serve func(c net.Conn, r *bufio.Reader)) (address string) {
 	t.Helper()
 	lis, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -48,11 +48,11 @@
 
 const own = "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 3\r\n\r\nown"
 
-// An endpoint closes a kept connection just after its answer. The next request
-// must not be sent on it: it would be lost, and may not be repeated.
+// An endpoint closes an idle connection just after its answer. The next request must not be sent
+// on it: it would be lost, and may not be retried.
 func TestClosedConnectionIsNotReused(t *testing.T) {
 	is := is.New(t)
-	address := script(t, func(c net.Conn, r *bufio.Reader) {
+	address := serveConns(t, func(c net.Conn, r *bufio.Reader) {
 		if _, err := http.ReadRequest(r); err == nil {
 			_, _ = io.WriteString(c, own)
 		}
@@ -70,11 +70,11 @@
 	is.Equal(p.TotalConns(), int64(3))
 }
 
-// An answer that nobody asked for comes late, where the next one is due. It is
-// passed over; two bytes too many after an answer cost the connection.
+// A late answer to another request arrives where the next answer is due. It must be skipped, and
+// the connection must not be reused afterwards.
 func TestLateAnswerIsSkipped(t *testing.T) {
 	is := is.New(t)
-	address := script(t, func(c net.Conn, r *bufio.Reader) {
+	address := serveConns(t, func(c net.Conn, r *bufio.Reader) {
 		if _, err := http.ReadRequest(r); err == nil {
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nId: 9\r\nContent-Length: 4\r\n\r\nlate"+own)
 			time.Sleep(200 * time.Millisecond)
@@ -90,27 +90,27 @@
 	is.Equal(p.OpenConns(), int64(0))
 }
 
-// Errors say whether a request may have run: nothing left for an address without
-// a listener, while a silent or broken connection may have carried it.
+// Error types must show whether a request may have run: nothing was sent to an address without a
+// listener, while a silent or broken connection may have carried the request.
 func TestErrorTypesReportWhetherRequestMayHaveRun(t *testing.T) {
 	is := is.New(t)
 	p := NewPool(clock.System())
 	_, err := p.Do(context.Background(), callTo("127.0.0.1:1"))
 	is.True(errorx.IsOfType(err, ErrNotSent))
-	silent := script(t, func(_ net.Conn, r *bufio.Reader) { _, _ = r.ReadString(0) })
+	silent := serveConns(t, func(_ net.Conn, r *bufio.Reader) { _, _ = r.ReadString(0) })
 	_, err = p.Do(context.Background(), callTo(silent))
 	is.True(errorx.IsOfType(err, ErrSilent) && errorx.IsOfType(err, ErrLost))
-	broken := script(t, func(_ net.Conn, r *bufio.Reader) { _, _ = http.ReadRequest(r) })
+	broken := serveConns(t, func(_ net.Conn, r *bufio.Reader) { _, _ = http.ReadRequest(r) })
 	_, err = p.Do(context.Background(), callTo(broken))
 	is.True(errorx.IsOfType(err, ErrLost) && !errorx.IsOfType(err, ErrSilent))
 	is.Equal(p.OpenConns(), int64(0))
 }
 
-// An endpoint refuses a long body before it has read it and reads on. The answer
-// is taken, and the rest of the body is not mistaken for the next request.
+// An endpoint refuses a long body before it has read it, and then reads on. The answer must be
+// returned, and the rest of the body must not be taken for the next request.
 func TestEarlyAnswerToLongBody(t *testing.T) {
 	is := is.New(t)
-	address := script(t, func(c net.Conn, r *bufio.Reader) {
+	address := serveConns(t, func(c net.Conn, r *bufio.Reader) {
 		req, err := http.ReadRequest(r)
 		if err != nil {
 			return
@@ -131,11 +131,11 @@
 	is.Equal(p.OpenConns(), int64(0))
 }
 
-// A chunked answer breaks off. It must not look whole.
+// The connection breaks in the middle of an answer. Reading it must return an error.
 func TestTruncatedAnswerIsAnError(t *testing.T) {
 	is := is.New(t)
 	for _, head := range []string{"Content-Length: 10\r\n\r\nown", "Transfer-Encoding: chunked\r\n\r\n3\r\nown\r\n"} {
-		address := script(t, func(c net.Conn, r *bufio.Reader) {
+		address := serveConns(t, func(c net.Conn, r *bufio.Reader) {
 			if _, err := http.ReadRequest(r); err == nil {
 				_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nId: 1\r\n"+head)
 			}
@@ -148,12 +148,12 @@
 	}
 }
 
-// A request that may run only once is lost on a connection that a full endpoint accepts
-// and resets.
+// An endpoint at its connection limit accepts a new connection and resets it. A request that may
+// run only once must not be sent on it, or it is lost.
 func TestNothingIsSentOnConnectionOverLimit(t *testing.T) {
 	is := is.New(t)
 	got := make(chan struct{}, 1)
-	address := script(t, func(c net.Conn, r *bufio.Reader) {
+	address := serveConns(t, func(c net.Conn, r *bufio.Reader) {
 		_ = c.SetReadDeadline(time.Now().Add(10 * time.Millisecond))
 		if _, err := r.ReadByte(); err == nil {
 			got <- struct{}{}
@@ -168,10 +168,11 @@
 	is.Equal(len(got), 0)
 }
 
-// Idle connections of many entries fill the bound of an endpoint, which then resets new ones.
+// Without a bound, the idle connections of many entries use up an endpoint's connection limit,
+// and the endpoint then resets new ones.
 func TestIdleConnectionsAreBounded(t *testing.T) {
 	is := is.New(t)
-	address := script(t, func(c net.Conn, r *bufio.Reader) {
+	address := serveConns(t, func(c net.Conn, r *bufio.Reader) {
 		for {
 			if _, err := http.ReadRequest(r); err != nil {
 				return
