--- a/endpoint/endpoint.go
+++ b/endpoint/endpoint.go
@@ -66,9 +66,9 @@
 		answers:  answer.NewKeeping(answer.KeepLimits{Answers: maxAnswers, Bytes: maxAnswersBytes, One: maxAnswerBytes, For: answerRetention}),
 	}
 	e.aborted, e.abort = context.WithCancel(context.Background())
-	e.orphan = n.Billing().Orphan
+	e.orphan = n.Billing().FinishOrphaned
 	n.SetLoad(e.load)
-	n.SetHandler(e.handleEffect)
+	n.SetEffectHandler(e.handleEffect)
 	return e
 }
 
