--- a/account/account.go
+++ b/account/account.go
@@ -118,7 +118,7 @@
 // span reads a field that holds a span of time.
 func (f fields) span(name string) (span clock.Millis, ok bool) {
 	d, err := time.ParseDuration(f[name])
-	return clock.Of(d), err == nil
+	return clock.FromDuration(d), err == nil
 }
 
 func (l *Log) request(text string) {
--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -44,7 +44,7 @@
 	stream, err := e.node.Peers().Gate(ctx, vm.Address).Run(ctx)
 	if err != nil {
 		if ctx.Err() == nil {
-			e.node.NotReached(vm.ID)
+			e.node.ReportUnreachable(vm.ID)
 		}
 		return false, connectionError(ctx, err)
 	}
@@ -69,7 +69,7 @@
 		return
 	}
 	e.inflight.Lost(vm, e.node.Clock().Now())
-	e.node.NotReached(vm)
+	e.node.ReportUnreachable(vm)
 }
 
 // errBodyIncomplete marks a caller's body that could not be read to its end.
@@ -188,7 +188,7 @@
 
 // recordLoad passes on the endpoint's table revision and load, which come with a piece.
 func (e *Entry) recordLoad(p *wire.Piece) {
-	e.node.Behind(p.GetLoad().GetVm(), "", p.GetRevision())
+	e.node.ReportNewerRevision(p.GetLoad().GetVm(), "", p.GetRevision())
 	if p.GetLoad() != nil {
 		e.inflight.Report(p.GetLoad(), e.node.Clock().Now())
 		e.node.Loop().Offer(event.LoadReceived{Now: e.node.Clock().Now(), Load: p.GetLoad()})
--- a/explain/explain.go
+++ b/explain/explain.go
@@ -75,7 +75,7 @@
 	for _, l := range lines {
 		span := clock.Millis(0)
 		if !l.At.IsZero() {
-			span = clock.Of(l.At.Sub(lines[0].At))
+			span = clock.FromDuration(l.At.Sub(lines[0].At))
 		}
 		if _, err = fmt.Fprintf(w, "%8s  %-24s %s\n", span, name(l), field(l.Text)); err != nil {
 			return err
