--- a/claim/book.go
+++ b/claim/book.go
@@ -12,144 +12,146 @@
 )
 
 const (
-	// maxWaiting bounds the claims of a stream under way in one process.
-	maxWaiting = 4096
-	// beyondHead is an offset that no stream reaches.
+	// maxPendingClaims is the maximum number of claims of one stream that wait in a process.
+	maxPendingClaims = 4096
+	// beyondHead is an offset past the end of any stream. Reading it returns only the stream's bounds.
 	beyondHead = int64(1) << 62
 )
 
-// Claimer puts claims on one stream and reads what stands.
+// Claimer appends claims to one stream of the log and reads which claim holds a key.
 type Claimer struct {
 	store  provider.Log
 	stream string
 	writer *batch.Writer
 
 	mu sync.Mutex
-	// waiters holds a channel for each claim under way, at most maxWaiting. It
-	// gets the claim's offset.
+	// waiters holds a channel for each pending claim, at most maxPendingClaims. The
+	// claim's offset is sent on it.
 	waiters map[string]chan int64
 
-	// reading guards state and is held while the log is read.
-	reading sync.Mutex
+	// stateMu guards state. It is held while the log is read.
+	stateMu sync.Mutex
 	state   *State
 }
 
-// NewClaimer makes a book of a stream; Run gives it the time. Prefix is unlike any
-// other process start's.
+// NewClaimer returns a claimer for a stream. It appends only while Run is running.
+// The prefix of its batch IDs must be unique to this start of the process.
 func NewClaimer(store provider.Log, stream, prefix string, c clock.Clock) *Claimer {
-	b := &Claimer{store: store, stream: stream, waiters: make(map[string]chan int64)}
-	b.writer = batch.NewWriter(store, stream, prefix, batch.ClaimRate/Streams, c, b.done)
-	return b
+	k := &Claimer{store: store, stream: stream, waiters: make(map[string]chan int64)}
+	k.writer = batch.NewWriter(store, stream, prefix, batch.ClaimRate/Streams, c, k.appended)
+	return k
 }
 
-// Run ticks the book until the context ends.
-func (b *Claimer) Run(ctx context.Context) { b.writer.Run(ctx) }
+// Run appends pending claims until the context ends.
+func (k *Claimer) Run(ctx context.Context) { k.writer.Run(ctx) }
 
-func (b *Claimer) done(ids []string, offset int64) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (k *Claimer) appended(ids []string, offset int64) {
+	k.mu.Lock()
+	defer k.mu.Unlock()
 	for _, id := range ids {
-		if w, ok := b.waiters[id]; ok {
+		if w, ok := k.waiters[id]; ok {
 			w <- offset
-			delete(b.waiters, id)
+			delete(k.waiters, id)
 		}
 	}
 }
 
-// Claim puts a claim on the log and returns the claim that stands for its key.
-// An error leaves it open whether the claim stands; nothing may be dispatched.
-func (b *Claimer) Claim(ctx context.Context, c *wire.Claim) (s *wire.Claim, offset int64, err error) {
+// Claim appends a claim to the log and returns the claim that holds its key, with
+// that claim's offset. After an error it is unknown whether the claim holds the key,
+// so nothing may be dispatched under it.
+func (k *Claimer) Claim(ctx context.Context, c *wire.Claim) (holder *wire.Claim, offset int64, err error) {
 	defer func() {
 		if err != nil {
-			err = ErrUnsettled.Wrap(err, "claim on %s", b.stream)
+			err = ErrUnsettled.Wrap(err, "claim on %s", k.stream)
 		}
 	}()
-	if s, offset, ok := b.known(c); ok {
-		return s, offset, nil
+	if holder, offset, ok := k.lostAlready(c); ok {
+		return holder, offset, nil
 	}
-	if offset, err = b.append(ctx, c); err != nil {
+	if offset, err = k.append(ctx, c); err != nil {
 		return nil, 0, err
 	}
-	return b.read(ctx, c, offset)
+	return k.read(ctx, c, offset)
 }
 
-// known answers a claim that has lost already, as a retry's first claim has,
-// without an append. What stands can only be followed by a later round.
-func (b *Claimer) known(c *wire.Claim) (s *wire.Claim, offset int64, ok bool) {
-	b.reading.Lock()
-	defer b.reading.Unlock()
-	if b.state == nil {
+// lostAlready returns the holder without an append if the claim cannot hold its key any
+// more, as with the first claim of a retry. Only a later round can replace a holder.
+func (k *Claimer) lostAlready(c *wire.Claim) (holder *wire.Claim, offset int64, ok bool) {
+	k.stateMu.Lock()
+	defer k.stateMu.Unlock()
+	if k.state == nil {
 		return nil, 0, false
 	}
-	s, offset, ok = b.state.Holder(c.GetKey())
-	return s, offset, ok && s.GetRound() >= c.GetRound()
+	holder, offset, ok = k.state.Holder(c.GetKey())
+	return holder, offset, ok && holder.GetRound() >= c.GetRound()
 }
 
-func (b *Claimer) append(ctx context.Context, c *wire.Claim) (offset int64, err error) {
+func (k *Claimer) append(ctx context.Context, c *wire.Claim) (offset int64, err error) {
 	id := string(c.GetKey()) + "/" + c.GetRequest() + "/" + c.GetVm()
 	w := make(chan int64, 1)
-	b.mu.Lock()
-	if len(b.waiters) >= maxWaiting {
-		b.mu.Unlock()
-		return 0, Errors.NewType("full").New("%d claims wait for the log", maxWaiting)
+	k.mu.Lock()
+	if len(k.waiters) >= maxPendingClaims {
+		k.mu.Unlock()
+		return 0, Errors.NewType("full").New("%d claims wait for the log", maxPendingClaims)
 	}
-	b.waiters[id] = w
-	b.mu.Unlock()
-	b.writer.Add(batch.Entry{ID: id, Claim: c})
+	k.waiters[id] = w
+	k.mu.Unlock()
+	k.writer.Add(batch.Entry{ID: id, Claim: c})
 	select {
 	case offset = <-w:
 		return offset, nil
 	case <-ctx.Done():
 	}
-	b.mu.Lock()
-	delete(b.waiters, id)
-	b.mu.Unlock()
-	b.writer.Drop([]string{id})
+	k.mu.Lock()
+	delete(k.waiters, id)
+	k.mu.Unlock()
+	k.writer.Drop([]string{id})
 	return 0, ctx.Err()
 }
 
-// read brings the state past the claim's record, then looks who stands.
-func (b *Claimer) read(ctx context.Context, c *wire.Claim, offset int64) (s *wire.Claim, at int64, err error) {
-	b.reading.Lock()
-	defer b.reading.Unlock()
-	if err = b.begin(ctx); err != nil {
+// read applies the log up to the claim's record and returns the holder of its key.
+func (k *Claimer) read(ctx context.Context, c *wire.Claim, offset int64) (holder *wire.Claim, holderOffset int64, err error) {
+	k.stateMu.Lock()
+	defer k.stateMu.Unlock()
+	if err = k.initState(ctx); err != nil {
 		return nil, 0, err
 	}
-	for b.state.Next() <= offset {
-		page, err := b.store.Read(ctx, b.stream, b.state.Next(), 0)
+	for k.state.Next() <= offset {
+		page, err := k.store.Read(ctx, k.stream, k.state.Next(), 0)
 		if errorx.IsOfType(err, provider.ErrExpired) {
-			page, err = b.skip(ctx)
+			page, err = k.skip(ctx)
 		}
 		if err != nil {
 			return nil, 0, err
 		}
 		for _, r := range page.Records {
-			b.state.Apply(r.Offset, r.Data)
+			k.state.Apply(r.Offset, r.Data)
 		}
 	}
-	s, at, ok := b.state.Holder(c.GetKey())
+	holder, holderOffset, ok := k.state.Holder(c.GetKey())
 	if !ok {
 		return nil, 0, Errors.NewType("missing").New("record %d holds no claim of the key", offset)
 	}
-	return s, at, nil
+	return holder, holderOffset, nil
 }
 
-// begin starts the state far enough back to remember as many keys as any other
-// process: each record has at least one claim.
-func (b *Claimer) begin(ctx context.Context) (err error) {
-	if b.state != nil {
+// initState starts the state MaxKeys records before the head of the log. Each record
+// has at least one claim, so the state remembers as many keys as any other process.
+func (k *Claimer) initState(ctx context.Context) (err error) {
+	if k.state != nil {
 		return nil
 	}
-	page, err := b.store.Read(ctx, b.stream, beyondHead, 0)
+	page, err := k.store.Read(ctx, k.stream, beyondHead, 0)
 	if err != nil {
 		return err
 	}
-	b.state = NewState(max(page.First, page.Head-MaxKeys), MaxKeys)
+	k.state = NewState(max(page.First, page.Head-MaxKeys), MaxKeys)
 	return nil
 }
 
-func (b *Claimer) skip(ctx context.Context) (page provider.Page, err error) {
-	page, err = b.store.Read(ctx, b.stream, beyondHead, 0)
-	b.state.Skip(page.First)
+// skip moves the state past records that the log no longer retains.
+func (k *Claimer) skip(ctx context.Context) (page provider.Page, err error) {
+	page, err = k.store.Read(ctx, k.stream, beyondHead, 0)
+	k.state.Skip(page.First)
 	return page, err
 }
--- a/claim/claim.go
+++ b/claim/claim.go
@@ -1,8 +1,8 @@
 // Package claim decides which attempt may run a keyed call that must not run
-// twice. A claim is an entry of the log: the first in log order stands, and a
-// later round stands only after the endpoint of the one before has refused its
-// attempt forever. No lease and no clock is part of it, so a paused process is
-// harmless.
+// twice. A claim is an entry of the log. The first claim in log order holds its key.
+// A claim of the next round replaces it only after the endpoint of the previous round
+// has refused that attempt permanently. The protocol uses no lease and no clock, so a
+// process that is paused and resumes does no harm.
 package claim
 
 import (
@@ -19,27 +19,28 @@
 // Errors is the namespace of this package's errors.
 var Errors = errorx.NewNamespace("claim")
 
-// ErrUnsettled marks a claim of which it could not be learned whether it
-// stands. Nothing may be dispatched under it.
+// ErrUnsettled means that it is unknown whether a claim holds its key. Nothing may
+// be dispatched under it.
 var ErrUnsettled = Errors.NewType("unsettled")
 
 const (
-	// Streams is the number of streams over which keys are spread.
+	// Streams is the number of log streams that the keys are distributed over.
 	Streams = 8
-	// MaxKeys bounds the keys that are remembered of one stream. The key whose
-	// last claim is oldest falls out first, and a call with it counts as new.
+	// MaxKeys is the maximum number of keys remembered per stream. The key with the
+	// oldest last claim is evicted first; a call that uses it again counts as new.
 	MaxKeys = 64 << 10
-	// hashBytes is how much of a digest a claim carries.
+	// hashBytes is the length of the truncated digests in claims.
 	hashBytes = 16
 )
 
-// Key hashes what a key means: an organisation's own key for one service. The
-// parts are written with their lengths, so that no two sets of parts are alike.
+// Key returns the hash of an idempotency key, which is scoped to one organisation and
+// one service.
 func Key(organisation, service, key string) []byte {
 	return Hash([]byte(organisation), []byte(service), []byte(key))
 }
 
-// Hash digests parts with their lengths.
+// Hash returns a digest of hashBytes bytes. Each part is hashed with its length, so that
+// different lists of parts never hash the same input.
 func Hash(parts ...[]byte) []byte {
 	h := sha256.New()
 	for _, p := range parts {
@@ -51,61 +52,62 @@
 	return h.Sum(nil)[:hashBytes]
 }
 
-// Stream names the stream of a key.
+// Stream returns the name of the log stream that holds a key's claims.
 func Stream(key []byte) string {
 	return fmt.Sprintf("claims-%d", xxhash.Sum64(key)%Streams)
 }
 
-// Same reports whether two claims are one.
+// Same reports whether both are the same claim: one attempt of one request, made by one VM.
 func Same(a, b *wire.Claim) bool {
 	return a.GetRequest() == b.GetRequest() && a.GetAttempt() == b.GetAttempt() && a.GetRound() == b.GetRound() && a.GetVm() == b.GetVm()
 }
 
-// standing is the claim that holds a key.
-type standing struct {
+// holder is the claim that holds a key.
+type holder struct {
 	claim  *wire.Claim
 	offset int64
 }
 
-// State reduces one stream of claims. All processes that read the same records
-// agree on what stands.
+// State reduces one stream of claims. Processes that read the same records agree on
+// which claim holds each key.
 type State struct {
-	// next is the offset of the next record to reduce.
+	// next is the offset of the next record to apply.
 	next int64
 	// keys holds at most bound keys.
-	keys  map[string]standing
+	keys  map[string]holder
 	bound int
-	// order holds the keys by their claims, oldest first; a key with a later
-	// claim stands in it again and its earlier places are skipped.
-	order []place
-	// skipped counts the records that held no claims.
+	// order lists the keys by the offset of their claim, oldest first. A key with a
+	// later claim is listed again, and its earlier entries are skipped.
+	order []keyClaim
+	// skipped counts the records that could not be decoded.
 	skipped int64
 }
 
-type place struct {
+// keyClaim is an entry of State.order.
+type keyClaim struct {
 	key    string
 	offset int64
 	round  uint32
 }
 
-// NewState makes a state that begins at an offset and remembers so many keys.
+// NewState returns a state that starts at an offset and remembers at most bound keys.
 func NewState(from int64, bound int) *State {
-	return &State{next: from, keys: make(map[string]standing), bound: bound}
+	return &State{next: from, keys: make(map[string]holder), bound: bound}
 }
 
-// Next returns the offset of the next record to reduce.
+// Next returns the offset of the next record to apply.
 func (s *State) Next() int64 { return s.next }
 
-// Keys returns how many keys are remembered.
+// Keys returns the number of keys remembered.
 func (s *State) Keys() int { return len(s.keys) }
 
-// Skipped counts the records that held no claims.
+// Skipped returns the number of records that could not be decoded.
 func (s *State) Skipped() int64 { return s.skipped }
 
-// Skip moves past records that the log no longer keeps.
+// Skip continues at offset first, when the log no longer retains the records before it.
 func (s *State) Skip(first int64) { s.next = max(s.next, first) }
 
-// Apply reduces the record at an offset; one reduced before has no effect.
+// Apply reduces the record at an offset. Applying a record twice has no effect.
 func (s *State) Apply(offset int64, data []byte) {
 	if offset < s.next {
 		return
@@ -117,35 +119,36 @@
 		return
 	}
 	for _, c := range r.GetClaims() {
-		s.claim(offset, c)
+		s.applyClaim(offset, c)
 	}
 }
 
-// claim lets a claim stand when its key is free or when it is the round after
-// the one that stands. Of two claims of one round the first in log order wins:
-// with any other rule two entries could each believe that they may dispatch.
-func (s *State) claim(offset int64, c *wire.Claim) {
+// applyClaim makes a claim the holder of its key if the key is free or if the claim is
+// of the round after the holder's. Of two claims of the same round the first in log order
+// wins; with any other rule two entries could both conclude that they may dispatch.
+func (s *State) applyClaim(offset int64, c *wire.Claim) {
 	key := string(c.GetKey())
 	if old, held := s.keys[key]; held && c.GetRound() != old.claim.GetRound()+1 {
 		return
 	}
-	s.keys[key] = standing{claim: c, offset: offset}
-	s.order = append(s.order, place{key: key, offset: offset, round: c.GetRound()})
+	s.keys[key] = holder{claim: c, offset: offset}
+	s.order = append(s.order, keyClaim{key: key, offset: offset, round: c.GetRound()})
 	s.trim()
 }
 
+// trim evicts the keys with the oldest claims.
 func (s *State) trim() {
 	for len(s.keys) > s.bound || len(s.order) > 2*s.bound {
-		p := s.order[0]
+		oldest := s.order[0]
 		s.order = s.order[1:]
-		if held := s.keys[p.key]; held.offset == p.offset && held.claim.GetRound() == p.round {
-			delete(s.keys, p.key)
+		if held := s.keys[oldest.key]; held.offset == oldest.offset && held.claim.GetRound() == oldest.round {
+			delete(s.keys, oldest.key)
 		}
 	}
 }
 
-// Holder returns the claim that holds a key and its offset.
+// Holder returns the claim that holds a key, and the offset of that claim.
 func (s *State) Holder(key []byte) (c *wire.Claim, offset int64, ok bool) {
-	x, ok := s.keys[string(key)]
-	return x.claim, x.offset, ok
+	h, ok := s.keys[string(key)]
+	return h.claim, h.offset, ok
 }
--- a/claim/fuzz_test.go
+++ b/claim/fuzz_test.go
@@ -7,8 +7,8 @@
 	"github.com/parsleydeal/parsleydeal/peer/wire"
 )
 
-// FuzzState reduces hostile records around a good one. What stands for its key
-// may not change but by the next round, and memory stays bounded.
+// FuzzState applies malicious records after a valid one. Only a claim of the next round
+// may replace the holder of its key, and the number of keys must stay bounded.
 func FuzzState(f *testing.F) {
 	encode := func(claims ...*wire.Claim) []byte {
 		var entries []batch.Entry
@@ -35,7 +35,7 @@
 			t.Fatalf("claims-are-bounded: %d keys, next %d", s.Keys(), s.Next())
 		}
 		if c, _, ok := s.Holder(mine.GetKey()); ok && c.GetRound() == 1 && !Same(c, mine) {
-			t.Fatalf("at-most-once: %v stands in place of the first claim", c)
+			t.Fatalf("at-most-once: %v holds the key instead of the first claim", c)
 		}
 	})
 }
--- a/claim/verdict.go
+++ b/claim/verdict.go
@@ -6,51 +6,53 @@
 	"github.com/parsleydeal/parsleydeal/peer/wire"
 )
 
-// Verdict says what a request does after one look at its claim.
+// Verdict is what a request has to do next, given the holder of its key.
 type Verdict int
 
-// The verdicts.
+// Verdicts.
 const (
-	// Won: the request's own claim stands, its attempt may be dispatched.
+	// Won means that the request's own claim holds the key: its attempt may be dispatched.
 	Won Verdict = iota
-	// KeyReused: the key stands for another call.
+	// KeyReused means that the key is held for a call with another body.
 	KeyReused
-	// NextRound: the attempt that stands can never run; claim the next round.
+	// NextRound means that the holder's attempt can never run: claim the next round.
 	NextRound
-	// QueryHolder: the endpoint that stands must be asked about its attempt.
+	// QueryHolder means that the holder's endpoint must be queried about its attempt.
 	QueryHolder
-	// TakenOver: another request has refused this one's attempt and gone on.
+	// TakenOver means that another request had this one's attempt refused and claimed the
+	// next round.
 	TakenOver
-	// Replay: the attempt that stands ran and its answer is kept.
+	// Replay means that the holder's attempt ran and its answer is still buffered.
 	Replay
-	// Ran: the attempt that stands ran and its answer is no longer kept.
+	// Ran means that the holder's attempt ran and its answer is no longer buffered.
 	Ran
-	// Undecided: the attempt that stands may be running, or may yet run.
+	// Undecided means that the holder's attempt may be running, or may still run.
 	Undecided
 )
 
-// Decide compares a request's claim with the one that stands for the key. Held
-// says that an earlier claim of the request stood.
-func Decide(mine, stands *wire.Claim, held bool) Verdict {
+// Decide compares a request's claim with the holder of its key. Held is true if an
+// earlier claim of the same request has held the key.
+func Decide(mine, holder *wire.Claim, held bool) Verdict {
 	switch {
-	case Same(mine, stands):
+	case Same(mine, holder):
 		return Won
-	case !bytes.Equal(mine.GetBody(), stands.GetBody()):
+	case !bytes.Equal(mine.GetBody(), holder.GetBody()):
 		return KeyReused
-	case stands.GetRequest() == mine.GetRequest():
-		// An earlier attempt of this very request, beyond which it goes only
-		// after proof that it did not run.
+	case holder.GetRequest() == mine.GetRequest():
+		// The holder is an earlier attempt of the same request, which claims again only
+		// after proof that this attempt did not run.
 		return NextRound
 	case held:
-		// Going on in turn would let the two refuse each other for ever.
+		// If it claimed the next round in turn, the two requests could refuse each other's
+		// attempts forever.
 		return TakenOver
 	}
 	return QueryHolder
 }
 
-// DecideFromReply reads what an endpoint said when it was asked to refuse an attempt
-// forever. Only its word that the attempt will never start opens the next
-// round; silence and ignorance leave the call open.
+// DecideFromReply interprets an endpoint's reply to the request to refuse an attempt
+// permanently. Only a reply that the attempt will never start allows the next round.
+// Without a reply, or if the endpoint does not know the attempt, the call is undecided.
 func DecideFromReply(reply *wire.RefuseReply) Verdict {
 	switch {
 	case reply.GetKept():
