--- a/checkpoint/checkpoint.go
+++ b/checkpoint/checkpoint.go
@@ -1,5 +1,5 @@
-// Package checkpoint decides when a process appends the tables to the log once
-// more, so that retention never takes the configuration away.
+// Package checkpoint decides when a process appends the complete tables to the log
+// again, so that the configuration is never lost to the log's retention.
 package checkpoint
 
 import (
@@ -15,50 +15,52 @@
 )
 
 const (
-	// Interval is the longest span between two checkpoints. The log must keep
-	// records for at least three times as long.
+	// Interval is the maximum time between two checkpoints. The log must retain records
+	// for at least three times as long.
 	Interval = clock.Hour
-	// maxRecords is how many records follow a checkpoint before the next, so
-	// that a process that starts has few to read.
-	maxRecords = 256
-	// step is how much later the next in rank appends.
-	step = 30 * clock.Second
-	// ranks is how many processes may append one checkpoint.
-	ranks = 4
+	// recordsPerCheckpoint is the number of records after a checkpoint that makes the next
+	// one due, so that a starting process has few records to read.
+	recordsPerCheckpoint = 256
+	// rankDelay is the additional wait of each rank before it appends.
+	rankDelay = 30 * clock.Second
+	// maxRanks is the maximum number of processes that may append the same checkpoint.
+	maxRanks = 4
 )
 
-// State reduces what concerns checkpoints. The zero value lacks self.
+// State decides when this process appends a checkpoint. Use NewState; the zero value
+// lacks the ID of the process.
 type State struct {
 	self string
-	// entries holds the live entries' IDs.
+	// entries holds the IDs of the live entries.
 	entries []string
-	// savedAt is the offset of the last checkpoint seen and seenAt when this
-	// process saw it, or began.
-	savedAt int64
-	seenAt  clock.Millis
-	begun   bool
-	// fullAt is when this process saw maxRecords since the last checkpoint, or
-	// that the log no longer keeps it; 0 while neither is so.
-	fullAt clock.Millis
-	// first is the lowest offset that the log was seen to keep.
-	first int64
-	// triedAt is when this process last appended; 0 before.
-	triedAt clock.Millis
-	tries   int
+	// lastOffset is the offset of the last checkpoint seen. lastSeenAt is when this process
+	// saw it, or its first tick if it has seen none.
+	lastOffset  int64
+	lastSeenAt  clock.Millis
+	initialized bool
+	// triggeredAt is when this process saw recordsPerCheckpoint records since the last
+	// checkpoint, or that the log no longer retains that checkpoint; 0 if neither.
+	triggeredAt clock.Millis
+	// firstOffset is the latest offset at which the log was seen to start.
+	firstOffset int64
+	// lastAppendAt is when this process last appended since the last checkpoint seen; 0 if
+	// it has not.
+	lastAppendAt clock.Millis
+	appends      int
 }
 
-// NewState returns the state of a process.
-func NewState(self string) State { return State{self: self, savedAt: -1} }
+// NewState returns the initial state of the process with ID self.
+func NewState(self string) State { return State{self: self, lastOffset: -1} }
 
-// Reduce takes one event and returns the checkpoint to append, if any. Doing it
-// twice is harmless: processes that have read all take no notice of either.
+// Reduce applies one event and returns the append of a checkpoint if one is due. A
+// duplicate checkpoint is harmless: processes that have applied all records ignore it.
 func (s *State) Reduce(e event.Event, tables *table.State) (effects []event.Effect) {
 	switch e := e.(type) {
 	case event.VMsListed:
-		s.list(e.VMs)
+		s.setEntries(e.VMs)
 	case event.LogRead:
 		if e.Stream == provider.ConfigStream {
-			s.first = max(s.first, e.Page.First)
+			s.firstOffset = max(s.firstOffset, e.Page.First)
 		}
 	case event.Tick:
 		return s.tick(e.Now, tables)
@@ -66,7 +68,7 @@
 	return nil
 }
 
-func (s *State) list(vms []provider.VM) {
+func (s *State) setEntries(vms []provider.VM) {
 	s.entries = s.entries[:0]
 	for _, vm := range vms {
 		if vm.Role == provider.EntryRole && !vm.Leaving {
@@ -76,7 +78,7 @@
 }
 
 func (s *State) tick(now clock.Millis, tables *table.State) (effects []event.Effect) {
-	s.note(now, tables)
+	s.update(now, tables)
 	if !s.due(now) {
 		return nil
 	}
@@ -88,50 +90,51 @@
 	if err != nil || len(data) > table.MaxCheckpointBytes {
 		return nil
 	}
-	s.triedAt = now
-	s.tries++
-	return []event.Effect{event.Append{Stream: provider.ConfigStream, ID: fmt.Sprintf("checkpoint-%s-%d", s.self, s.tries), Data: data}}
+	s.lastAppendAt = now
+	s.appends++
+	return []event.Effect{event.Append{Stream: provider.ConfigStream, ID: fmt.Sprintf("checkpoint-%s-%d", s.self, s.appends), Data: data}}
 }
 
-// note sees whether a checkpoint has counted since the last tick.
-func (s *State) note(now clock.Millis, tables *table.State) {
-	if at := tables.SavedAt(); !s.begun || at != s.savedAt {
-		s.begun, s.savedAt, s.seenAt, s.fullAt, s.triedAt = true, at, now, 0, 0
+// update tracks the last checkpoint and whether the next one is due before Interval.
+func (s *State) update(now clock.Millis, tables *table.State) {
+	if at := tables.SavedAt(); !s.initialized || at != s.lastOffset {
+		s.initialized, s.lastOffset, s.lastSeenAt, s.triggeredAt, s.lastAppendAt = true, at, now, 0, 0
 	}
-	// A log that keeps neither its first record nor a checkpoint gives a process
-	// that starts nothing to begin from: that is due at once, however short the
-	// retention.
-	expired := s.first > max(s.savedAt, 0)
-	if s.fullAt == 0 && (expired || tables.Offset()-(s.savedAt+1) >= maxRecords) {
-		s.fullAt = now
+	// If the log retains neither its first record nor a checkpoint, a starting process
+	// cannot build the tables. A checkpoint is then due at once, however short the
+	// retention is.
+	expired := s.firstOffset > max(s.lastOffset, 0)
+	if s.triggeredAt == 0 && (expired || tables.Offset()-(s.lastOffset+1) >= recordsPerCheckpoint) {
+		s.triggeredAt = now
 	}
 }
 
-// due reports whether it is this process's turn. The next in rank steps in when
-// the one before is gone, or cut off from the log.
+// due reports whether this process has to append a checkpoint now. The process of the
+// next rank appends if the one before it is unreachable or cannot use the log.
 func (s *State) due(now clock.Millis) bool {
 	r := s.rank()
-	if r >= ranks || s.triedAt > 0 && now-s.triedAt < ranks*step {
+	if r >= maxRanks || s.lastAppendAt > 0 && now-s.lastAppendAt < maxRanks*rankDelay {
 		return false
 	}
-	wait := clock.Millis(r) * step
-	return now-s.seenAt >= Interval+wait || s.fullAt > 0 && now-s.fullAt >= wait
+	wait := clock.Millis(r) * rankDelay
+	return now-s.lastSeenAt >= Interval+wait || s.triggeredAt > 0 && now-s.triggeredAt >= wait
 }
 
-// rank is this process's place by rendezvous hashing among the live entries.
-func (s *State) rank() (place int) {
+// rank returns this process's rank among the live entries by rendezvous hashing, from 0.
+// It is maxRanks if this process is not a live entry.
+func (s *State) rank() (rank int) {
 	if !slices.Contains(s.entries, s.self) {
-		return ranks
+		return maxRanks
 	}
 	mine := s.score(s.self)
 	for _, id := range s.entries {
 		if c := cmp.Compare(s.score(id), mine); c < 0 || c == 0 && id < s.self {
-			place++
+			rank++
 		}
 	}
-	return place
+	return rank
 }
 
 func (s *State) score(id string) uint64 {
-	return xxhash.Sum64String(fmt.Sprintf("checkpoint/%d/%s", s.savedAt, id))
+	return xxhash.Sum64String(fmt.Sprintf("checkpoint/%d/%s", s.lastOffset, id))
 }
--- a/checkpoint/checkpoint_test.go
+++ b/checkpoint/checkpoint_test.go
@@ -12,28 +12,28 @@
 
 const change = "id = \"a\"\nauthor = \"ops\"\nkind = \"whole\"\nbase = -1\n[tables.zones.a]\nstate = \"in\"\n"
 
-var site = event.VMsListed{VMs: []provider.VM{{ID: "entry-1", Role: provider.EntryRole}, {ID: "entry-2", Role: provider.EntryRole}, {ID: "entry-3", Role: provider.EntryRole}}}
+var listed = event.VMsListed{VMs: []provider.VM{{ID: "entry-1", Role: provider.EntryRole}, {ID: "entry-2", Role: provider.EntryRole}, {ID: "entry-3", Role: provider.EntryRole}}}
 
-// appenders returns, minute by minute, who appends a checkpoint.
-func appenders(tables *table.State, before []event.Event, minutes int) (names map[string]clock.Millis) {
-	names = make(map[string]clock.Millis)
-	for _, vm := range site.VMs {
+// appenders returns when each process first appends a checkpoint, at ticks of one minute.
+func appenders(tables *table.State, before []event.Event, minutes int) (appendedAt map[string]clock.Millis) {
+	appendedAt = make(map[string]clock.Millis)
+	for _, vm := range listed.VMs {
 		s := NewState(vm.ID)
-		for _, e := range append([]event.Event{site}, before...) {
+		for _, e := range append([]event.Event{listed}, before...) {
 			s.Reduce(e, tables)
 		}
 		for m := range minutes {
 			now := clock.Minute * clock.Millis(m+1)
-			if len(s.Reduce(event.Tick{Now: now}, tables)) > 0 && names[vm.ID] == 0 {
-				names[vm.ID] = now
+			if len(s.Reduce(event.Tick{Now: now}, tables)) > 0 && appendedAt[vm.ID] == 0 {
+				appendedAt[vm.ID] = now
 			}
 		}
 	}
-	return names
+	return appendedAt
 }
 
-// Nothing is published for long. One process appends the tables again within
-// the hour, and the next in rank only when that one did not.
+// Without changes, one process appends a checkpoint each Interval. The processes of the
+// next ranks append only if it did not.
 func TestOneProcessAppendsFirst(t *testing.T) {
 	is := is.New(t)
 	var tables table.State
@@ -43,8 +43,8 @@
 	is.Equal(len(appenders(&tables, nil, 63)), 3)
 }
 
-// The log drops the only record that has the tables, sooner than agreed. A
-// process that starts now would find nothing, so a checkpoint is due at once.
+// If the log drops the only record with the tables before the agreed retention, a
+// starting process would find no configuration, so a checkpoint is due at once.
 func TestExpiredTablesAreAppendedAtOnce(t *testing.T) {
 	is := is.New(t)
 	var tables table.State
