--- a/clock/boot.go
+++ b/clock/boot.go
@@ -6,10 +6,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// Boot returns a clock that goes on while the VM is suspended, unlike System's.
-// A lease that is judged by the monotonic time would outlive a suspension: the
-// process wakes up and takes for fresh what it confirmed long ago. Its zero is
-// the moment of the call.
+// Boot returns a clock that, unlike System, advances while the VM is suspended. Its zero
+// is the time of the call. With the monotonic clock a lease would outlive a suspension:
+// after the resume, the process would treat a confirmation from before it as recent.
 func Boot() Clock {
 	start := bootMillis()
 	return Clock{now: func() Millis { return bootMillis() - start }}
@@ -18,7 +17,7 @@
 func bootMillis() Millis {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
-		// Linux has had this clock since 2.6.39; without it no lease can be kept.
+		// Linux has CLOCK_BOOTTIME since 2.6.39. Without it leases would not be safe.
 		panic("clock: CLOCK_BOOTTIME cannot be read: " + err.Error())
 	}
 	return FromDuration(time.Duration(t.Nano()))
--- a/clock/clock.go
+++ b/clock/clock.go
@@ -1,6 +1,6 @@
-// Package clock keeps time in whole milliseconds.
+// Package clock measures time in whole milliseconds.
 //
-// Instants of two VMs are never compared: a Millis is only meaningful beside
+// Instants of different VMs are never compared: an instant is meaningful only relative to
 // others read from the same Clock.
 package clock
 
@@ -9,32 +9,32 @@
 	"time"
 )
 
-// Millis is an instant, or a span between two instants, in milliseconds.
+// Millis is an instant of a Clock, or a duration, in milliseconds.
 type Millis int64
 
-// Spans in common use.
+// Common durations.
 const (
 	Second Millis = 1000
 	Minute        = 60 * Second
 	Hour          = 60 * Minute
 )
 
-// Duration converts a span to the standard library's unit.
+// Duration converts m to a time.Duration.
 func (m Millis) Duration() time.Duration {
 	return time.Duration(m) * time.Millisecond
 }
 
-// String formats a span the way time.Duration does.
+// String formats a duration as time.Duration does.
 func (m Millis) String() string {
 	return m.Duration().String()
 }
 
-// MarshalText writes the number of milliseconds.
+// MarshalText encodes m as the number of milliseconds.
 func (m Millis) MarshalText() ([]byte, error) {
 	return strconv.AppendInt(nil, int64(m), 10), nil
 }
 
-// UnmarshalText reads a span such as "250ms" or "6s", or a bare number of
+// UnmarshalText decodes a duration such as "250ms" or "6s", or a plain number of
 // milliseconds.
 func (m *Millis) UnmarshalText(text []byte) error {
 	if n, err := strconv.ParseInt(string(text), 10, 64); err == nil {
@@ -49,24 +49,25 @@
 	return nil
 }
 
-// FromDuration converts a standard duration, dropping what is below a millisecond.
+// FromDuration converts a time.Duration, truncated to whole milliseconds.
 func FromDuration(d time.Duration) Millis {
 	return Millis(d / time.Millisecond)
 }
 
-// Clock reads the current instant.
+// Clock returns the current instant. Use New, System or Boot; the zero value is not usable.
 type Clock struct {
 	// now never goes backwards.
 	now func() Millis
 }
 
-// New makes a clock from a function, such as a test's virtual time.
+// New returns a clock that reads a function, such as the virtual time of a test. The
+// function must never go backwards.
 func New(now func() Millis) Clock {
 	return Clock{now: now}
 }
 
-// System returns a clock on the process's monotonic time. Its zero is the
-// moment of the call.
+// System returns a clock that reads the process's monotonic time. Its zero is the time of
+// the call.
 func System() Clock {
 	start := time.Now()
 	return Clock{now: func() Millis { return FromDuration(time.Since(start)) }}
@@ -77,13 +78,13 @@
 	return c.now()
 }
 
-// Since returns the span from an earlier instant of the same clock.
+// Since returns the time elapsed since t, an earlier instant of the same clock.
 func (c Clock) Since(t Millis) Millis {
 	return c.now() - t
 }
 
-// Until returns the span to a context's deadline, at least 1 while it lies
-// ahead.
+// Until returns the time left until a deadline, at least 1 ms, also when the deadline has
+// passed.
 func Until(deadline time.Time) Millis {
 	return max(FromDuration(time.Until(deadline)), 1)
 }
--- a/clock/pause.go
+++ b/clock/pause.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Pause waits for a span and reports false when the context ended first.
-func Pause(ctx context.Context, span Millis) bool {
-	t := time.NewTimer(span.Duration())
+// Pause waits for d and reports false if the context ended first.
+func Pause(ctx context.Context, d Millis) bool {
+	t := time.NewTimer(d.Duration())
 	defer t.Stop()
 	select {
 	case <-ctx.Done():
