--- a/control/await.go
+++ b/control/await.go
@@ -6,12 +6,12 @@
 	"github.com/parsleydeal/parsleydeal/view"
 )
 
-// Await waits until a published view meets a condition. It reports false when
-// the context ended first.
+// Await waits until a published view meets a condition. It reports false if the context
+// ended first.
 func (l *Loop) Await(ctx context.Context, met func(*view.View) bool) (ok bool) {
 	for {
-		// The channel is taken before the view: a view published in between
-		// closes it, so that no change is missed.
+		// The channel is read before the view. A view published in between closes it, so
+		// no change is missed.
 		changed := *l.changed.Load()
 		if met(l.View()) {
 			return true
@@ -24,8 +24,8 @@
 	}
 }
 
-// announce wakes all who wait for a view.
-func (l *Loop) announce() {
+// notifyViewChanged wakes all callers of Await.
+func (l *Loop) notifyViewChanged() {
 	next := make(chan struct{})
 	close(*l.changed.Swap(&next))
 }
--- a/control/checkpoint_test.go
+++ b/control/checkpoint_test.go
@@ -22,34 +22,34 @@
 	return event.LogRead{Stream: provider.ConfigStream, Page: provider.Page{First: first, Head: head, Records: records}}
 }
 
-// A process starts when the log has dropped the first records. Reading on from
-// the middle would reject what all others accepted; it must wait for a
-// checkpoint, from the log or from a peer.
+// A process starts after the log has dropped its first records. Applying the rest alone would
+// reject changes that all others accepted, so it must wait for a checkpoint from the log or
+// from a peer.
 func TestStartAfterRecordsExpired(t *testing.T) {
 	is := is.New(t)
-	old := NewState("old")
-	old, _ = Reduce(old, page(0, provider.Record{Offset: 0, Data: []byte(changeOne)}, provider.Record{Offset: 1, Data: []byte(changeTwo)}))
-	is.Equal(old.View().Revision(), int64(1))
-	saved, err := old.View().Checkpoint().Encode()
+	upToDate := NewState("old")
+	upToDate, _ = Reduce(upToDate, page(0, provider.Record{Offset: 0, Data: []byte(changeOne)}, provider.Record{Offset: 1, Data: []byte(changeTwo)}))
+	is.Equal(upToDate.View().Revision(), int64(1))
+	saved, err := upToDate.View().Checkpoint().Encode()
 	is.NoErr(err)
 
 	fromLog := NewState("from-log")
 	fromLog, _ = Reduce(fromLog, page(1, provider.Record{Offset: 1, Data: []byte(changeTwo)}))
-	is.Equal(fromLog.View().Revision(), int64(-1)) // the change before it is missing
+	is.Equal(fromLog.View().Revision(), int64(-1)) // the change it is based on is missing
 	fromLog, _ = Reduce(fromLog, page(1, provider.Record{Offset: 2, Data: saved}))
 	is.Equal(fromLog.View().Revision(), int64(1))
-	is.Equal(fromLog.View().Tail().From(), int64(2)) // peers may not take it for complete before
+	is.Equal(fromLog.View().Tail().From(), int64(2)) // for peers, its records are complete only from here
 
 	fromPeer := NewState("from-peer")
 	reply := &wire.RecordsReply{From: 2, Checkpoint: &wire.Record{Offset: 2, Data: saved}}
 	fromPeer, _ = Reduce(fromPeer, event.RecordsReceived{From: "old", Reply: reply})
 	is.Equal(fromPeer.View().Revision(), int64(1))
 	is.True(fromPeer.View().Tables().ZoneOut("a"))
-	is.Equal(fromPeer.View().Tail().Restarts(), 1) // the log's reader goes back
+	is.Equal(fromPeer.View().Tail().Restarts(), 1) // the reader of the log starts again at the checkpoint
 
-	// Neither the record nor a late peer takes anyone back or onward.
-	old, _ = Reduce(old, page(0, provider.Record{Offset: 2, Data: saved}))
-	is.Equal(old.View().Revision(), int64(1))
-	old, _ = Reduce(old, event.RecordsReceived{From: "late", Reply: reply})
-	is.Equal(old.View().Tail().From(), int64(0))
+	// Neither the checkpoint's record nor a late reply changes a process that is up to date.
+	upToDate, _ = Reduce(upToDate, page(0, provider.Record{Offset: 2, Data: saved}))
+	is.Equal(upToDate.View().Revision(), int64(1))
+	upToDate, _ = Reduce(upToDate, event.RecordsReceived{From: "late", Reply: reply})
+	is.Equal(upToDate.View().Tail().From(), int64(0))
 }
--- a/control/cluster_test.go
+++ b/control/cluster_test.go
@@ -15,14 +15,14 @@
 const (
 	testTick    = 200 * clock.Millis(1)
 	testLogPoll = 2 * clock.Second
-	// callOverhead is what one message costs on a warm connection beside its
-	// own bytes: drpc's frames and the TCP and IP headers with the acknowledgements; see
-	// TestExchangeBytes of package node.
+	// callOverhead is the number of bytes that one message takes on an open connection in
+	// addition to its own: drpc's frames and the TCP and IP headers, acknowledgements
+	// included. TestExchangeBytes of package node checks it.
 	callOverhead = 160
 )
 
-// cluster drives many real reducers in virtual time over fakes of the log, the
-// list and the network.
+// cluster runs many real reducers in virtual time with fakes of the log, the VM list and the
+// network.
 type cluster struct {
 	now   clock.Millis
 	procs []*proc
@@ -31,21 +31,21 @@
 	seq   int
 	log   [][]byte
 	holds [][]byte
-	// first and cut are the ends of the log that reads see; cut 0 shows all.
-	cut int
-	// readable says who can read the log.
+	// hiddenRecords is the number of records at the end of the log that reads do not see.
+	hiddenRecords int
+	// readable reports whether a process can read the log.
 	readable func(*proc) bool
-	// parted says whose messages are lost.
-	parted func(from, to *proc) bool
-	listed []provider.VM
-	// swallow drops one call in four without a word, as a shell does that has too
-	// many under way.
-	swallow bool
-	// moved is true when a revision has changed since done was last asked.
-	moved bool
+	// partitioned reports whether messages between two processes are lost.
+	partitioned func(from, to *proc) bool
+	listed      []provider.VM
+	// dropCalls drops one call in four without a failure event, as a node does that has too
+	// many calls in progress.
+	dropCalls bool
+	// revisionChanged is true if a revision has changed since run last called done.
+	revisionChanged bool
 }
 
-// proc is one process. Its clock runs on its own zero.
+// proc is one process. Its clock has its own zero.
 type proc struct {
 	vm        provider.VM
 	state     *State
@@ -54,7 +54,7 @@
 	paused    bool
 	following bool
 	bytes     int
-	// lowest notes the revision, which must never fall.
+	// revision is the last revision seen, which must never decrease.
 	revision int64
 }
 
@@ -79,19 +79,21 @@
 	return x
 }
 
-// newCluster makes n processes over so many zones, three zones a region.
-func newCluster(n, zones int) *cluster { return newClusterOf(n, zones, 4) }
+// newCluster returns n processes distributed over zones, with three zones per region. One
+// process in four is an entry.
+func newCluster(n, zones int) *cluster { return newClusterWithEntries(n, zones, 4) }
 
-// newClusterOf makes one entry out of so many processes; the rest are endpoints.
-func newClusterOf(n, zones, entryOf int) *cluster {
+// newClusterWithEntries is newCluster with one entry in entryEvery processes; the others are
+// endpoints.
+func newClusterWithEntries(n, zones, entryEvery int) *cluster {
 	c := &cluster{
-		byVM:     make(map[string]*proc),
-		readable: func(*proc) bool { return true },
-		parted:   func(_, _ *proc) bool { return false },
+		byVM:        make(map[string]*proc),
+		readable:    func(*proc) bool { return true },
+		partitioned: func(_, _ *proc) bool { return false },
 	}
 	for i := range n {
 		role := provider.EndpointRole
-		if i%entryOf == 0 {
+		if i%entryEvery == 0 {
 			role = provider.EntryRole
 		}
 		zone := i % zones
@@ -106,19 +108,19 @@
 	return c
 }
 
-// start begins a process on a VM, in place of the one before.
+// start starts a process on the VM at index i, which replaces the one before.
 func (c *cluster) start(i int, epoch uint64) *proc {
 	vm := c.listed[i]
 	p := &proc{vm: vm, state: NewStateAt(vm.ID, vm.Zone, epoch), skew: clock.Millis(epoch*7919) - c.now, revision: -1}
-	// Nothing here sends requests, and subsets of so many states take long.
+	// No test here uses the subsets, and computing them for so many states takes long.
 	p.state.subsetsOf = func(string, []provider.VM) map[string][]provider.VM { return nil }
 	if old := c.byVM[vm.ID]; old != nil {
 		old.dead = true
 	}
 	c.byVM[vm.ID] = p
 	c.procs = append(c.procs, p)
-	phase := clock.Millis(xxhash.Sum64String(vm.ID) % uint64(testTick))
-	c.after(phase, func() {
+	offset := clock.Millis(xxhash.Sum64String(vm.ID) % uint64(testTick))
+	c.after(offset, func() {
 		c.reduce(p, event.VMsListed{Now: c.at(p), VMs: c.listed})
 		c.tick(p)
 	})
@@ -127,9 +129,9 @@
 
 func (c *cluster) at(p *proc) clock.Millis { return c.now + p.skew }
 
-func (c *cluster) after(span clock.Millis, run func()) {
+func (c *cluster) after(d clock.Millis, run func()) {
 	c.seq++
-	heap.Push(&c.queue, call{at: c.now + span, seq: c.seq, run: run})
+	heap.Push(&c.queue, call{at: c.now + d, seq: c.seq, run: run})
 }
 
 func (c *cluster) tick(p *proc) {
@@ -140,23 +142,23 @@
 	c.after(testTick, func() { c.tick(p) })
 }
 
-// run goes on until an instant, or until done says so, and returns the span.
-func (c *cluster) run(span clock.Millis, done func() bool) clock.Millis {
-	begin := c.now
-	for len(c.queue) > 0 && c.queue[0].at <= begin+span {
+// run runs the cluster for d, or until done reports true, and returns the time taken.
+func (c *cluster) run(d clock.Millis, done func() bool) clock.Millis {
+	startedAt := c.now
+	for len(c.queue) > 0 && c.queue[0].at <= startedAt+d {
 		x := heap.Pop(&c.queue).(call)
 		c.now = x.at
 		x.run()
-		if !c.moved || done == nil {
+		if !c.revisionChanged || done == nil {
 			continue
 		}
-		c.moved = false
+		c.revisionChanged = false
 		if done() {
-			return c.now - begin
+			return c.now - startedAt
 		}
 	}
-	c.now = begin + span
-	return span
+	c.now = startedAt + d
+	return d
 }
 
 func (c *cluster) reduce(p *proc, e event.Event) {
@@ -168,7 +170,7 @@
 	if r := next.tables.Revision(); r < p.revision {
 		panic(fmt.Sprintf("%s went back from revision %d to %d", p.vm.ID, p.revision, r))
 	}
-	c.moved = c.moved || p.revision != next.tables.Revision()
+	c.revisionChanged = c.revisionChanged || p.revision != next.tables.Revision()
 	p.revision = next.tables.Revision()
 	for _, f := range effects {
 		c.perform(p, f)
@@ -203,22 +205,22 @@
 	}
 }
 
-// call carries a message there and the answer back, or times out.
-func (c *cluster) call(p *proc, vm string, in proto.Message, serve func(*proc) proto.Message, answer func(proto.Message)) {
+// call delivers a message and its reply, or reports a failed peer after a timeout.
+func (c *cluster) call(p *proc, vm string, in proto.Message, serve func(*proc) proto.Message, receive func(proto.Message)) {
 	to := c.byVM[vm]
 	p.bytes += proto.Size(in) + callOverhead
-	if c.swallow && xxhash.Sum64String(fmt.Sprint(c.seq))%4 == 0 {
+	if c.dropCalls && xxhash.Sum64String(fmt.Sprint(c.seq))%4 == 0 {
 		return
 	}
-	if to == nil || to.dead || to.paused || c.parted(p, to) {
+	if to == nil || to.dead || to.paused || c.partitioned(p, to) {
 		c.after(clock.Second, func() { c.reduce(p, event.PeerFailed{Now: c.at(p), VM: vm}) })
 		return
 	}
-	way := clock.Millis(1)
+	latency := clock.Millis(1)
 	if p.vm.Region != to.vm.Region {
-		way = 75
+		latency = 75
 	}
-	c.after(way, func() {
+	c.after(latency, func() {
 		if to.dead || to.paused {
 			c.after(clock.Second, func() { c.reduce(p, event.PeerFailed{Now: c.at(p), VM: vm}) })
 			return
@@ -227,12 +229,12 @@
 		size := proto.Size(out) + callOverhead
 		to.bytes += proto.Size(in) + size + callOverhead
 		p.bytes += size
-		c.after(way, func() { answer(out) })
+		c.after(latency, func() { receive(out) })
 	})
 }
 
-// poll reads the log as the shell does: at once when there is a record, with an
-// empty page every testLogPoll.
+// poll reads the log as a node does: at once if there is a record, else with an empty page
+// every testLogPoll.
 func (c *cluster) poll(p *proc) {
 	if p.dead || !p.following {
 		return
@@ -250,7 +252,7 @@
 		holds.Records = append(holds.Records, provider.Record{Offset: int64(o), Data: data})
 	}
 	c.reduce(p, event.LogRead{Now: c.at(p), Stream: provider.HoldStream, Page: holds})
-	head := len(c.log) - c.cut
+	head := len(c.log) - c.hiddenRecords
 	page := provider.Page{Head: int64(head)}
 	for o := int(p.state.tail.End()); o < head; o++ {
 		page.Records = append(page.Records, provider.Record{Offset: int64(o), Data: c.log[o]})
@@ -258,7 +260,7 @@
 	c.reduce(p, event.LogRead{Now: c.at(p), Stream: provider.ConfigStream, Page: page})
 }
 
-// publish appends a change; those that wait on the log get it 20 ms later.
+// publish appends a change. Processes that follow the log read it 20 ms later.
 func (c *cluster) publish() {
 	base := int64(len(c.log)) - 1
 	kind := "patch"
@@ -273,7 +275,8 @@
 	}
 }
 
-// inForce reports whether all processes that run have the newest change.
+// inForce returns a condition: all running processes that which selects (all if nil) have the
+// latest change.
 func (c *cluster) inForce(which func(*proc) bool) func() bool {
 	return func() bool {
 		want := int64(len(c.log)) - 1
@@ -286,16 +289,16 @@
 	}
 }
 
-// mostBytes returns the most and the mean bytes of a process, and forgets them.
-func (c *cluster) mostBytes() (most, mean int) {
+// maxBytes returns the maximum and the mean of the bytes per process, and resets the counts.
+func (c *cluster) maxBytes() (highest, mean int) {
 	sum, n := 0, 0
 	for _, p := range c.procs {
 		if !p.dead {
-			most = max(most, p.bytes)
+			highest = max(highest, p.bytes)
 			sum += p.bytes
 			n++
 		}
 		p.bytes = 0
 	}
-	return most, sum / max(n, 1)
+	return highest, sum / max(n, 1)
 }
--- a/control/control.go
+++ b/control/control.go
@@ -1,5 +1,5 @@
-// Package control composes the reducers of all control state into one and runs
-// them on a single goroutine.
+// Package control composes the reducers of all control state into one and runs it on a
+// single goroutine.
 package control
 
 import (
@@ -22,9 +22,9 @@
 	"github.com/parsleydeal/parsleydeal/zone"
 )
 
-// State is everything control knows. It is owned by one goroutine.
+// State is the complete control state of a process. It is owned by one goroutine.
 type State struct {
-	// self is this process's VM.
+	// self is the ID of this process's VM.
 	self     string
 	zone     string
 	epoch    uint64
@@ -39,57 +39,57 @@
 	rollout  rollout.State
 	quality  quality.State
 	zones    zone.State
-	// subsets follow from the VM list alone.
+	// subsets depends on the VM list only.
 	subsets map[string][]provider.VM
-	// subsetsOf computes them; a test that drives many states at once leaves
-	// them out.
+	// subsetsOf computes subsets. Tests that drive many states replace it, as it takes
+	// long.
 	subsetsOf func(self string, vms []provider.VM) map[string][]provider.VM
-	// pool is that of this endpoint; empty in an entry.
-	pool  string
-	lease lease.State
-	saves checkpoint.State
-	// saved is the tables' checkpoint as of the last change to them.
-	saved *table.Checkpoint
-	// logCut is true while the log shows less than was reduced.
-	logCut bool
+	// pool is the pool of this endpoint; empty in an entry.
+	pool        string
+	lease       lease.State
+	checkpoints checkpoint.State
+	// lastCheckpoint is the checkpoint of the tables after their last change.
+	lastCheckpoint *table.Checkpoint
+	// logShortened is true while the log ends before the records already reduced.
+	logShortened bool
 }
 
-// NewState returns the state of a process that knows nothing yet.
+// NewState returns the initial state of the process on VM self.
 func NewState(self string) *State {
 	return NewStateAt(self, "", 0)
 }
 
-// NewStateAt is NewState for a process in an availability zone; epoch is new at
-// each start of the process, and its evidence is counted under it.
-func NewStateAt(self, place string, epoch uint64) *State {
+// NewStateAt is NewState for a process in an availability zone. Epoch must differ at each
+// start of the process; its evidence is counted under it.
+func NewStateAt(self, az string, epoch uint64) *State {
 	return &State{
-		self: self, zone: place, epoch: epoch, members: membership.New(self), spread: spread.New(self, place),
+		self: self, zone: az, epoch: epoch, members: membership.New(self), spread: spread.New(self, az),
 		evidence: evidence.NewState(self, epoch), counts: spread.NewCounts(self),
-		rollout: rollout.NewState(), quality: quality.NewState(), zones: zone.NewState(), saves: checkpoint.NewState(self),
+		rollout: rollout.NewState(), quality: quality.NewState(), zones: zone.NewState(), checkpoints: checkpoint.NewState(self),
 		subsetsOf: choice.SubsetsOf,
 	}
 }
 
-// View returns an immutable picture of the state.
+// View returns an immutable snapshot of the state.
 func (s *State) View() *view.View {
 	v := view.New(s.tables.Tables(), s.tables.Revision(), s.spread.ConfirmedAt(), s.members.Members(), s.draining)
 	return v.WithEvidence(s.rollout.Holds(s.tables.Tables()), s.evidence.Report(), s.quality.Book()).
 		WithSubsets(s.subsets).
 		WithZones(s.zones.Ramps()).
 		WithSpread(spread.Picture{VM: s.self, Zone: s.zone, Epoch: s.epoch, Tail: s.tail, Starting: !s.spread.Started()}).
-		WithCheckpoint(s.saved)
+		WithCheckpoint(s.lastCheckpoint)
 }
 
-// Reduce takes one event into the state and returns the effects in order. It
-// reads no clock and does no I/O: the same events give the same effects. The
-// state passed in is consumed.
+// Reduce applies one event to the state and returns the effects in order. It reads no
+// clock and does no I/O: the same events give the same effects. The caller must not use
+// the state it passed in, only the one returned.
 func Reduce(s *State, e event.Event) (next *State, effects []event.Effect) {
-	s.time(e)
+	s.updateTime(e)
 	changed := false
-	for _, part := range s.parts() {
-		more, partChanged := part(e)
+	for _, reduce := range s.reducers() {
+		more, viewChanged := reduce(e)
 		effects = append(effects, more...)
-		changed = changed || partChanged
+		changed = changed || viewChanged
 	}
 	if changed {
 		effects = append(effects, event.Publish{})
@@ -97,13 +97,12 @@
 	return s, effects
 }
 
-// part is one reducer among those composed here. It reports whether the view
-// changed.
-type part func(event.Event) (effects []event.Effect, changed bool)
+// reducer is one of the reducers composed by State. It reports whether the view changed.
+type reducer func(event.Event) (effects []event.Effect, changed bool)
 
-// parts lists the reducers in the order in which they see each event.
-func (s *State) parts() []part {
-	return []part{s.reduceTables, s.reduceMembers, s.reduceDrain, s.reduceSpread, s.reduceEvidence, s.reduceZones, s.reduceLease, s.reduceSaves}
+// reducers returns the reducers in the order in which they process each event.
+func (s *State) reducers() []reducer {
+	return []reducer{s.reduceTables, s.reduceMembers, s.reduceDrain, s.reduceSpread, s.reduceEvidence, s.reduceZones, s.reduceLease, s.reduceCheckpoints}
 }
 
 func (s *State) reduceMembers(e event.Event) (effects []event.Effect, changed bool) {
@@ -120,24 +119,24 @@
 	return s.spread.Reduce(e, local, s.members.Members())
 }
 
-// reduceZones comes after the tables and members that it looks at.
+// reduceZones must run after the reducers of the tables and members that it reads.
 func (s *State) reduceZones(event.Event) (effects []event.Effect, changed bool) {
 	return nil, s.zones.Reduce(s.now, s.tables.Tables(), s.members.Members())
 }
 
-// reduceEvidence counts what was seen and judges the versions by it.
+// reduceEvidence counts the outcomes of requests and evaluates the versions by them.
 func (s *State) reduceEvidence(e event.Event) (effects []event.Effect, changed bool) {
-	deltas, told := s.evidence.Reduce(e)
+	deltas, reportChanged := s.evidence.Reduce(e)
 	s.quality.Reduce(e, deltas)
-	known := rollout.Env{Self: s.self, Now: s.now, Tables: s.tables.Tables(), VMs: s.members.Members().VMs()}
-	effects, changed = s.rollout.Reduce(e, deltas, known)
+	env := rollout.Env{Self: s.self, Now: s.now, Tables: s.tables.Tables(), VMs: s.members.Members().VMs()}
+	effects, changed = s.rollout.Reduce(e, deltas, env)
 	effects = append(effects, s.counts.Reduce(e, s.evidence.Report(), s.members.Members())...)
-	return effects, changed || told
+	return effects, changed || reportChanged
 }
 
-// reduceSaves appends the tables to the log again before retention ends.
-func (s *State) reduceSaves(e event.Event) (effects []event.Effect, changed bool) {
-	return s.saves.Reduce(e, &s.tables), false
+// reduceCheckpoints appends the tables to the log again before its retention drops them.
+func (s *State) reduceCheckpoints(e event.Event) (effects []event.Effect, changed bool) {
+	return s.checkpoints.Reduce(e, &s.tables), false
 }
 
 func (s *State) reduceDrain(e event.Event) (effects []event.Effect, changed bool) {
@@ -148,7 +147,8 @@
 	return nil, true
 }
 
-func (s *State) time(e event.Event) {
+// updateTime sets now from the events that advance it.
+func (s *State) updateTime(e event.Event) {
 	switch e := e.(type) {
 	case event.Tick:
 		s.now = e.Now
@@ -157,10 +157,9 @@
 	}
 }
 
-// reduceTables applies records of the configuration from the log or from a
-// peer. Records of a peer are taken only when they are complete from this
-// process's offset on: with one missing, a change that was made on it would be
-// rejected here and accepted everywhere else.
+// reduceTables applies configuration records from the log or from a peer. Records of a
+// peer are applied only if they are complete from this process's offset on: with one
+// missing, a change based on it would be rejected here and accepted everywhere else.
 func (s *State) reduceTables(ev event.Event) (effects []event.Effect, changed bool) {
 	switch e := ev.(type) {
 	case event.LogRead:
@@ -170,9 +169,9 @@
 		for _, r := range e.Page.Records {
 			effects = append(effects, s.apply(r.Offset, r.Data)...)
 		}
-		effects = append(effects, s.noteCut(e.Page.Head)...)
+		effects = append(effects, s.reportShortenedLog(e.Page.Head)...)
 	case event.RecordsReceived:
-		effects = s.imports(e)
+		effects = s.importCheckpoint(e)
 		if e.Reply.GetFrom() > s.tables.Offset() {
 			break
 		}
@@ -183,18 +182,19 @@
 	return effects, len(effects) > 0
 }
 
-// noteCut reports, once, a log that shows less than this process has reduced.
-// What is appended next gets offsets that were used before, which processes
-// that have reduced them ignore until the log has passed them.
-func (s *State) noteCut(head int64) (effects []event.Effect) {
-	cut := head < s.tables.Offset()
-	if cut && !s.logCut {
+// reportShortenedLog reports once that the log ends before the records this process has
+// reduced. The next records appended reuse offsets; processes that have reduced records at
+// these offsets ignore the new ones until the log has grown past them.
+func (s *State) reportShortenedLog(head int64) (effects []event.Effect) {
+	shortened := head < s.tables.Offset()
+	if shortened && !s.logShortened {
 		effects = append(effects, event.Report{Message: "Log shows less than was read", Fields: []any{"stream", provider.ConfigStream, "head", head, "reduced", s.tables.Offset()}})
 	}
-	s.logCut = cut
+	s.logShortened = shortened
 	return effects
 }
 
+// apply applies one configuration record to the tables and the tail.
 func (s *State) apply(offset int64, data []byte) (effects []event.Effect) {
 	o, ok := s.tables.Apply(offset, data)
 	if !ok {
@@ -204,29 +204,29 @@
 		s.tail = s.tail.Restart(offset)
 	}
 	s.tail = s.tail.Add(&wire.Record{Offset: offset, Data: data})
-	s.saved, _ = s.tables.Checkpoint()
-	return []event.Effect{report(o)}
+	s.lastCheckpoint, _ = s.tables.Checkpoint()
+	return []event.Effect{outcomeReport(o)}
 }
 
-// imports takes a peer's checkpoint, which it sends when it no longer keeps the
-// records that this process lacks.
-func (s *State) imports(e event.RecordsReceived) (effects []event.Effect) {
+// importCheckpoint adopts a peer's checkpoint, which the peer sends if it no longer retains
+// the records that this process lacks.
+func (s *State) importCheckpoint(e event.RecordsReceived) (effects []event.Effect) {
 	if e.Reply.GetCheckpoint() == nil {
 		return nil
 	}
 	c, err := table.ParseCheckpoint(e.Reply.GetCheckpoint().GetData())
 	if err != nil {
-		return []event.Effect{event.Report{Message: "Checkpoint of a peer cannot be read", Fields: []any{"peer", e.From, "reason", err.Error()}}}
+		return []event.Effect{event.Report{Message: "Cannot decode the checkpoint of a peer", Fields: []any{"peer", e.From, "reason", err.Error()}}}
 	}
 	if !s.tables.Import(c) {
 		return nil
 	}
 	s.tail = s.tail.Restart(c.Offset())
-	s.saved = c
+	s.lastCheckpoint = c
 	return []event.Effect{event.Report{Message: "Tables taken from a peer's checkpoint", Fields: []any{"peer", e.From, "revision", c.Revision(), "offset", c.Offset()}}}
 }
 
-func report(o table.Outcome) event.Report {
+func outcomeReport(o table.Outcome) event.Report {
 	if o.Checkpoint {
 		return event.Report{Message: "Checkpoint read", Fields: []any{"offset", o.Revision, "counts", o.Accepted, "adopted", o.Adopted, "reason", o.Reason}}
 	}
--- a/control/lease.go
+++ b/control/lease.go
@@ -5,13 +5,14 @@
 	"github.com/parsleydeal/parsleydeal/lease"
 )
 
-// WithPool names the pool of the endpoint whose engine this process orders.
+// WithPool sets the pool of the endpoint whose engine this process controls. The state of
+// an entry has none.
 func (s *State) WithPool(pool string) *State {
 	s.pool = pool
 	return s
 }
 
-// reduceLease drives the engine beside this process to what the tables say.
+// reduceLease brings the engine next to this process into the state that the tables set.
 func (s *State) reduceLease(e event.Event) (effects []event.Effect, changed bool) {
 	switch e.(type) {
 	case event.Tick, event.EngineSeen, event.AppendDone, event.WeightsDone, event.OrderDone:
@@ -26,13 +27,13 @@
 	if !ok {
 		return nil, false
 	}
-	k := lease.Known{VM: s.self, Epoch: s.epoch, Role: pool.Role, ChecksFencing: pool.ChecksFencing, Revision: s.tables.Revision()}
+	env := lease.Known{VM: s.self, Epoch: s.epoch, Role: pool.Role, ChecksFencing: pool.ChecksFencing, Revision: s.tables.Revision()}
 	for _, v := range pool.Versions {
 		if t.Versions[v].Withdrawn {
 			continue
 		}
-		k.Versions = append(k.Versions, v)
+		env.Versions = append(env.Versions, v)
 	}
-	k.Withdrawn = func(version string) bool { return t.Versions[version].Withdrawn }
-	return s.lease.Reduce(e, k), false
+	env.Withdrawn = func(version string) bool { return t.Versions[version].Withdrawn }
+	return s.lease.Reduce(e, env), false
 }
--- a/control/loop.go
+++ b/control/loop.go
@@ -9,40 +9,42 @@
 	"github.com/parsleydeal/parsleydeal/view"
 )
 
-// queueLength bounds the events that wait for the control goroutine.
-const queueLength = 4096
+// maxQueuedEvents is the maximum number of events that wait for the control goroutine.
+const maxQueuedEvents = 4096
 
-// Loop runs the reducer on one goroutine and publishes views to traffic.
+// Loop runs the reducer on one goroutine and publishes views for the goroutines that serve
+// requests.
 type Loop struct {
 	state  *State
 	events chan event.Event
-	// perform carries out an effect; it must not block.
+	// perform executes an effect; it must not block.
 	perform func(event.Effect)
 	view    atomic.Pointer[view.View]
 	dropped atomic.Int64
-	// steps counts the events reduced.
+	// steps counts the events reduced whose effects have been started.
 	steps atomic.Int64
 	// changed is closed and replaced when a view is published.
 	changed atomic.Pointer[chan struct{}]
 }
 
-// NewLoop makes a loop over a state. Perform is called on the control
-// goroutine for every effect but Publish and must not block.
+// NewLoop returns a loop that owns the state. Perform is called on the control goroutine for
+// every effect except Publish; it must not block.
 func NewLoop(state *State, perform func(event.Effect)) *Loop {
-	l := &Loop{state: state, events: make(chan event.Event, queueLength), perform: perform}
+	l := &Loop{state: state, events: make(chan event.Event, maxQueuedEvents), perform: perform}
 	l.view.Store(state.View())
 	changed := make(chan struct{})
 	l.changed.Store(&changed)
 	return l
 }
 
-// View returns the newest published view. It never blocks.
+// View returns the latest published view. It never blocks.
 func (l *Loop) View() *view.View { return l.view.Load() }
 
-// Dropped counts the events that found the queue full.
+// Dropped returns the number of events dropped by Offer because the queue was full.
 func (l *Loop) Dropped() int64 { return l.dropped.Load() }
 
-// Post hands over an event that must not be lost, waiting for room.
+// Post queues an event that must not be lost. It blocks while the queue is full and drops
+// the event only if the context ends.
 func (l *Loop) Post(ctx context.Context, e event.Event) {
 	select {
 	case l.events <- e:
@@ -50,8 +52,8 @@
 	}
 }
 
-// Offer hands over an event that a later one makes good, such as a load
-// report. A full queue drops it, so that traffic never waits for control.
+// Offer queues an event whose loss a later one makes up for, such as a load report. It
+// drops the event if the queue is full, so that requests never wait for control.
 func (l *Loop) Offer(e event.Event) {
 	select {
 	case l.events <- e:
@@ -72,15 +74,15 @@
 	}
 }
 
-// step publishes the view before it carries out the effects: a digest that an
-// effect sends is filled in from the view, and would tell peers the old revision.
+// step publishes the view before it executes the effects: an effect that sends a digest
+// fills it from the view, and would report the old revision to peers.
 func (l *Loop) step(e event.Event) {
 	defer l.steps.Add(1)
 	next, effects := Reduce(l.state, e)
 	l.state = next
 	if slices.ContainsFunc(effects, isPublish) {
 		l.view.Store(l.state.View())
-		l.announce()
+		l.notifyViewChanged()
 	}
 	for _, f := range effects {
 		if !isPublish(f) {
@@ -94,5 +96,5 @@
 	return ok
 }
 
-// Steps counts the events reduced whose effects have been begun.
+// Steps returns the number of events reduced whose effects have been started.
 func (l *Loop) Steps() int64 { return l.steps.Load() }
--- a/control/random_test.go
+++ b/control/random_test.go
@@ -9,35 +9,34 @@
 	"pgregory.net/rapid"
 )
 
-// Operators publish while processes vanish, restart and pause, zones part, the
-// log goes out, comes back, or shows less than before, in any order. A process
-// that went back, or stayed on old tables once all is well, would break the
-// promise that an accepted configuration is in force everywhere and never
-// reverts. Going back makes the cluster panic at the event that did it.
+// Operators publish changes while processes fail, restart and pause, zones are partitioned,
+// and the log is unavailable, returns, or ends earlier than before, in any order. An accepted
+// configuration must be in force everywhere once the failures end, and must never revert. If
+// a process reverts, the cluster panics at the event that caused it.
 func TestConfigurationUnderAnyFailures(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		const most = 20
-		n := rapid.IntRange(2, most).Draw(t, "processes")
+		const maxProcesses = 20
+		n := rapid.IntRange(2, maxProcesses).Draw(t, "processes")
 		zones := rapid.IntRange(1, 4).Draw(t, "zones")
 		c := newCluster(n, zones)
 		c.publish()
-		c.run(settle, nil)
+		c.run(settleTime, nil)
 		epoch := uint64(1000)
 		current := func(i int) *proc { return c.byVM[c.listed[i].ID] }
-		one := func(t *rapid.T) int { return rapid.IntRange(0, n-1).Draw(t, "process") }
+		anyProcess := func(t *rapid.T) int { return rapid.IntRange(0, n-1).Draw(t, "process") }
 		t.Repeat(map[string]func(*rapid.T){
 			"publish": func(*rapid.T) {
-				if c.cut == 0 {
+				if c.hiddenRecords == 0 {
 					c.publish()
 				}
 			},
-			"vanish": func(t *rapid.T) { current(one(t)).dead = true },
+			"vanish": func(t *rapid.T) { current(anyProcess(t)).dead = true },
 			"restart": func(t *rapid.T) {
 				epoch++
-				c.start(one(t), epoch)
+				c.start(anyProcess(t), epoch)
 			},
 			"pause": func(t *rapid.T) {
-				p := current(one(t))
+				p := current(anyProcess(t))
 				p.paused = !p.paused
 			},
 			"log-out":  func(*rapid.T) { c.readable = func(*proc) bool { return false } },
@@ -45,21 +44,21 @@
 			"log-of-one-zone": func(*rapid.T) {
 				c.readable = func(p *proc) bool { return p.vm.Zone == "zone-0" }
 			},
-			"log-cut": func(t *rapid.T) { c.cut = min(rapid.IntRange(0, 3).Draw(t, "records"), len(c.log)-1) },
+			"log-cut": func(t *rapid.T) { c.hiddenRecords = min(rapid.IntRange(0, 3).Draw(t, "records"), len(c.log)-1) },
 			"part-zone": func(*rapid.T) {
-				c.parted = func(a, b *proc) bool { return (a.vm.Zone == "zone-0") != (b.vm.Zone == "zone-0") }
+				c.partitioned = func(a, b *proc) bool { return (a.vm.Zone == "zone-0") != (b.vm.Zone == "zone-0") }
 			},
-			"meet":    func(*rapid.T) { c.parted = func(_, _ *proc) bool { return false } },
-			"swallow": func(*rapid.T) { c.swallow = !c.swallow },
-			"reread":  func(t *rapid.T) { c.reread(current(one(t))) },
+			"meet":    func(*rapid.T) { c.partitioned = func(_, _ *proc) bool { return false } },
+			"swallow": func(*rapid.T) { c.dropCalls = !c.dropCalls },
+			"reread":  func(t *rapid.T) { c.rereadLog(current(anyProcess(t))) },
 			"wait":    func(t *rapid.T) { c.run(clock.Millis(rapid.IntRange(1, 8000).Draw(t, "span")), nil) },
-			"":        func(t *rapid.T) { c.check(t) },
+			"":        func(t *rapid.T) { c.checkInvariants(t) },
 		})
-		c.mend(n, &epoch)
+		c.repair(n, &epoch)
 		c.publish()
 		c.run(40*clock.Second, nil)
 		if !c.inForce(func(p *proc) bool { return p.state.View().Ready() })() {
-			t.Fatal("a process that is well has not the newest tables")
+			t.Fatal("a ready process does not have the latest tables")
 		}
 		for i := range n {
 			if !current(i).state.View().Ready() {
@@ -69,9 +68,9 @@
 	})
 }
 
-// check states what holds at any time: nobody knows more than the log ever had,
-// and nobody is ready without tables or sure of more than it has read.
-func (c *cluster) check(t *rapid.T) {
+// checkInvariants checks what must hold at any time: no process has a revision that the log
+// never had, is ready without tables, or has confirmed its tables at a future time.
+func (c *cluster) checkInvariants(t *rapid.T) {
 	for _, p := range c.procs {
 		if p.dead {
 			continue
@@ -83,14 +82,13 @@
 			t.Fatalf("%s is ready without tables", p.vm.ID)
 		}
 		if p.state.spread.ConfirmedAt() > c.at(p) {
-			t.Fatalf("%s is sure of the future", p.vm.ID)
+			t.Fatalf("%s has confirmed its tables at a future time", p.vm.ID)
 		}
 	}
 }
 
-// reread hands a process the log from its beginning once more, as after a
-// connection that was made anew.
-func (c *cluster) reread(p *proc) {
+// rereadLog sends a process the log from its beginning again, as after a reconnect.
+func (c *cluster) rereadLog(p *proc) {
 	page := provider.Page{Head: int64(len(c.log))}
 	for o, data := range c.log {
 		page.Records = append(page.Records, provider.Record{Offset: int64(o), Data: data})
@@ -98,12 +96,12 @@
 	c.reduce(p, event.LogRead{Now: c.at(p), Stream: provider.ConfigStream, Page: page})
 }
 
-// mend ends all failures and starts a process on each VM that has none.
-func (c *cluster) mend(n int, epoch *uint64) {
-	c.cut = 0
-	c.swallow = false
+// repair ends all failures and starts a process on each VM that has none running.
+func (c *cluster) repair(n int, epoch *uint64) {
+	c.hiddenRecords = 0
+	c.dropCalls = false
 	c.readable = func(*proc) bool { return true }
-	c.parted = func(_, _ *proc) bool { return false }
+	c.partitioned = func(_, _ *proc) bool { return false }
 	for i := range n {
 		p := c.byVM[c.listed[i].ID]
 		p.paused = false
--- a/control/size_test.go
+++ b/control/size_test.go
@@ -18,14 +18,14 @@
 	sizeVersions  = 13
 	sizeRoutes    = 20
 	sizeOrgs      = 40
-	sizeRequests  = 17 // 6,600 requests/s over 380 entries
+	sizeRequests  = 17 // per second: 6,600 requests/s over 380 entries
 	sizeEntries   = 380
 	sizeJudgeKeys = 60
 )
 
-// sized makes an entry's state at the two-year size: all VMs listed, loads of
-// all endpoints, and the tables in force.
-func sized(tb testing.TB) *State {
+// newSizedState returns an entry's state at the size of the two-year target: all VMs listed
+// and the tables in force.
+func newSizedState(tb testing.TB) *State {
 	tb.Helper()
 	s := NewStateAt("vm-0000", "zone-0", 1)
 	vms := newCluster(sizeVMs, 12).listed
@@ -36,7 +36,7 @@
 		}
 	}
 	Reduce(s, event.VMsListed{Now: 1, VMs: vms})
-	data, err := sizedTables().Encode()
+	data, err := newSizedTables().Encode()
 	if err != nil {
 		tb.Fatal(err)
 	}
@@ -47,7 +47,7 @@
 	return s
 }
 
-func sizedTables() *table.Change {
+func newSizedTables() *table.Change {
 	c := &table.Change{ID: "size", Author: "t", Kind: table.Whole, Base: -1}
 	c.Tables = table.Tables{Organisations: map[string]table.Organisation{}, Versions: map[string]table.Version{}, Pools: map[string]table.Pool{}, Routes: map[string]table.Route{}}
 	var orgs []string
@@ -69,13 +69,13 @@
 	return c
 }
 
-// second drives the events that an entry sees in one second at that size.
-func second(s *State, n int) (effects int) {
+// reduceSecond applies the events that an entry gets in one second at that size.
+func reduceSecond(s *State, n int) (effects int) {
 	now := clock.Millis(n) * clock.Second
 	reduce := func(e event.Event) {
-		_, fs := Reduce(s, e)
-		effects += len(fs)
-		for _, f := range fs {
+		_, reduced := Reduce(s, e)
+		effects += len(reduced)
+		for _, f := range reduced {
 			if _, ok := f.(event.Publish); ok {
 				s.View()
 			}
@@ -98,9 +98,9 @@
 	return effects
 }
 
-// judged is the evidence that a judge gets in one second: each entry tells it
-// six counts every 18 s.
-func judged(s *State, n int) {
+// reduceJudgeEvidence applies the evidence that a judge gets in one second: each entry
+// reports six counts to it every 18 s.
+func reduceJudgeEvidence(s *State, n int) {
 	const every, counts = 18, 6
 	now := clock.Millis(n) * clock.Second
 	for i := range sizeEntries {
@@ -127,45 +127,45 @@
 	return int64(m.HeapAlloc)
 }
 
-// A state that grows with what callers or peers send would take an entry VM's
-// memory within a day, and a view for every load report its processor.
+// A state that grew with every message of callers or peers would exhaust an entry VM's memory
+// within a day, and a new view for every load report would exhaust its CPU.
 func TestEntryStateSize(t *testing.T) {
-	const seconds, mostBytes, mostEffects = 600, 24 << 20, 40
+	const seconds, maxHeap, maxEffects = 600, 24 << 20, 40
 	is := is.New(t)
 	before := heapBytes()
-	s := sized(t)
+	s := newSizedState(t)
 	empty := heapBytes() - before
 	effects := 0
 	for n := 1; n <= seconds; n++ {
-		effects += second(s, n)
-		judged(s, n)
+		effects += reduceSecond(s, n)
+		reduceJudgeEvidence(s, n)
 	}
 	full := heapBytes() - before
 	t.Logf("heap: %d bytes with tables and VMs, %d after %d s as a judge; %d effects a second", empty, full, seconds, effects/seconds)
-	is.True(full < mostBytes)
-	is.True(effects/seconds <= mostEffects)
+	is.True(full < maxHeap)
+	is.True(effects/seconds <= maxEffects)
 	runtime.KeepAlive(s)
 }
 
-// BenchmarkSecond shows what one second of an entry's events costs at the
-// two-year size, and what a judge's evidence adds.
+// BenchmarkSecond measures one second of an entry's events at the size of the two-year
+// target, without and with the evidence that a judge gets.
 func BenchmarkSecond(b *testing.B) {
-	for name, more := range map[string]func(*State, int){"entry": func(*State, int) {}, "judge": judged} {
+	for name, reduceMore := range map[string]func(*State, int){"entry": func(*State, int) {}, "judge": reduceJudgeEvidence} {
 		b.Run(name, func(b *testing.B) {
-			s := sized(b)
+			s := newSizedState(b)
 			n := 0
 			b.ReportAllocs()
 			for b.Loop() {
 				n++
-				second(s, n)
-				more(s, n)
+				reduceSecond(s, n)
+				reduceMore(s, n)
 			}
 		})
 	}
 }
 
 func BenchmarkView(b *testing.B) {
-	s := sized(b)
+	s := newSizedState(b)
 	b.ReportAllocs()
 	for b.Loop() {
 		s.View()
--- a/control/spread_test.go
+++ b/control/spread_test.go
@@ -11,43 +11,42 @@
 )
 
 const (
-	settle   = 8 * clock.Second
-	window   = 24 * clock.Second
-	nodeRate = 16 << 10
+	settleTime  = 8 * clock.Second
+	measureTime = 24 * clock.Second
+	maxNodeRate = 16 << 10 // bytes per second
 )
 
-// An operator publishes a change and some process works on the old tables for
-// long: most cannot read the log, peers are lost, or a region is parted. The
-// script holds, to the digit, the most time until the change was in force in all
-// processes that can be reached, the bytes a second of a process, and the
-// staleness at the end.
-func TestTimeInForce(t *testing.T) { timeInForce(t, "testdata/spread") }
+// An operator publishes a change, but some processes use the old tables for long: most cannot
+// read the log, peers are unreachable, or a region is partitioned. The script has the exact
+// maximum time until the change was in force in all reachable processes, the bytes per second
+// of a process, and the staleness at the end.
+func TestTimeInForce(t *testing.T) { runSpreadScript(t, "testdata/spread") }
 
-// The same with the two-year target's 380 entries and 1,000 endpoints.
+// The same with the 380 entries and 1,000 endpoints of the two-year target.
 func TestBaselineTimeInForce(t *testing.T) {
 	if testing.Short() || os.Getenv("BENCH_CHECK") == "" {
 		t.Skip("make bench-check runs this")
 	}
-	timeInForce(t, "testdata/spread-large")
+	runSpreadScript(t, "testdata/spread-large")
 }
 
-func timeInForce(t *testing.T, script string) {
+func runSpreadScript(t *testing.T, script string) {
 	datadriven.RunTest(t, script, func(t *testing.T, d *datadriven.TestData) string {
 		var n, zones int
 		d.ScanArgs(t, "processes", &n)
 		d.ScanArgs(t, "zones", &zones)
 		c := newCluster(n, zones)
 		c.publish()
-		c.run(settle, nil)
-		which := disturb(c, d.Cmd)
-		c.run(settle, nil)
+		c.run(settleTime, nil)
+		which := injectFailure(c, d.Cmd)
+		c.run(settleTime, nil)
 		return measure(t, c, which)
 	})
 }
 
-// disturb causes the failure and returns who can be reached.
-func disturb(c *cluster, how string) (which func(*proc) bool) {
-	switch how {
+// injectFailure causes a failure and returns which processes stay reachable; nil means all.
+func injectFailure(c *cluster, failure string) (which func(*proc) bool) {
+	switch failure {
 	case "all-read":
 	case "one-zone-reads":
 		c.readable = func(p *proc) bool { return p.vm.Zone == "zone-0" }
@@ -57,7 +56,7 @@
 		}
 	case "region-parted":
 		c.readable = func(p *proc) bool { return p.vm.Region == "region-0" }
-		c.parted = func(from, to *proc) bool { return (from.vm.Region == "region-3") != (to.vm.Region == "region-3") }
+		c.partitioned = func(from, to *proc) bool { return (from.vm.Region == "region-3") != (to.vm.Region == "region-3") }
 		return func(p *proc) bool { return p.vm.Region != "region-3" }
 	}
 	return nil
@@ -66,31 +65,31 @@
 func measure(t *testing.T, c *cluster, which func(*proc) bool) string {
 	t.Helper()
 	const changes = 4
-	c.mostBytes()
-	worst := clock.Millis(0)
-	begin := c.now
+	c.maxBytes()
+	slowest := clock.Millis(0)
+	startedAt := c.now
 	for range changes {
 		c.publish()
-		spent := c.run(window/changes, c.inForce(which))
-		worst = max(worst, spent)
-		c.run(window/changes-spent, nil)
+		spent := c.run(measureTime/changes, c.inForce(which))
+		slowest = max(slowest, spent)
+		c.run(measureTime/changes-spent, nil)
 	}
-	most, mean := c.mostBytes()
-	seconds := int((c.now - begin) / clock.Second)
+	highest, mean := c.maxBytes()
+	seconds := int((c.now - startedAt) / clock.Second)
 	stale := clock.Millis(0)
 	for _, p := range c.procs {
 		if !p.dead && (which == nil || which(p)) {
 			stale = max(stale, c.at(p)-p.state.spread.ConfirmedAt())
 		}
 	}
-	if worst > 6*clock.Second || most/seconds > nodeRate {
-		t.Errorf("in force after %v, %d bytes/s; at most 6 s and %d are allowed", worst, most/seconds, nodeRate)
+	if slowest > 6*clock.Second || highest/seconds > maxNodeRate {
+		t.Errorf("in force after %v, %d bytes/s; at most 6 s and %d are allowed", slowest, highest/seconds, maxNodeRate)
 	}
-	out := fmt.Sprintf("in force everywhere after at most %d ms\nbytes a second: mean %d, most %d\nstaleness at most %d ms\n", worst, mean/seconds, most/seconds, stale)
+	out := fmt.Sprintf("in force everywhere after at most %d ms\nbytes a second: mean %d, most %d\nstaleness at most %d ms\n", slowest, mean/seconds, highest/seconds, stale)
 	if which == nil {
 		return out
 	}
-	c.parted = func(_, _ *proc) bool { return false }
-	healed := c.run(window, c.inForce(nil))
+	c.partitioned = func(_, _ *proc) bool { return false }
+	healed := c.run(measureTime, c.inForce(nil))
 	return out + fmt.Sprintf("in force everywhere %d ms after the regions met again\n", healed)
 }
