--- a/node/append.go
+++ b/node/append.go
@@ -8,14 +8,14 @@
 )
 
 const (
-	// appendTimeout bounds one append to the log.
+	// appendTimeout limits one append to the log.
 	appendTimeout = 5 * clock.Second
-	// maxAppends bounds the appends under way for control; one more fails at
-	// once and is tried again by its reducer.
+	// maxAppends is the maximum number of concurrent appends for control. One more fails at once,
+	// and its reducer retries it.
 	maxAppends = 16
 )
 
-// append carries out an Append effect away from the control goroutine.
+// append executes an Append effect without blocking the control goroutine.
 func (n *Node) append(e event.Append) {
 	select {
 	case n.appends <- struct{}{}:
--- a/node/billing.go
+++ b/node/billing.go
@@ -15,27 +15,29 @@
 )
 
 const (
-	placeEvery = 500 * clock.Millis(1)
-	// fullRetry is when a caller may come back after a refusal for full books.
-	fullRetry = 5 * clock.Second
-	// settlePoll is how often a stopping process looks at its bills.
+	placeInterval = 500 * clock.Millis(1)
+	// fullRetryAfter is the retry delay sent to a caller that is refused because the bills are at
+	// their bound.
+	fullRetryAfter = 5 * clock.Second
+	// settlePoll is the interval at which a stopping process checks its bills.
 	settlePoll = 20 * clock.Millis(1)
-	// safeWait bounds how long a last piece waits for its bill when no process
-	// holds it and the log is out.
-	safeWait = 5 * clock.Second
+	// maxSafeWait limits how long the last piece of an answer waits for its bill if no process
+	// stores a copy and the log is unavailable.
+	maxSafeWait = 5 * clock.Second
 )
 
-// Billing is the shell of the ledger of bills: it asks holders, appends and
-// wakes the requests whose bills are safe. Traffic uses it; control does not.
+// Billing executes the effects of the ledger of bills: it sends copies to other processes,
+// appends bills to the log and wakes the requests whose bills are safe. A bill is safe when it
+// is held in two availability zones or is on the log. It is used by the goroutines that serve
+// requests, not by control.
 type Billing struct {
 	n      *Node
 	writer *batch.Writer
 
 	mu     sync.Mutex
 	ledger *bill.Ledger
-	// waiters holds the channels of each request in Finish, several when a caller
-	// asked again for a keyed request meanwhile; they close when the
-	// bill is safe.
+	// waiters holds the channels of each request in Finish. A request has several if its caller
+	// sent it again with the same key meanwhile. They are closed when the bill is safe.
 	waiters map[string][]chan struct{}
 }
 
@@ -44,33 +46,34 @@
 	b.writer = batch.NewWriter(n.cfg.Store, provider.BillStream, n.batchPrefix(), 1, n.cfg.Clock, func(ids []string, _ int64) {
 		b.post(bill.Stored{IDs: ids})
 	})
-	b.measure()
+	b.registerMetrics()
 	return b
 }
 
-// batchPrefix names this start of this process, so that no two writers ever use
-// one batch ID.
+// batchPrefix is unique to this start of this process, so that no two writers ever use the
+// same batch ID.
 func (n *Node) batchPrefix() string {
 	return fmt.Sprintf("%s-%x", n.cfg.Settings.VM, n.epoch)
 }
 
-// Billing returns the process's bills.
+// Billing returns the process's billing.
 func (n *Node) Billing() *Billing { return n.billing }
 
-// BillingStatus is what operators see of a process's bills.
+// BillingStatus is the state of the bills of a process as shown to operators.
 type BillingStatus struct {
-	// Own and Held are the bills that wait for the log, of this process and of
-	// others; Reserved are places of requests under way.
+	// Own and Held are the numbers of bills of this and of other processes that wait for the log.
+	// Reserved is the number of requests in progress that have reserved room for a bill. Bound
+	// limits Own plus Reserved, and Held.
 	Own      int  `json:"own"`
 	Held     int  `json:"held"`
 	Reserved int  `json:"reserved"`
 	Bound    int  `json:"bound"`
 	LogFails bool `json:"log-fails"`
-	// Appends counts the appends of bills that this process tried.
+	// Appends is the number of appends of bills that this process has tried.
 	Appends int64 `json:"appends"`
 }
 
-// Status returns the state of the process's bills.
+// Status returns a BillingStatus.
 func (b *Billing) Status() any {
 	own, held := b.Waiting()
 	b.mu.Lock()
@@ -79,7 +82,7 @@
 	return BillingStatus{Own: own, Held: held, Reserved: reserved, Bound: bill.DefaultBound, LogFails: b.writer.Failing(), Appends: b.writer.Appends()}
 }
 
-func (b *Billing) measure() {
+func (b *Billing) registerMetrics() {
 	set := b.n.metrics
 	set.NewGauge("parsleydeal_bills_own", func() float64 { own, _ := b.Waiting(); return float64(own) })
 	set.NewGauge("parsleydeal_bills_held", func() float64 { _, held := b.Waiting(); return float64(held) })
@@ -94,26 +97,28 @@
 
 func (b *Billing) run(ctx context.Context) {
 	b.n.run(func() { b.writer.Run(ctx) })
-	b.n.run(func() { b.n.every(ctx, placeEvery, b.place) })
+	b.n.run(func() { b.n.every(ctx, placeInterval, b.refreshPlace) })
 }
 
-// place tells the ledger who is there, and so also the time.
-func (b *Billing) place() {
-	p := b.n.place()
-	b.n.placed.Store(p)
+// refreshPlace updates the ledger with the live processes and the current time.
+func (b *Billing) refreshPlace() {
+	p := b.n.newPlace()
+	b.n.currentPlace.Store(p)
 	b.writer.Share(p.Rate())
 	b.post(bill.Placed{Now: b.n.cfg.Clock.Now(), Place: p})
 }
 
-// place builds the picture of who appends and who holds.
-func (n *Node) place() *batch.Place {
+// newPlace returns which processes append and which hold copies of bills, computed from the
+// current members.
+func (n *Node) newPlace() *batch.Place {
 	s := n.cfg.Settings
 	self := batch.Member{ID: s.VM, Zone: s.Zone, Region: s.Region}
 	members := n.View().Members()
 	var live []batch.Member
 	for _, vm := range members.VMs() {
-		// A suspected process counts as gone. The list shows a loss late or, when
-		// the platform is out, not at all; until then its bills would be alone.
+		// A suspected process counts as removed. The VM list shows the loss of a VM late or,
+		// if the platform is unavailable, not at all; until then the bills whose copy it
+		// holds would have no other copy.
 		if members.Leaving(vm) || members.Suspected(vm.ID) {
 			continue
 		}
@@ -122,30 +127,28 @@
 	return batch.NewPlace(self, live)
 }
 
-// Reserve takes a place for a request's bill before its dispatch. The refusal
-// is true when it says that nothing ran: at the bound, work that could not be
-// billed is not begun.
+// Reserve reserves room for the bill of a request, before its dispatch. At the bound it
+// returns a refusal, which is retry-safe: a request that could not be billed is not started.
 func (b *Billing) Reserve() (err error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if err = b.ledger.Reserve(); err != nil {
-		return refusal.New(refusal.BillingFull, err.Error()).WithRetryAfter(fullRetry)
+		return refusal.New(refusal.BillingFull, err.Error()).WithRetryAfter(fullRetryAfter)
 	}
 	return nil
 }
 
-// Cancel gives back the place of a request that ran nothing.
+// Cancel releases the reservation of a request that ran nothing.
 func (b *Billing) Cancel() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.ledger.Cancel()
 }
 
-// Finish hands over a bill, and waits until it is held in two availability
-// zones or stands on the log. Reserved says that Reserve took its place. When
-// the wait takes too long or the context ends, the bill is kept all the same.
+// Finish records a bill and waits until it is safe, for at most maxSafeWait. Reserved is true
+// if Reserve made room for it. After an error, the context's, the bill is still kept.
 func (b *Billing) Finish(ctx context.Context, x *wire.Bill, reserved bool) (err error) {
-	ctx, cancel := context.WithTimeout(ctx, safeWait.Duration())
+	ctx, cancel := context.WithTimeout(ctx, maxSafeWait.Duration())
 	defer cancel()
 	safe := make(chan struct{})
 	b.mu.Lock()
@@ -157,39 +160,40 @@
 		return nil
 	case <-ctx.Done():
 		b.mu.Lock()
-		b.forget(x.GetRequest(), safe)
+		b.removeWaiter(x.GetRequest(), safe)
 		b.mu.Unlock()
 		return ctx.Err()
 	}
 }
 
-// FinishFailed hands over the bill of a request that has a place and failed after a
-// step had run. It does not wait.
+// FinishFailed records the bill of a request that has a reservation and failed after a step
+// had run. It does not wait.
 func (b *Billing) FinishFailed(x *wire.Bill) {
 	b.post(bill.Finish{Now: b.n.cfg.Clock.Now(), Bill: x, Reserved: true})
 }
 
-// FinishOrphaned bills a step that ran at this endpoint and whose entry went before it
-// took the last piece. If the entry billed the step after all, the two merge.
+// FinishOrphaned records the bill of a step that ran at this endpoint and whose entry went away
+// before it received the last piece. If the entry has billed the step after all, the two bills
+// are merged.
 func (b *Billing) FinishOrphaned(x *wire.Bill) {
 	b.post(bill.Finish{Now: b.n.cfg.Clock.Now(), Bill: x})
 }
 
-// Waiting returns how many bills of its own and of others the process keeps.
+// Waiting returns the numbers of bills of this and of other processes that wait for the log.
 func (b *Billing) Waiting() (own, held int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.ledger.Waiting()
 }
 
-// Drain begins to hand on what is kept and refuses to hold more.
+// Drain starts to hand over the bills of this process and refuses to hold more for others.
 func (b *Billing) Drain() { b.post(bill.Drain{Now: b.n.cfg.Clock.Now()}) }
 
-// WaitSafe waits until every bill kept here is safe without this process. It
-// returns the context's error when that ends first.
+// WaitSafe waits until no reservation is left and every bill held here is safe without this
+// process. It returns the context's error if that ends first.
 func (b *Billing) WaitSafe(ctx context.Context) (err error) {
 	for {
-		b.place()
+		b.refreshPlace()
 		b.mu.Lock()
 		secure := b.ledger.Secure() && b.ledger.Reserved() == 0
 		b.mu.Unlock()
@@ -202,19 +206,21 @@
 	}
 }
 
-func (b *Billing) take(e bill.Taken) (a bill.Accept) {
+// accept stores bills of another process and returns the ledger's decision.
+func (b *Billing) accept(e bill.Taken) (out bill.Accept) {
 	b.mu.Lock()
 	effects := b.ledger.Reduce(e)
 	b.mu.Unlock()
 	for _, f := range effects {
-		if accept, ok := f.(bill.Accept); ok {
-			a = accept
+		if x, ok := f.(bill.Accept); ok {
+			out = x
 		}
 	}
 	b.perform(effects)
-	return a
+	return out
 }
 
+// post applies an event to the ledger and executes the effects.
 func (b *Billing) post(e bill.Event) {
 	b.mu.Lock()
 	effects := b.ledger.Reduce(e)
@@ -229,9 +235,9 @@
 		case bill.Append:
 			entries = append(entries, batch.Entry{ID: f.ID, Bill: f.Bill})
 		case bill.Hold:
-			go b.hold(f)
+			go b.sendHold(f)
 		case bill.Release:
-			go b.release(f)
+			go b.sendRelease(f)
 		case bill.Withdraw:
 			b.writer.Drop(f.IDs)
 		case bill.Safe:
@@ -243,6 +249,7 @@
 	}
 }
 
+// wake wakes the callers of Finish for a request.
 func (b *Billing) wake(request string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -252,17 +259,18 @@
 	delete(b.waiters, request)
 }
 
-// forget drops one who gave up waiting.
-func (b *Billing) forget(request string, safe chan struct{}) {
-	left := slices.DeleteFunc(b.waiters[request], func(c chan struct{}) bool { return c == safe })
-	if len(left) == 0 {
+// removeWaiter removes a caller of Finish that stopped waiting.
+func (b *Billing) removeWaiter(request string, safe chan struct{}) {
+	remaining := slices.DeleteFunc(b.waiters[request], func(c chan struct{}) bool { return c == safe })
+	if len(remaining) == 0 {
 		delete(b.waiters, request)
 		return
 	}
-	b.waiters[request] = left
+	b.waiters[request] = remaining
 }
 
-func (b *Billing) hold(f bill.Hold) {
+// sendHold asks a process to hold a copy of a bill.
+func (b *Billing) sendHold(f bill.Hold) {
 	ctx, cancel := context.WithTimeout(context.Background(), bill.HoldLimit.Duration())
 	defer cancel()
 	out, err := b.n.cfg.Peers.Peer(ctx, f.Address).HoldBills(ctx, &wire.HoldBillsRequest{
@@ -270,15 +278,14 @@
 	})
 	held := err == nil && out.GetHeld()
 	if !held {
-		b.n.cfg.Log.Debug("Bill was not held", "by", f.VM, "request", f.Bill.GetRequest(), "reason", out.GetReason(), "error", err)
+		b.n.cfg.Log.Debug("Peer did not accept a bill to hold", "by", f.VM, "request", f.Bill.GetRequest(), "reason", out.GetReason(), "error", err)
 	}
 	b.post(bill.Answered{Now: b.n.cfg.Clock.Now(), Request: f.Bill.GetRequest(), VM: f.VM, Held: held})
 }
 
-// release tells a process that bills are on the log. A lost message is made
-// good by the keeper's takeover, which puts the bill on the log once more and
-// merges into it.
-func (b *Billing) release(f bill.Release) {
+// sendRelease reports to a process that bills are on the log. A lost message does no harm: when
+// the keeper takes over, it appends the bill again, which merges with the first.
+func (b *Billing) sendRelease(f bill.Release) {
 	vm, ok := b.n.View().Members().Find(f.VM)
 	if !ok {
 		return
@@ -287,6 +294,6 @@
 	defer cancel()
 	_, err := b.n.cfg.Peers.Peer(ctx, vm.Address).ReleaseBills(ctx, &wire.ReleaseBillsRequest{Requests: f.Requests, From: b.n.cfg.Settings.VM})
 	if err != nil {
-		b.n.cfg.Log.Debug("Release was not heard", "by", f.VM, "error", err)
+		b.n.cfg.Log.Debug("Could not send the release of bills to a peer", "by", f.VM, "error", err)
 	}
 }
--- a/node/bytes_test.go
+++ b/node/bytes_test.go
@@ -14,34 +14,34 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// countedConn counts what passes both ways.
-type countedConn struct {
+// countingConn counts the bytes in both directions, and the writes.
+type countingConn struct {
 	net.Conn
 	bytes  *atomic.Int64
 	writes *atomic.Int64
 }
 
-func (c countedConn) Write(p []byte) (n int, err error) {
+func (c countingConn) Write(p []byte) (n int, err error) {
 	n, err = c.Conn.Write(p)
 	c.bytes.Add(int64(n))
 	c.writes.Add(1)
 	return n, err
 }
 
-func (c countedConn) Read(p []byte) (n int, err error) {
+func (c countingConn) Read(p []byte) (n int, err error) {
 	n, err = c.Conn.Read(p)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-// The virtual-time figures take 160 bytes a message for drpc, TCP and IP. Were
-// an exchange dearer, a node would be over its share of the network unseen.
+// The figures in virtual time assume 160 bytes per message for drpc, TCP and IP. If an exchange
+// took more, a process would exceed its network budget unnoticed.
 func TestExchangeBytes(t *testing.T) {
 	const (
 		exchanges = 100
 		overhead  = 160
-		// headers is what TCP and IP take in each segment; two acknowledgements
-		// travel on their own, the others with data.
+		// headers is the number of bytes of the TCP and IP headers in each segment. Two
+		// acknowledgements are sent on their own, the others with data.
 		headers = 52
 		acks    = 2
 	)
@@ -53,13 +53,13 @@
 	var bytes, writes atomic.Int64
 	pool := peer.NewPoolWith(func(ctx context.Context, network, address string) (net.Conn, error) {
 		c, err := (&net.Dialer{}).DialContext(ctx, network, address)
-		return countedConn{Conn: c, bytes: &bytes, writes: &writes}, err
+		return countingConn{Conn: c, bytes: &bytes, writes: &writes}, err
 	})
 	defer pool.Close()
 	in := &wire.Digest{Vm: "entry-0001", Zone: "zone-b", Epoch: 1 << 60, Revision: 7, Offset: 8, Started: true, StalenessMillis: 1500}
 	var out *wire.Digest
 	for i := range exchanges + 1 {
-		if i == 1 { // the first one pays for the connection
+		if i == 1 { // the first exchange opens the connection
 			bytes.Store(0)
 			writes.Store(0)
 		}
@@ -72,7 +72,7 @@
 	is.True(frames+(segments+acks)*headers <= 2*overhead)
 }
 
-// BenchmarkExchange shows what one exchange costs both ends together.
+// BenchmarkExchange measures the cost of one exchange at both ends together.
 func BenchmarkExchange(b *testing.B) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/node/claim.go
+++ b/node/claim.go
@@ -12,40 +12,40 @@
 	"github.com/parsleydeal/parsleydeal/peer/wire"
 )
 
-// maxClaimWait bounds how long one claim waits for the log.
+// maxClaimWait limits how long one claim waits for the log.
 const maxClaimWait = 3 * clock.Second
 
-// claims holds the books of the streams that this process writes.
+// claims holds the claimers of the streams that this process writes.
 type claims struct {
 	mu sync.Mutex
-	// books has at most one book a stream; the streams are fixed.
-	books map[string]*claim.Claimer
-	// ctx is the context in which books run.
+	// claimers holds at most one claimer per stream. The set of streams is fixed.
+	claimers map[string]*claim.Claimer
+	// ctx is the context in which the claimers run.
 	ctx context.Context
 }
 
-// Claim puts a claim on the log for another process.
+// Claim appends a claim to the log for another process.
 func (n *Node) Claim(ctx context.Context, in *wire.ClaimRequest) (out *wire.ClaimReply, err error) {
 	wait := min(max(clock.Millis(in.GetWaitMillis()), 1), maxClaimWait)
 	ctx, cancel := context.WithTimeout(ctx, wait.Duration())
 	defer cancel()
-	s, offset, err := n.book(claim.Stream(in.GetClaim().GetKey())).Claim(ctx, in.GetClaim())
+	holder, offset, err := n.claimer(claim.Stream(in.GetClaim().GetKey())).Claim(ctx, in.GetClaim())
 	if err != nil {
 		return &wire.ClaimReply{Reason: err.Error()}, nil
 	}
-	return &wire.ClaimReply{Standing: s, Offset: offset}, nil
+	return &wire.ClaimReply{Standing: holder, Offset: offset}, nil
 }
 
-// ClaimKey puts a claim on the log through the process that writes its stream,
-// or from here when that one cannot be reached, and returns the claim that
-// stands. On an error nothing may be dispatched; the claim itself may stand.
-func (n *Node) ClaimKey(ctx context.Context, c *wire.Claim) (s *wire.Claim, offset int64, err error) {
+// ClaimKey appends a claim to the log through the process that writes its stream, or directly
+// if that process is unreachable, and returns the claim that holds the key. After an error
+// nothing may be dispatched, although the claim may hold the key.
+func (n *Node) ClaimKey(ctx context.Context, c *wire.Claim) (holder *wire.Claim, offset int64, err error) {
 	ctx, cancel := context.WithTimeout(ctx, maxClaimWait.Duration())
 	defer cancel()
 	stream := claim.Stream(c.GetKey())
 	w, ok := n.lastPlace().Writer(stream)
 	if !ok || w.ID == n.cfg.Settings.VM {
-		return n.book(stream).Claim(ctx, c)
+		return n.claimer(stream).Claim(ctx, c)
 	}
 	out, err := n.cfg.Peers.Peer(ctx, w.Address).Claim(ctx, &wire.ClaimRequest{Claim: c, WaitMillis: int64(maxClaimWait / 2)})
 	switch {
@@ -54,30 +54,31 @@
 	case err == nil:
 		return nil, 0, claim.ErrUnsettled.New("%s", out.GetReason())
 	case errorx.IsOfType(err, peer.ErrNotReached) || ctx.Err() == nil:
-		// The claim may stand already through the lost writer. Once more is
-		// harmless: the same claim a second time changes nothing.
-		return n.book(stream).Claim(ctx, c)
+		// The unreachable writer may have appended the claim already. Appending the same
+		// claim twice has no effect.
+		return n.claimer(stream).Claim(ctx, c)
 	}
 	return nil, 0, claim.ErrUnsettled.Wrap(err, "claim through %s", w.ID)
 }
 
-// lastPlace returns the picture of who appends as of the last round of billing.
+// lastPlace returns the place computed last by billing, or a new one if there is none yet.
 func (n *Node) lastPlace() *batch.Place {
-	if p := n.placed.Load(); p != nil {
+	if p := n.currentPlace.Load(); p != nil {
 		return p
 	}
-	return n.place()
+	return n.newPlace()
 }
 
-func (n *Node) book(stream string) *claim.Claimer {
+// claimer returns the claimer of a stream and starts it on first use.
+func (n *Node) claimer(stream string) *claim.Claimer {
 	n.claims.mu.Lock()
 	defer n.claims.mu.Unlock()
-	b, ok := n.claims.books[stream]
+	k, ok := n.claims.claimers[stream]
 	if !ok {
-		b = claim.NewClaimer(n.cfg.Store, stream, n.batchPrefix(), n.cfg.Clock)
-		n.claims.books[stream] = b
+		k = claim.NewClaimer(n.cfg.Store, stream, n.batchPrefix(), n.cfg.Clock)
+		n.claims.claimers[stream] = k
 		ctx := n.claims.ctx
-		n.run(func() { b.Run(ctx) })
+		n.run(func() { k.Run(ctx) })
 	}
-	return b
+	return k
 }
--- a/node/handle.go
+++ b/node/handle.go
@@ -5,15 +5,15 @@
 	"github.com/parsleydeal/parsleydeal/provider"
 )
 
-// SetEffectHandler gives the function that carries out the endpoint's own effects. It
-// runs on the control goroutine and may not block.
-func (n *Node) SetEffectHandler(f func(event.Effect)) { n.handler.Store(&f) }
+// SetEffectHandler sets the function that executes the endpoint's effects. It runs on the
+// control goroutine and must not block.
+func (n *Node) SetEffectHandler(f func(event.Effect)) { n.effectHandler.Store(&f) }
 
 // Weights returns the platform's weight store.
 func (n *Node) Weights() provider.WeightStore { return n.cfg.Weights }
 
-func (n *Node) handle(e event.Effect) {
-	if f := n.handler.Load(); f != nil {
+func (n *Node) performEndpointEffect(e event.Effect) {
+	if f := n.effectHandler.Load(); f != nil {
 		(*f)(e)
 	}
 }
--- a/node/holds.go
+++ b/node/holds.go
@@ -10,33 +10,33 @@
 	"github.com/parsleydeal/parsleydeal/provider"
 )
 
-// gateHoldsEvery is the span between two readings of the holds by a gate, which
-// mostly hears of them from entries. A thousand gates that waited on the log
-// would read it hundreds of times a second.
-const gateHoldsEvery = 10 * clock.Second
+// endpointHoldsInterval is the interval at which an endpoint reads the holds, which it mostly
+// receives from entries. A thousand endpoints that waited on the log would read it hundreds of
+// times per second.
+const endpointHoldsInterval = 10 * clock.Second
 
-// tailHolds reads the holds until the context ends. The log keeps records for a
-// limited time, and holds that stand are written again before: a reader whose
-// place is no longer kept goes on at the first record there is.
+// tailHolds reads the holds until the context ends. The log retains records for a limited time,
+// and holds in force are appended again before that. If the next offset is no longer retained,
+// reading continues at the first record that is.
 func (n *Node) tailHolds(ctx context.Context) {
 	from := int64(0)
 	for ctx.Err() == nil {
-		page, err := n.cfg.Store.Read(ctx, provider.HoldStream, from, logWait)
+		page, err := n.cfg.Store.Read(ctx, provider.HoldStream, from, logReadWait)
 		if errorx.IsOfType(err, provider.ErrExpired) {
 			page, err = n.cfg.Store.Read(ctx, provider.HoldStream, math.MaxInt64, 0)
 			from = max(from, page.First)
 		}
 		if err != nil {
 			n.loop.Post(ctx, event.LogFailed{Now: n.cfg.Clock.Now(), Stream: provider.HoldStream, Err: err})
-			clock.Pause(ctx, logRetry)
+			clock.Pause(ctx, logRetryDelay)
 			continue
 		}
 		n.loop.Post(ctx, event.LogRead{Now: n.cfg.Clock.Now(), Stream: provider.HoldStream, Page: page})
-		if k := len(page.Records); k > 0 {
-			from = page.Records[k-1].Offset + 1
+		if count := len(page.Records); count > 0 {
+			from = page.Records[count-1].Offset + 1
 		}
 		if n.cfg.Settings.Endpoint.Pool != "" {
-			clock.Pause(ctx, gateHoldsEvery)
+			clock.Pause(ctx, endpointHoldsInterval)
 		}
 	}
 }
--- a/node/holds_test.go
+++ b/node/holds_test.go
@@ -14,9 +14,8 @@
 	"github.com/parsleydeal/parsleydeal/rollout"
 )
 
-// The log has dropped the first holds. An entry that starts now and stopped at
-// the expired offset would never learn of the hold that was written again after
-// them, and go on using a bad version.
+// The log has dropped the first holds. An entry that starts now and stopped at the expired
+// offset would never read the hold that was appended again later, and would use a bad version.
 func TestHoldsAreReadAfterFirstRecordsExpired(t *testing.T) {
 	is := is.New(t)
 	data, err := rollout.Encode(&wire.Hold{Version: "m@2"})
@@ -36,8 +35,8 @@
 	defer cancel()
 	go n.loop.Run(ctx)
 	go n.tailHolds(ctx)
-	const patience = 30 * time.Second
-	for deadline := time.Now().Add(patience); !n.View().Holds().Held("m@2", "o"); time.Sleep(time.Millisecond) {
+	const timeout = 30 * time.Second
+	for deadline := time.Now().Add(timeout); !n.View().Holds().Held("m@2", "o"); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
 			t.Fatal("the hold was never read")
 		}
--- a/node/inherit.go
+++ b/node/inherit.go
@@ -10,58 +10,60 @@
 	"github.com/parsleydeal/parsleydeal/spread"
 )
 
-// heirs is how many entries take over what a stopping one counted.
 const (
-	heirs       = 2
-	handTimeout = 2 * clock.Second
+	// successors is the number of entries that take over the counts of a stopping one.
+	successors      = 2
+	handOverTimeout = 2 * clock.Second
 )
 
-// ErrNoSuccessor means that no entry takes over what this one counted: all stop, or there is
-// no other.
+// ErrNoSuccessor means that no entry takes over the counts of this one: all are stopping, or
+// there is no other.
 var ErrNoSuccessor = errorx.NewNamespace("node").NewType("no-heir")
 
-// SetInheritHandler gives the function that takes what a stopping entry hands on.
-func (n *Node) SetInheritHandler(f func(life []byte) error) { n.inherit.Store(&f) }
+// SetInheritHandler sets the function that takes over the counts of a stopping entry. A process
+// without it declines them.
+func (n *Node) SetInheritHandler(f func(incarnation []byte) error) { n.inheritHandler.Store(&f) }
 
-// Inherit takes what a stopping entry hands on.
+// Inherit takes over the counts of a stopping entry. It declines if this process is stopping or
+// has no handler.
 func (n *Node) Inherit(_ context.Context, in *wire.InheritRequest) (out *wire.InheritReply, err error) {
-	f := n.inherit.Load()
+	f := n.inheritHandler.Load()
 	if f == nil || n.View().Draining() {
 		return &wire.InheritReply{Declined: true}, nil
 	}
 	return &wire.InheritReply{}, (*f)(in.GetLife())
 }
 
-// HandOver gives packed lives to other entries, by rendezvous. Two take each, so
-// that one that vanishes loses nothing; whoever merges counts a life once. ErrNoHeir
-// means that none took any.
-func (n *Node) HandOver(ctx context.Context, lives [][]byte) (err error) {
+// HandOver sends the encoded counts of each incarnation to other entries, chosen by rendezvous
+// hashing. Each goes to two, so that the loss of one of them loses nothing; the reader merges
+// duplicates. ErrNoSuccessor means that no entry accepted any.
+func (n *Node) HandOver(ctx context.Context, incarnations [][]byte) (err error) {
 	m := n.View().Members()
-	var able []provider.VM
+	var candidates []provider.VM
 	for _, v := range m.VMs() {
 		if v.Role == provider.EntryRole && v.ID != n.cfg.Settings.VM && !m.Leaving(v) && !m.Suspected(v.ID) {
-			able = append(able, v)
+			candidates = append(candidates, v)
 		}
 	}
-	taken := len(lives) == 0
-	for _, v := range spread.First("burn/"+n.cfg.Settings.VM, heirs, able) {
-		for _, life := range lives {
-			ok, handErr := n.hand(ctx, v, life)
+	accepted := len(incarnations) == 0
+	for _, v := range spread.First("burn/"+n.cfg.Settings.VM, successors, candidates) {
+		for _, incarnation := range incarnations {
+			ok, handErr := n.sendHandOver(ctx, v, incarnation)
 			if handErr != nil {
 				err = handErr
 			}
-			taken = taken || ok
+			accepted = accepted || ok
 		}
 	}
-	if err == nil && !taken {
-		return ErrNoSuccessor.New("none of %d entries takes over", len(able))
+	if err == nil && !accepted {
+		return ErrNoSuccessor.New("none of %d entries takes over", len(candidates))
 	}
 	return err
 }
 
-func (n *Node) hand(ctx context.Context, v provider.VM, life []byte) (taken bool, err error) {
-	ctx, cancel := context.WithTimeout(ctx, handTimeout.Duration())
+func (n *Node) sendHandOver(ctx context.Context, v provider.VM, incarnation []byte) (accepted bool, err error) {
+	ctx, cancel := context.WithTimeout(ctx, handOverTimeout.Duration())
 	defer cancel()
-	r, err := n.cfg.Peers.Peer(ctx, v.Address).Inherit(ctx, &wire.InheritRequest{Life: life})
+	r, err := n.cfg.Peers.Peer(ctx, v.Address).Inherit(ctx, &wire.InheritRequest{Life: incarnation})
 	return err == nil && !r.GetDeclined(), err
 }
--- a/node/inherit_test.go
+++ b/node/inherit_test.go
@@ -8,8 +8,8 @@
 	"github.com/parsleydeal/parsleydeal/peer/wire"
 )
 
-// All entries of a site stop together. That nobody takes over what they counted is no failure,
-// and must not look like one in their logs.
+// When all entries of a site stop together, no process takes over their counts. That is not an
+// error and must not be logged as one.
 func TestInheritWithoutHandlerDeclines(t *testing.T) {
 	is := is.New(t)
 	n := &Node{}
--- a/node/inspect.go
+++ b/node/inspect.go
@@ -7,20 +7,20 @@
 	"github.com/parsleydeal/parsleydeal/peer/wire"
 )
 
-// ReportFunc makes a report for operators as JSON.
+// ReportFunc returns the named report for operators as JSON.
 type ReportFunc func(ctx context.Context, report string) (data []byte, err error)
 
-// Metrics returns the set in which the process keeps its metrics.
+// Metrics returns the set of the process's metrics.
 func (n *Node) Metrics() *metrics.Set { return n.metrics }
 
-// Epoch returns the number that is new at each start of the process.
+// Epoch returns a random number that differs at each start of the process.
 func (n *Node) Epoch() uint64 { return n.epoch }
 
-// SetReports sets the function that answers Inspect.
+// SetReports sets the function that makes the reports returned by Inspect.
 func (n *Node) SetReports(f ReportFunc) { n.reports.Store(&f) }
 
-// Inspect returns a report for operators, so that their commands need only the
-// peer addresses of the VM list.
+// Inspect returns a report for operators. Their commands so need only the peer addresses of the
+// VM list. The report is an empty JSON object if no function is set.
 func (n *Node) Inspect(ctx context.Context, in *wire.InspectRequest) (out *wire.InspectReply, err error) {
 	out = &wire.InspectReply{Vm: n.cfg.Settings.VM, Json: []byte("{}")}
 	f := n.reports.Load()
--- a/node/leave_test.go
+++ b/node/leave_test.go
@@ -15,7 +15,7 @@
 	"github.com/parsleydeal/parsleydeal/settings"
 )
 
-// startNode runs a node without a log, which serves peers on a listener.
+// startNode runs a node whose log is unavailable and that serves peers on a listener.
 func startNode(ctx context.Context, t *testing.T, lis net.Listener, vm string, vms func() []provider.VM) *Node {
 	t.Helper()
 	s := settings.Default()
@@ -32,8 +32,8 @@
 	return n
 }
 
-// An idle process is asked to stop and ends within milliseconds. Peers that did
-// not hear of it would send it work until the lagging VM list has caught up.
+// An idle process that is asked to stop ends within milliseconds. Peers that do not receive its
+// report before that would send it requests until the VM list, which lags, shows that it is gone.
 func TestLeaveIsReportedBeforeExit(t *testing.T) {
 	is := is.New(t)
 	var vms []provider.VM
@@ -45,22 +45,22 @@
 		vms = append(vms, provider.VM{ID: id, Role: provider.EntryRole, Zone: "zone-" + id, Address: lis.Addr().String()})
 	}
 	list := func() []provider.VM { return vms }
-	ctx, end := context.WithCancel(t.Context())
+	ctx, stop := context.WithCancel(t.Context())
 	leaver := startNode(ctx, t, listeners[0], "a", list)
 	other := startNode(t.Context(), t, listeners[1], "b", list)
 	eventually(t, func() bool { return len(leaver.View().Members().VMs()) == 2 && len(other.View().Members().VMs()) == 2 })
 	leaver.Drain(ctx)
 	leaver.WaitLeaveReported(ctx)
-	end()
+	stop()
 	eventually(t, func() bool { return other.View().Members().Leaving(vms[0]) })
 }
 
-func eventually(t *testing.T, done func() bool) {
+func eventually(t *testing.T, met func() bool) {
 	t.Helper()
-	const patience = 20 * time.Second
-	for deadline := time.Now().Add(patience); !done(); time.Sleep(5 * time.Millisecond) {
+	const timeout = 20 * time.Second
+	for deadline := time.Now().Add(timeout); !met(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatal("condition did not come about")
+			t.Fatal("timed out waiting for the condition")
 		}
 	}
 }
--- a/node/node.go
+++ b/node/node.go
@@ -1,5 +1,5 @@
-// Package node is the shell that both daemons share: it feeds the control loop
-// with the log, the VM list and the peers' messages, and carries out effects.
+// Package node runs the control loop of a process, in both daemons: it feeds the loop with the
+// log, the VM list and the messages of peers, and executes the effects.
 package node
 
 import (
@@ -24,14 +24,14 @@
 )
 
 const (
-	tickEvery = 200 * clock.Millis(1)
-	// logWait is how long one read of the log waits for a record.
-	logWait = 2 * clock.Second
-	// logRetry is the pause after a failed read of the log.
-	logRetry = 300 * clock.Millis(1)
+	tickInterval = 200 * clock.Millis(1)
+	// logReadWait is how long one read of the log waits for a record.
+	logReadWait = 2 * clock.Second
+	// logRetryDelay is the delay after a failed read of the log.
+	logRetryDelay = 300 * clock.Millis(1)
 )
 
-// Config is what a node is made of.
+// Config holds the settings and dependencies of a node.
 type Config struct {
 	Settings settings.Settings
 	Clock    clock.Clock
@@ -43,53 +43,52 @@
 	Peers    *peer.Pool
 }
 
-// Node is one process's control side.
+// Node is the control side of one process. It also serves the requests of peers.
 type Node struct {
 	cfg  Config
 	loop *control.Loop
-	// epoch is new at each start of the process.
+	// epoch is random and differs at each start of the process.
 	epoch uint64
 	wg    sync.WaitGroup
-	// ctx ends with the node; it is set by Start before any goroutine runs.
+	// ctx ends with the node. Start sets it before it starts any goroutine.
 	ctx context.Context
-	// calls holds a place for each call to a peer under way.
+	// calls is the semaphore of the concurrent calls to peers.
 	calls chan struct{}
-	// follows ends the reading of a stream; only the control goroutine uses it.
-	follows map[string]context.CancelFunc
-	// inherit takes what a stopping entry hands on; nil in an endpoint.
-	inherit atomic.Pointer[func(life []byte) error]
-	// loads numbers the loads told.
-	loads atomic.Uint64
-	// estimatesAt is the instant from which on a digest may carry estimates.
-	estimatesAt atomic.Int64
-	// handler carries out the effects of the endpoint's part; nil in an entry.
-	handler atomic.Pointer[func(event.Effect)]
-	// load reports the endpoint's own load; nil in an entry.
+	// tailCancels stops the reading of each followed stream. Only the control goroutine uses it.
+	tailCancels map[string]context.CancelFunc
+	// inheritHandler takes over the counts of a stopping entry; nil in an endpoint.
+	inheritHandler atomic.Pointer[func(incarnation []byte) error]
+	// loadSequence numbers the load reports of this process.
+	loadSequence atomic.Uint64
+	// nextEstimatesAt is the instant from which a digest may contain estimates again.
+	nextEstimatesAt atomic.Int64
+	// effectHandler executes the effects of an endpoint; nil in an entry.
+	effectHandler atomic.Pointer[func(event.Effect)]
+	// load returns the endpoint's own load; nil in an entry.
 	load atomic.Pointer[func() *wire.Load]
-	// appends holds a place for each append under way.
+	// appends is the semaphore of the concurrent appends.
 	appends chan struct{}
-	// metrics holds this process's own metrics, so that several nodes in one
-	// process keep theirs apart.
-	metrics *metrics.Set
-	reports atomic.Pointer[ReportFunc]
-	billing *Billing
-	placed  atomic.Pointer[batch.Place]
-	claims  claims
+	// metrics is a set of its own, so that several nodes in one OS process keep their metrics apart.
+	metrics      *metrics.Set
+	reports      atomic.Pointer[ReportFunc]
+	billing      *Billing
+	currentPlace atomic.Pointer[batch.Place]
+	claims       claims
 }
 
 var errAppendsFull = provider.ErrBusy.New("too many appends under way")
 
-// New makes a node; Start runs it.
+// New returns a node. Start runs it.
 func New(cfg Config) *Node {
-	n := &Node{cfg: cfg, epoch: rand.Uint64(), metrics: metrics.NewSet(), calls: make(chan struct{}, maxCalls), follows: make(map[string]context.CancelFunc)}
+	n := &Node{cfg: cfg, epoch: rand.Uint64(), metrics: metrics.NewSet(), calls: make(chan struct{}, maxCalls), tailCancels: make(map[string]context.CancelFunc)}
 	n.appends = make(chan struct{}, maxAppends)
 	n.loop = control.NewLoop(control.NewStateAt(cfg.Settings.VM, cfg.Settings.Zone, n.epoch).WithPool(cfg.Settings.Endpoint.Pool), n.perform)
 	n.billing = newBilling(n)
-	n.claims = claims{books: make(map[string]*claim.Claimer), ctx: context.Background()}
+	n.claims = claims{claimers: make(map[string]*claim.Claimer), ctx: context.Background()}
 	return n
 }
 
-// View returns the newest view.
+// View returns the latest view. It never blocks.
 func (n *Node) View() *view.View { return n.loop.View() }
 
 // Loop returns the control loop.
@@ -98,7 +97,7 @@
 // Clock returns the process's clock.
 func (n *Node) Clock() clock.Clock { return n.cfg.Clock }
 
-// Peers returns the connections to other processes.
+// Peers returns the pool of connections to other processes.
 func (n *Node) Peers() *peer.Pool { return n.cfg.Peers }
 
 // Settings returns the process's settings.
@@ -113,11 +112,11 @@
 // Log returns the process's logger.
 func (n *Node) Log() *log.Logger { return n.cfg.Log }
 
-// Start runs the node's goroutines until the context ends.
+// Start runs the goroutines of the node until the context ends. It does not wait for them.
 func (n *Node) Start(ctx context.Context) {
 	n.ctx = ctx
 	n.run(func() { n.loop.Run(ctx) })
-	n.run(func() { n.every(ctx, tickEvery, func() { n.loop.Post(ctx, event.Tick{Now: n.cfg.Clock.Now()}) }) })
+	n.run(func() { n.every(ctx, tickInterval, func() { n.loop.Post(ctx, event.Tick{Now: n.cfg.Clock.Now()}) }) })
 	n.run(func() { n.readVMs(ctx) })
 	n.run(func() { n.tailHolds(ctx) })
 	n.claims.mu.Lock()
@@ -126,15 +125,17 @@
 	n.billing.run(ctx)
 }
 
-// Wait waits for the goroutines to end.
+// Wait waits until all goroutines of the node have ended.
 func (n *Node) Wait() { n.wg.Wait() }
 
-// Drain tells control that this process has been asked to stop.
+// Drain marks the process as stopping: it reports to peers that it leaves, and starts to hand
+// over its bills.
 func (n *Node) Drain(ctx context.Context) {
 	n.loop.Post(ctx, event.Draining{Now: n.cfg.Clock.Now()})
 	n.billing.Drain()
 }
 
+// run runs f on a goroutine that Wait waits for.
 func (n *Node) run(f func()) {
 	n.wg.Add(1)
 	go func() {
@@ -143,15 +144,17 @@
 	}()
 }
 
-func (n *Node) every(ctx context.Context, span clock.Millis, f func()) {
+// every calls f at once and then after each pause of interval, until the context ends.
+func (n *Node) every(ctx context.Context, interval clock.Millis, f func()) {
 	for {
 		f()
-		if !clock.Pause(ctx, span) {
+		if !clock.Pause(ctx, interval) {
 			return
 		}
 	}
 }
 
+// tail reads a stream of the log until the context ends.
 func (n *Node) tail(ctx context.Context, stream string) {
 	from, restarts := int64(0), 0
 	for ctx.Err() == nil {
@@ -162,34 +165,34 @@
 			}
 			from = max(from, t.End())
 		}
-		page, err := n.read(ctx, stream, from)
+		page, err := n.readPage(ctx, stream, from)
 		if err != nil {
 			n.loop.Post(ctx, event.LogFailed{Now: n.cfg.Clock.Now(), Stream: stream, Err: err})
-			clock.Pause(ctx, logRetry)
+			clock.Pause(ctx, logRetryDelay)
 			continue
 		}
 		n.loop.Post(ctx, event.LogRead{Now: n.cfg.Clock.Now(), Stream: stream, Page: page})
-		if k := len(page.Records); k > 0 {
-			from = page.Records[k-1].Offset + 1
+		if count := len(page.Records); count > 0 {
+			from = page.Records[count-1].Offset + 1
 		}
 		from = max(from, page.First)
 	}
 }
 
-// read reads a page. When the log no longer keeps the offset the page has no
-// records but tells where the log now begins: a reader that asked for the lost
-// records again and again would never start.
-func (n *Node) read(ctx context.Context, stream string, from int64) (page provider.Page, err error) {
+// readPage reads a page. If the log no longer retains the offset, the page has no records but
+// states where the log starts now. A reader that requested the dropped records again each time
+// would never make progress.
+func (n *Node) readPage(ctx context.Context, stream string, from int64) (page provider.Page, err error) {
 	const beyondHead = int64(1) << 62
-	page, err = n.cfg.Store.Read(ctx, stream, from, logWait)
+	page, err = n.cfg.Store.Read(ctx, stream, from, logReadWait)
 	if errorx.IsOfType(err, provider.ErrExpired) {
 		page, err = n.cfg.Store.Read(ctx, stream, beyondHead, 0)
 	}
 	return page, err
 }
 
-// perform carries out one effect. It runs on the control goroutine, so all I/O
-// goes to goroutines of its own.
+// perform executes one effect. It runs on the control goroutine, so all I/O is done on other
+// goroutines.
 func (n *Node) perform(e event.Effect) {
 	switch e := e.(type) {
 	case event.Report:
@@ -203,6 +206,6 @@
 	case event.Append:
 		n.append(e)
 	default:
-		n.handle(e)
+		n.performEndpointEffect(e)
 	}
 }
--- a/node/peer.go
+++ b/node/peer.go
@@ -9,13 +9,13 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Exchange takes in what a peer knows and returns what this process knows.
+// Exchange receives the digest of a peer and returns the one of this process.
 func (n *Node) Exchange(_ context.Context, in *wire.Digest) (out *wire.Digest, err error) {
 	n.loop.Offer(event.DigestReceived{Now: n.cfg.Clock.Now(), Digest: in})
 	return n.Digest(), nil
 }
 
-// Digest returns what this process tells its peers.
+// Digest returns the report that this process sends to its peers.
 func (n *Node) Digest() *wire.Digest {
 	d := n.View().Digest(n.cfg.Clock.Now())
 	if load := n.load.Load(); load != nil {
@@ -25,45 +25,46 @@
 	return d
 }
 
-// addEstimates adds what is known of the versions' quality, at most once every
-// estimatesEvery and at most estimatesBytes a second. Digests that always carried
-// the estimates of all versions would take a node that many ask over its share of
-// the network.
+// addEstimates adds the quality estimates of the versions to a digest, at most once per
+// estimatesInterval and at most maxEstimatesRate bytes per second. If every digest carried the
+// estimates of all versions, a process that many peers contact would exceed its network budget.
 func (n *Node) addEstimates(d *wire.Digest) {
-	now, due := int64(n.cfg.Clock.Now()), n.estimatesAt.Load()
+	now, due := int64(n.cfg.Clock.Now()), n.nextEstimatesAt.Load()
 	if now < due {
 		return
 	}
 	estimates := &wire.Digest{Estimates: n.View().Quality().Wire()}
-	pause := max(int64(estimatesEvery), int64(proto.Size(estimates))*int64(clock.Second)/estimatesBytes)
-	if n.estimatesAt.CompareAndSwap(due, now+pause) {
+	pause := max(int64(estimatesInterval), int64(proto.Size(estimates))*int64(clock.Second)/maxEstimatesRate)
+	if n.nextEstimatesAt.CompareAndSwap(due, now+pause) {
 		d.Estimates = estimates.GetEstimates()
 	}
 }
 
-// SetLoad gives the function that reports an endpoint's own load in digests.
+// SetLoad sets the function that returns an endpoint's own load for digests.
 func (n *Node) SetLoad(f func() *wire.Load) { n.load.Store(&f) }
 
-// StampLoad names the process in a load and orders it after all before it.
+// StampLoad sets the VM, the epoch and the next sequence number of a load report, which order it
+// after all earlier ones.
 func (n *Node) StampLoad(l *wire.Load) {
-	l.Vm, l.Epoch, l.Sequence = n.cfg.Settings.VM, n.epoch, n.loads.Add(1)
+	l.Vm, l.Epoch, l.Sequence = n.cfg.Settings.VM, n.epoch, n.loadSequence.Add(1)
 }
 
-// ReportNewerRevision tells control that a peer decides on a higher revision; records are
-// fetched from it at once. An empty address asks the VM list. It never blocks.
+// ReportNewerRevision reports to control that a peer uses a higher revision; its records are
+// fetched at once. If address is empty, it is looked up in the VM list. It never blocks.
 func (n *Node) ReportNewerRevision(vm, address string, revision int64) {
 	if revision > n.View().Revision() {
 		n.loop.Offer(event.Behind{Now: n.cfg.Clock.Now(), VM: vm, Address: address, Revision: revision})
 	}
 }
 
-// ReportUnreachable tells control that a call to a VM failed before it got there.
+// ReportUnreachable reports to control that a call failed before it reached the VM. It never
+// blocks.
 func (n *Node) ReportUnreachable(vm string) {
 	n.loop.Offer(event.PeerFailed{Now: n.cfg.Clock.Now(), VM: vm})
 }
 
-// Records returns records that this process still keeps; of the configuration
-// also the checkpoint of its tables to one that lacks earlier ones.
+// Records returns the configuration records that this process retains, from an offset on. If the
+// peer lacks earlier ones, the reply includes the checkpoint of the tables.
 func (n *Node) Records(_ context.Context, in *wire.RecordsRequest) (out *wire.RecordsReply, err error) {
 	v := n.View()
 	out = v.Tail().Reply(in.GetFrom())
--- a/node/spread.go
+++ b/node/spread.go
@@ -11,17 +11,17 @@
 const (
 	exchangeTimeout = clock.Second
 	recordsTimeout  = 3 * clock.Second
-	// estimatesEvery is the least span between two digests that carry estimates.
-	estimatesEvery = 3 * clock.Second
-	// estimatesBytes bounds the bytes a second of estimates that a node sends.
-	estimatesBytes = 512
-	// maxCalls bounds the calls to peers under way; a further one is dropped
-	// and made good by a later exchange.
+	// estimatesInterval is the minimum time between two digests that carry estimates.
+	estimatesInterval = 3 * clock.Second
+	// maxEstimatesRate is the maximum rate of estimates that a node sends, in bytes per second.
+	maxEstimatesRate = 512
+	// maxCalls is the maximum number of concurrent calls to peers. Further calls are dropped; a
+	// later exchange makes up for them.
 	maxCalls = 64
 )
 
-// call runs a call to a peer on a goroutine of its own.
-func (n *Node) call(span clock.Millis, f func(ctx context.Context)) {
+// call runs a call to a peer on its own goroutine, with a timeout.
+func (n *Node) call(timeout clock.Millis, f func(ctx context.Context)) {
 	select {
 	case n.calls <- struct{}{}:
 	default:
@@ -29,30 +29,30 @@
 	}
 	n.run(func() {
 		defer func() { <-n.calls }()
-		ctx, cancel := context.WithTimeout(n.ctx, span.Duration())
+		ctx, cancel := context.WithTimeout(n.ctx, timeout.Duration())
 		defer cancel()
 		f(ctx)
 	})
 }
 
 const (
-	// tellLimit bounds the wait of a stop for peers to be told.
-	tellLimit = 2 * clock.Second
-	tellPoll  = 10 * clock.Millis(1)
+	// leaveReportTimeout limits how long a stopping process waits until peers have its report.
+	leaveReportTimeout = 2 * clock.Second
+	leaveReportPoll    = 10 * clock.Millis(1)
 )
 
-// WaitLeaveReported waits, after Drain, until peers have been told that this process leaves.
-// An idle process that ended at once would take its word with it, and be sent
-// work for as long as the VM list lags.
+// WaitLeaveReported waits, after Drain, until peers have received the report that this process
+// leaves, for at most leaveReportTimeout. If an idle process ended at once, the report would not
+// be sent, and peers would send it requests for as long as the VM list lags.
 func (n *Node) WaitLeaveReported(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, tellLimit.Duration())
+	ctx, cancel := context.WithTimeout(ctx, leaveReportTimeout.Duration())
 	defer cancel()
-	begun := int64(-1)
-	for begun < 0 || n.loop.Steps() <= begun || len(n.calls) > 0 {
-		if begun < 0 && n.View().Draining() {
-			begun = n.loop.Steps() // the step that drains may still be under way
+	drainStep := int64(-1)
+	for drainStep < 0 || n.loop.Steps() <= drainStep || len(n.calls) > 0 {
+		if drainStep < 0 && n.View().Draining() {
+			drainStep = n.loop.Steps() // the step that drains may still be in progress
 		}
-		if !clock.Pause(ctx, tellPoll) {
+		if !clock.Pause(ctx, leaveReportPoll) {
 			return
 		}
 	}
@@ -83,17 +83,16 @@
 	})
 }
 
-// follow begins or ends reading a stream of the log. It runs on the control
-// goroutine only.
+// follow starts or stops reading a stream of the log. It runs on the control goroutine only.
 func (n *Node) follow(e event.Follow) {
-	if stop := n.follows[e.Stream]; stop != nil {
+	if stop := n.tailCancels[e.Stream]; stop != nil {
 		stop()
-		delete(n.follows, e.Stream)
+		delete(n.tailCancels, e.Stream)
 	}
 	if !e.On {
 		return
 	}
 	ctx, stop := context.WithCancel(n.ctx)
-	n.follows[e.Stream] = stop
+	n.tailCancels[e.Stream] = stop
 	n.run(func() { n.tail(ctx, e.Stream) })
 }
--- a/node/vms.go
+++ b/node/vms.go
@@ -8,20 +8,20 @@
 )
 
 const (
-	// vmLineBytes is about what one VM takes in the platform's list.
-	vmLineBytes = 150
-	// vmListBytes bounds the bytes a second that reading the list may take.
-	vmListBytes = 3 << 10
+	// vmEntryBytes is the approximate size of one VM in the platform's list.
+	vmEntryBytes = 150
+	// maxVMListRate is the maximum rate at which the list is read, in bytes per second.
+	maxVMListRate = 3 << 10
 )
 
-// readVMs reads the VM list again and again. The pause grows with the list: at
-// 1,380 VMs, a reading each second would take 200 KB/s in every process. What
-// the list tells later then, VMs tell by their own word.
+// readVMs reads the VM list until the context ends. The pause grows with the list: at 1,380 VMs,
+// one read per second would take 200 KB/s in every process. Changes that the list then shows
+// later are reported by the VMs themselves.
 func (n *Node) readVMs(ctx context.Context) {
 	for {
 		vms, err := n.cfg.VMs.List(ctx)
 		if err != nil {
-			n.cfg.Log.Debug("VM list could not be read", "error", err)
+			n.cfg.Log.Debug("Could not read the VM list", "error", err)
 		} else {
 			n.loop.Post(ctx, event.VMsListed{Now: n.cfg.Clock.Now(), VMs: vms})
 		}
@@ -31,7 +31,7 @@
 	}
 }
 
-// listPause is the span before the next reading of a list of so many VMs.
-func listPause(least clock.Millis, vms int) clock.Millis {
-	return max(least, clock.Millis(vms)*vmLineBytes*clock.Second/vmListBytes)
+// listPause returns the pause before the next read of a list of vms VMs.
+func listPause(minPause clock.Millis, vms int) clock.Millis {
+	return max(minPause, clock.Millis(vms)*vmEntryBytes*clock.Second/maxVMListRate)
 }
