--- a/control/evidence_test.go
+++ b/control/evidence_test.go
@@ -93,8 +93,8 @@
 	is := is.New(t)
 	c := newClusterWithEntries(6, 3, 1)
 	c.run(settleTime, nil)
-	lost := 0
-	c.partitioned = func(_, _ *proc) bool { lost++; return xxhash.Sum64String(fmt.Sprint(lost))%3 == 0 }
+	messages := 0
+	c.partitioned = func(_, _ *proc) bool { messages++; return xxhash.Sum64String(fmt.Sprint(messages))%3 == 0 }
 	for i := range 40 {
 		p := c.byVM[c.listed[i%6].ID]
 		c.reduce(p, event.Begun{Now: c.at(p), Route: "r", Version: "m@2", Organisation: "o"})
--- a/node/billing.go
+++ b/node/billing.go
@@ -146,7 +146,8 @@
 }
 
 // Finish records a bill and waits until it is safe, for at most maxSafeWait. Reserved is true
-// if Reserve made room for it. After an error, the context's, the bill is still kept.
+// if Reserve made room for it. If the wait or the context ends first, it returns the context's
+// error; the bill is kept all the same.
 func (b *Billing) Finish(ctx context.Context, x *wire.Bill, reserved bool) (err error) {
 	ctx, cancel := context.WithTimeout(ctx, maxSafeWait.Duration())
 	defer cancel()
