--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -267,7 +267,7 @@
 		return err
 	}
 	e := endpoint.New(p.node)
-	e.Measure()
+	e.RegisterMetrics()
 	p.port.Add(operations.Section{Name: "window", Read: e.WindowStatus})
 	inner, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
--- a/daemon/direct.go
+++ b/daemon/direct.go
@@ -114,10 +114,10 @@
 		Clock:   d.clock,
 		Log:     d.log,
 		Store:   site.Store{Newest: store.Newest, Read: store.Read, Append: store.Append},
-		Codec:   site.Codec{Operator: platform.Operator, Endpoints: platform.Endpoints, Verdicts: platform.Verdicts, VerdictRecord: platform.VerdictRecord},
+		Codec:   site.Codec{Operator: platform.DecodeOperator, Endpoints: platform.DecodeEndpoints, Verdicts: platform.DecodeVerdicts, VerdictRecord: platform.EncodeVerdict},
 		Address: s.Peer,
 		Send:    d.socket.Send,
-		Counted: func() site.Counted { return d.server.TrafficCounts() },
+		Counts:  func() site.TrafficCounts { return d.server.TrafficCounts() },
 	})
 	d.server = relay.New(relay.Config{
 		Clock: d.clock, Log: d.log, Dialect: platform.Dialect(), View: d.loop.View, Started: d.loop.Started(), Pool: upstream.NewPool(d.clock), Zone: s.Zone,
@@ -183,7 +183,7 @@
 		d.server.ReceiveReport(r)
 		return
 	}
-	d.loop.Hear(r)
+	d.loop.Receive(r)
 }
 
 // leave stops without cutting a request: the entry is not ready any more, takes
@@ -221,7 +221,7 @@
 	if c == nil {
 		return 0
 	}
-	return c.Limits.Idle
+	return c.Limits.IdleTimeout
 }
 
 // tidy drops what is no longer needed.
@@ -269,7 +269,7 @@
 		fmt.Fprintf(w, "parsleydeal_members{role=\"endpoint\"} %d\n", v.Fleet().Size())
 		fmt.Fprintf(w, "parsleydeal_members{role=\"entry\"} %d\n", v.Entries())
 		fmt.Fprintf(w, "parsleydeal_log_lines_lost_total %d\n", d.book.Lost())
-		fmt.Fprintf(w, "parsleydeal_reports_lost_total %d\n", d.socket.Lost()+d.loop.Lost())
+		fmt.Fprintf(w, "parsleydeal_reports_lost_total %d\n", d.socket.Lost()+d.loop.Dropped())
 		metrics.WriteProcessMetrics(w)
 	})
 }
--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -68,7 +68,7 @@
 	if !endedBySilence(ctx) {
 		return
 	}
-	e.inflight.Lost(vm, e.node.Clock().Now())
+	e.inflight.RecordUnreachable(vm, e.node.Clock().Now())
 	e.node.ReportUnreachable(vm)
 }
 
@@ -190,7 +190,7 @@
 func (e *Entry) recordLoad(p *wire.Piece) {
 	e.node.ReportNewerRevision(p.GetLoad().GetVm(), "", p.GetRevision())
 	if p.GetLoad() != nil {
-		e.inflight.Report(p.GetLoad(), e.node.Clock().Now())
+		e.inflight.RecordLoad(p.GetLoad(), e.node.Clock().Now())
 		e.node.Loop().Offer(event.LoadReceived{Now: e.node.Clock().Now(), Load: p.GetLoad()})
 	}
 }
--- a/node/inherit.go
+++ b/node/inherit.go
@@ -46,7 +46,7 @@
 		}
 	}
 	accepted := len(incarnations) == 0
-	for _, v := range spread.First("burn/"+n.cfg.Settings.VM, successors, candidates) {
+	for _, v := range spread.RendezvousTop("burn/"+n.cfg.Settings.VM, successors, candidates) {
 		for _, incarnation := range incarnations {
 			ok, handErr := n.sendHandOver(ctx, v, incarnation)
 			if handErr != nil {
--- a/node/peer.go
+++ b/node/peer.go
@@ -33,7 +33,7 @@
 	if now < due {
 		return
 	}
-	estimates := &wire.Digest{Estimates: n.View().Quality().Wire()}
+	estimates := &wire.Digest{Estimates: n.View().Quality().Estimates()}
 	pause := max(int64(estimatesInterval), int64(proto.Size(estimates))*int64(clock.Second)/maxEstimatesRate)
 	if n.nextEstimatesAt.CompareAndSwap(due, now+pause) {
 		d.Estimates = estimates.GetEstimates()
--- a/relay/sessions.go
+++ b/relay/sessions.go
@@ -65,7 +65,7 @@
 	if x, ok := s.all[hash]; ok && x.service == service && s.active(x, now) {
 		return x.version
 	}
-	if v.KeptElsewhere(service, hash) {
+	if v.KeptByPeer(service, hash) {
 		return v.Rule(service, now).Current
 	}
 	return ""
--- a/relay/tally.go
+++ b/relay/tally.go
@@ -78,10 +78,10 @@
 }
 
 // snapshot returns a copy of all counts.
-func (t *versionCounts) snapshot() site.Counted {
+func (t *versionCounts) snapshot() site.TrafficCounts {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	c := site.Counted{Counts: make(map[string]upgrade.Counts, len(t.counts)), Running: make(map[string]map[string]int, len(t.running))}
+	c := site.TrafficCounts{Counts: make(map[string]upgrade.Counts, len(t.counts)), Running: make(map[string]map[string]int, len(t.running))}
 	for service, counts := range t.counts {
 		c.Counts[service] = maps.Clone(counts)
 	}
--- a/site/acting_test.go
+++ b/site/acting_test.go
@@ -14,7 +14,7 @@
 // of upgrades were the first by name, which stand in one zone: until the others had
 // noticed, nobody read what operators published. Now each of the first ones stands in a
 // zone of its own, and those of the other zones go on at once.
-func TestLostZoneLeavesReadersAndJudges(t *testing.T) {
+func TestZoneOutageLeavesReadersAndJudges(t *testing.T) {
 	is := is.New(t)
 	const zones, each = 6, 60 // a site of 360 entries
 	lost := "zone-0"
@@ -37,7 +37,7 @@
 
 // Whatever entries there are, all of them agree on who acts, and the first ones stand in
 // as many zones as there are.
-func TestEntriesAgreeOnWhoActs(t *testing.T) {
+func TestEntriesAgreeOnDelegates(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		zones, each := rapid.IntRange(1, 8).Draw(t, "zones"), rapid.IntRange(1, 9).Draw(t, "each")
 		a := actingOf(zones, each, "zone-0", "")
@@ -67,7 +67,7 @@
 				if zone == silent && now > 1000 {
 					continue
 				}
-				Reduce(s, Heard{Now: now, Report: &wire.EntryReport{Process: name(z, i), Name: name(z, i), Zone: zone, Address: name(z, i)}})
+				Reduce(s, ReportReceived{Now: now, Report: &wire.EntryReport{Process: name(z, i), Name: name(z, i), Zone: zone, Address: name(z, i)}})
 			}
 		}
 	}
--- a/site/calls_test.go
+++ b/site/calls_test.go
@@ -17,11 +17,11 @@
 func behind(before int) *State {
 	s := NewState(Self{Name: "entry-m", Process: "entry-m/1", Zone: "a"}, 0)
 	Reduce(s, VerdictsRead{Now: 10})
-	Reduce(s, EndpointsRead{Now: 10, SentAt: 9, Whole: true})
-	Reduce(s, OperatorRead{Now: 10, SentAt: 9, Whole: true, Next: 5, News: OperatorNews{Config: (&catalog.Config{Version: 1}).Index()}})
+	Reduce(s, EndpointsRead{Now: 10, SentAt: 9, Full: true})
+	Reduce(s, OperatorRead{Now: 10, SentAt: 9, Full: true, Next: 5, Update: OperatorUpdate{Config: (&catalog.Config{Version: 1}).Index()}})
 	for i := range before {
 		name := fmt.Sprintf("entry-a%02d", i)
-		Reduce(s, Heard{Now: 20, Report: &wire.EntryReport{Process: name, Name: name, Address: name, OperatorNext: 5}})
+		Reduce(s, ReportReceived{Now: 20, Report: &wire.EntryReport{Process: name, Name: name, Address: name, OperatorNext: 5}})
 	}
 	return s
 }
@@ -30,7 +30,7 @@
 // found the verdict there, and those that the store turned away went on trying: a fifth
 // of a day's calls. Those that may have to write it read; the others hear that it
 // stands.
-func TestVerdictsAreReadByThoseThatMayWriteThem(t *testing.T) {
+func TestOnlyJudgesReadVerdicts(t *testing.T) {
 	is := is.New(t)
 	for _, x := range []struct {
 		before int
@@ -44,10 +44,10 @@
 				Service: "pool", Target: "v2", Number: 7, Phase: int32(upgrade.RolledBack), Reason: "failing", Agreed: agreed,
 			}}}
 		}
-		Reduce(s, Heard{Now: 30, Report: report(false)})
+		Reduce(s, ReportReceived{Now: 30, Report: report(false)})
 		is.True(s.View().moving())
 		is.Equal(s.View().wants(StatusStream, 30), x.reads)
-		Reduce(s, Heard{Now: 40, Report: report(true)})
+		Reduce(s, ReportReceived{Now: 40, Report: report(true)})
 		is.True(!s.View().moving())
 		is.True(!s.View().wants(StatusStream, 40))
 	}
@@ -55,7 +55,7 @@
 
 // All entries of a site start in the same moment. Until each had heard those before it
 // by name it took itself for the first, and read the store for all.
-func TestEntriesThatStartTogetherLeaveReadingToTheFirst(t *testing.T) {
+func TestSimultaneousStartDefersReading(t *testing.T) {
 	is := is.New(t)
 	s := behind(0)
 	is.True(s.reader()) // nobody else is known
@@ -81,7 +81,7 @@
 // The store turns some entries away and serves the others, from which these hear of all
 // changes. An entry that was turned away tried on with each of its reads more than once
 // a second.
-func TestEntryThatIsTurnedAwayTriesSeldom(t *testing.T) {
+func TestEntryRejectedByStoreBacksOff(t *testing.T) {
 	is := is.New(t)
 	f := &flakyStore{calls: make(map[Stream]int)}
 	l := f.loop(Self{Name: "entry-m", Process: "entry-m/1", Zone: "a"})
@@ -91,7 +91,7 @@
 	go func() {
 		for clock.Pause(ctx, 200) {
 			for _, name := range []string{"entry-a", "entry-b", "entry-c"} {
-				l.Hear(&wire.EntryReport{Process: name, Name: name, Address: name, Zone: "a"})
+				l.Receive(&wire.EntryReport{Process: name, Name: name, Address: name, Zone: "a"})
 			}
 		}
 	}()
--- a/site/event.go
+++ b/site/event.go
@@ -19,8 +19,8 @@
 	Now clock.Millis
 	// SentAt is when the read was sent: what it says was true then or later.
 	SentAt clock.Millis
-	Whole  bool
-	News   OperatorNews
+	Full   bool
+	Update OperatorUpdate
 	// Records are what News was made of; From and Next are the offsets between
 	// which they are complete.
 	Records []Record
@@ -36,7 +36,7 @@
 	Now clock.Millis
 	// SentAt is when the read was sent.
 	SentAt  clock.Millis
-	Whole   bool
+	Full    bool
 	Changes []fleet.Change
 	// Records are what Changes was made of.
 	Records []Record
@@ -56,46 +56,46 @@
 	Addresses map[string]string
 }
 
-// Heard is a report of another entry.
-type Heard struct {
+// ReportReceived is a report of another entry.
+type ReportReceived struct {
 	Now    clock.Millis
 	Report *wire.EntryReport
-	// News and Changes are what the report's records say.
-	News    OperatorNews
+	// Update and Changes are what the report's records say.
+	Update  OperatorUpdate
 	Changes []fleet.Change
 }
 
-// Counted is what this process's traffic has counted since it started.
-type Counted struct {
+// TrafficCounts is what this process's traffic has counted since it started.
+type TrafficCounts struct {
 	Now    clock.Millis
 	Counts map[string]upgrade.Counts
 	// Running is the number of requests under way by service and version.
 	Running map[string]map[string]int
-	// Kept lists by service the sessions that stay on the old version of an
+	// KeptSessions lists by service the sessions that stay on the old version of an
 	// upgrade although their number belongs to the new one.
-	Kept map[string][]uint64
+	KeptSessions map[string][]uint64
 }
 
 // Leave tells that the process was asked to stop.
 type Leave struct{}
 
-// Written tells that a verdict was appended or found taken.
-type Written struct {
+// WriteDone tells that a verdict was appended or found taken.
+type WriteDone struct {
 	Now     clock.Millis
 	Verdict Verdict
 	Err     error
 }
 
-func (Tick) event()          {}
-func (OperatorRead) event()  {}
-func (EndpointsRead) event() {}
-func (VerdictsRead) event()  {}
-func (EntriesRead) event()   {}
-func (Heard) event()         {}
-func (Counted) event()       {}
-func (Written) event()       {}
-func (Leave) event()         {}
-func (StoreFailed) event()   {}
+func (Tick) event()           {}
+func (OperatorRead) event()   {}
+func (EndpointsRead) event()  {}
+func (VerdictsRead) event()   {}
+func (EntriesRead) event()    {}
+func (ReportReceived) event() {}
+func (TrafficCounts) event()  {}
+func (WriteDone) event()      {}
+func (Leave) event()          {}
+func (StoreFailed) event()    {}
 
 // Effect is something that the state asks for.
 type Effect interface{ effect() }
@@ -109,21 +109,21 @@
 	At      int64
 }
 
-// Say asks for a log line.
-type Say struct {
+// LogLine asks for a log line.
+type LogLine struct {
 	Message string
 	Fields  []any
 	Warn    bool
 }
 
-// Tell asks to send a report to the other entries, or to one address.
-type Tell struct {
+// SendReport asks to send a report to the other entries, or to one address.
+type SendReport struct {
 	Report *wire.EntryReport
 	// To is empty for all others.
 	To string
 }
 
-func (Tell) effect()    {}
-func (Publish) effect() {}
-func (Write) effect()   {}
-func (Say) effect()     {}
+func (SendReport) effect() {}
+func (Publish) effect()    {}
+func (Write) effect()      {}
+func (LogLine) effect()    {}
--- a/site/feed.go
+++ b/site/feed.go
@@ -79,15 +79,15 @@
 }
 
 func (l *Loop) takeOperator(ctx context.Context, a answer) {
-	news := OperatorNews{}
+	news := OperatorUpdate{}
 	if len(a.records) > 0 {
 		news = l.cfg.Codec.Operator(a.records)
 	}
-	l.post(ctx, OperatorRead{Now: a.now, SentAt: a.sentAt, Whole: a.whole, News: news, Records: a.records, From: a.from, Next: a.next})
+	l.post(ctx, OperatorRead{Now: a.now, SentAt: a.sentAt, Full: a.whole, Update: news, Records: a.records, From: a.from, Next: a.next})
 }
 
 func (l *Loop) takeEndpoints(ctx context.Context, a answer) {
-	l.post(ctx, EndpointsRead{Now: a.now, SentAt: a.sentAt, Whole: a.whole, Changes: l.cfg.Codec.Endpoints(a.records, a.now), Records: a.records})
+	l.post(ctx, EndpointsRead{Now: a.now, SentAt: a.sentAt, Full: a.whole, Changes: l.cfg.Codec.Endpoints(a.records, a.now), Records: a.records})
 }
 
 func (l *Loop) takeStatus(ctx context.Context, a answer) {
--- a/site/kept_test.go
+++ b/site/kept_test.go
@@ -14,19 +14,19 @@
 // then answered how fresh its knowledge is: the answer, which says nothing of upgrades,
 // wiped out what it had told. The session changed to the new version, at each such
 // request, and the old version's requests there did not count any more.
-func TestAnswersDoNotWipeOutWhatWasToldOfUpgrades(t *testing.T) {
+func TestReplyKeepsReportedUpgrades(t *testing.T) {
 	is := is.New(t)
 	s := movingState()
 	told := &wire.EntryReport{Name: "entry-a", Process: "a/1", Zone: "a", Upgrades: []*wire.UpgradeReport{{Service: "pool", Target: "v2", Number: 7, Old: 3, Kept: []uint64{42}}}}
-	effects := Reduce(s, Heard{Now: 1000, Report: told})
+	effects := Reduce(s, ReportReceived{Now: 1000, Report: told})
 	is.True(publishes(effects)) // traffic must know of the session at once
-	is.True(s.View().KeptElsewhere("pool", 42))
-	Reduce(s, Heard{Now: 1100, Report: &wire.EntryReport{Name: "entry-a", Process: "a/1", Zone: "a", ReplyMillis: 5}})
-	is.True(s.View().KeptElsewhere("pool", 42))
+	is.True(s.View().KeptByPeer("pool", 42))
+	Reduce(s, ReportReceived{Now: 1100, Report: &wire.EntryReport{Name: "entry-a", Process: "a/1", Zone: "a", ReplyMillis: 5}})
+	is.True(s.View().KeptByPeer("pool", 42))
 	is.Equal(s.old(s.upgrades["pool"].Order()), 3)
 	// Another start of the entry holds nothing of before.
-	Reduce(s, Heard{Now: 1200, Report: &wire.EntryReport{Name: "entry-a", Process: "a/2", Zone: "a"}})
-	is.True(!s.View().KeptElsewhere("pool", 42))
+	Reduce(s, ReportReceived{Now: 1200, Report: &wire.EntryReport{Name: "entry-a", Process: "a/2", Zone: "a"}})
+	is.True(!s.View().KeptByPeer("pool", 42))
 	is.Equal(s.old(s.upgrades["pool"].Order()), 0)
 }
 
--- a/site/loop.go
+++ b/site/loop.go
@@ -33,8 +33,8 @@
 	// Send sends a report to the addresses of other entries; it must not block
 	// for long.
 	Send func(r *wire.EntryReport, to []string) error
-	// Counted returns what traffic has counted since the start.
-	Counted func() Counted
+	// Counts returns what traffic has counted since the start.
+	Counts func() TrafficCounts
 }
 
 // Loop runs the reducer on one goroutine and publishes views to traffic.
@@ -65,23 +65,23 @@
 // Started returns a channel that is closed once the process knows its site.
 func (l *Loop) Started() <-chan struct{} { return l.started }
 
-// Lost counts the reports that were dropped because control was busy, or because their
+// Dropped counts the reports that were dropped because control was busy, or because their
 // records could not be unpacked.
-func (l *Loop) Lost() int64 { return l.lost.Load() }
+func (l *Loop) Dropped() int64 { return l.lost.Load() }
 
 // Leave tells the other entries that this one stops.
 func (l *Loop) Leave(ctx context.Context) { l.post(ctx, Leave{}) }
 
-// Hear takes a report of another entry. One that finds the queue full is
+// Receive takes a report of another entry. One that finds the queue full is
 // dropped, since the next repeats what it said.
-func (l *Loop) Hear(r *wire.EntryReport) {
+func (l *Loop) Receive(r *wire.EntryReport) {
 	if err := unpack(r); err != nil {
 		l.lost.Add(1)
 		return
 	}
-	h := Heard{Now: l.cfg.Clock.Now(), Report: r}
+	h := ReportReceived{Now: l.cfg.Clock.Now(), Report: r}
 	if len(r.GetRecords()) > 0 {
-		h.News = l.cfg.Codec.Operator(recordsOn(r, OperatorStream))
+		h.Update = l.cfg.Codec.Operator(recordsOn(r, OperatorStream))
 		h.Changes = l.cfg.Codec.Endpoints(recordsOn(r, EndpointStream), h.Now)
 	}
 	select {
@@ -144,13 +144,13 @@
 
 func (l *Loop) perform(ctx context.Context, f Effect) {
 	switch f := f.(type) {
-	case Say:
+	case LogLine:
 		if f.Warn {
 			l.cfg.Log.Warn(f.Message, f.Fields...)
 			return
 		}
 		l.cfg.Log.Info(f.Message, f.Fields...)
-	case Tell:
+	case SendReport:
 		l.send(f)
 	case Write:
 		go l.write(ctx, f)
@@ -158,7 +158,7 @@
 }
 
 // send sends a report, its records packed.
-func (l *Loop) send(f Tell) {
+func (l *Loop) send(f SendReport) {
 	f.Report.Address = l.cfg.Address
 	to := []string{f.To}
 	if f.To == "" {
@@ -190,13 +190,13 @@
 	defer cancel()
 	key, value := l.cfg.Codec.VerdictRecord(w.Verdict)
 	err := l.cfg.Store.Append(call, StatusStream, key, value, w.At)
-	l.post(ctx, Written{Now: l.cfg.Clock.Now(), Verdict: w.Verdict, Err: err})
+	l.post(ctx, WriteDone{Now: l.cfg.Clock.Now(), Verdict: w.Verdict, Err: err})
 }
 
 func (l *Loop) tick(ctx context.Context) {
 	for clock.Pause(ctx, tickEvery) {
 		if l.View().moving() {
-			c := l.cfg.Counted()
+			c := l.cfg.Counts()
 			c.Now = l.cfg.Clock.Now()
 			l.post(ctx, c)
 		}
--- a/site/news.go
+++ b/site/news.go
@@ -62,19 +62,19 @@
 
 // Codec translates the records of the platform.
 type Codec struct {
-	Operator      func(records []Record) OperatorNews
+	Operator      func(records []Record) OperatorUpdate
 	Endpoints     func(records []Record, now clock.Millis) []fleet.Change
 	Verdicts      func(records []Record) []Verdict
 	VerdictRecord func(v Verdict) (key string, value []byte)
 }
 
-// OperatorNews is what operators published since the last look.
-type OperatorNews struct {
+// OperatorUpdate is what operators published since the last look.
+type OperatorUpdate struct {
 	// Config is nil when it did not change.
-	Config *catalog.Config
-	Orders []upgrade.Order
-	Zones  []ZoneChange
-	Faults []Fault
+	Config  *catalog.Config
+	Orders  []upgrade.Order
+	Zones   []ZoneChange
+	Invalid []InvalidRecord
 }
 
 // ZoneChange takes a zone out of service or back in.
@@ -83,8 +83,8 @@
 	Out  bool
 }
 
-// Fault is a record that cannot be used.
-type Fault struct {
+// InvalidRecord is a record that cannot be used.
+type InvalidRecord struct {
 	Key    string
 	Offset int64
 	Reason string
--- a/site/outage_test.go
+++ b/site/outage_test.go
@@ -62,11 +62,11 @@
 	return NewLoop(Config{
 		Self: self, Clock: clock.Boot(), Log: log.New(io.Discard), Store: f.store(),
 		Codec: Codec{
-			Operator:  func([]Record) OperatorNews { return OperatorNews{Config: (&catalog.Config{Version: 1}).Index()} },
+			Operator:  func([]Record) OperatorUpdate { return OperatorUpdate{Config: (&catalog.Config{Version: 1}).Index()} },
 			Endpoints: func([]Record, clock.Millis) []fleet.Change { return nil },
 			Verdicts:  func([]Record) []Verdict { return nil },
 		},
-		Send: func(*wire.EntryReport, []string) error { return nil }, Counted: func() Counted { return Counted{} },
+		Send: func(*wire.EntryReport, []string) error { return nil }, Counts: func() TrafficCounts { return TrafficCounts{} },
 	})
 }
 
@@ -74,7 +74,7 @@
 // Each tried it with every one of its reads, four times as often as it takes to find
 // out, and all of these calls are paid for. Now one read of each tries; the others
 // follow as soon as that one is answered.
-func TestFailingStoreIsTriedByOneRead(t *testing.T) {
+func TestFailingStoreIsProbedByOneFeed(t *testing.T) {
 	is := is.New(t)
 	f := &flakyStore{calls: make(map[Stream]int)}
 	f.fails.Store(true)
--- a/site/pack.go
+++ b/site/pack.go
@@ -76,8 +76,8 @@
 	return b.Bytes(), err
 }
 
-// ErrPacked marks a report whose records cannot be unpacked.
-var ErrPacked = Errors.NewType("packed")
+// ErrUnpack marks a report whose records cannot be unpacked.
+var ErrUnpack = Errors.NewType("packed")
 
 // unpack puts a report's packed records back.
 func unpack(r *wire.EntryReport) (err error) {
@@ -86,14 +86,14 @@
 	}
 	data, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(r.GetPacked())), mostUnpacked+1))
 	if err != nil {
-		return ErrPacked.Wrap(err, "report of %s", r.GetName())
+		return ErrUnpack.Wrap(err, "report of %s", r.GetName())
 	}
 	if len(data) > mostUnpacked {
-		return ErrPacked.New("report of %s unpacks to more than %d bytes", r.GetName(), mostUnpacked)
+		return ErrUnpack.New("report of %s unpacks to more than %d bytes", r.GetName(), mostUnpacked)
 	}
 	var records wire.StoreRecords
 	if err = proto.Unmarshal(data, &records); err != nil {
-		return ErrPacked.Wrap(err, "report of %s", r.GetName())
+		return ErrUnpack.Wrap(err, "report of %s", r.GetName())
 	}
 	r.Records, r.Packed = records.GetRecords(), nil
 	return nil
--- a/site/pack_test.go
+++ b/site/pack_test.go
@@ -26,7 +26,7 @@
 // announced only, and each of 68 entries read all endpoints from the store. It goes out
 // in one packed report, and a thousand endpoints' in a few, until it is too much for the
 // link of the entry that tells.
-func TestNewsOfManyEndpointsReachesAll(t *testing.T) {
+func TestPackManyRegistrations(t *testing.T) {
 	is := is.New(t)
 	for _, x := range []struct{ endpoints, entries, reports int }{{74, 67, 1}, {1000, 67, 5}, {3000, 67, 15}} {
 		reports, err := pack(announcements(x.endpoints), x.entries)
@@ -48,7 +48,7 @@
 }
 
 // Whatever is packed comes out again.
-func TestPackedNewsIsTheSame(t *testing.T) {
+func TestPackRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := &wire.EntryReport{Process: "p"}
 		stream := rapid.SampledFrom([]Stream{OperatorStream, EndpointStream}).Draw(t, "stream")
--- a/site/share.go
+++ b/site/share.go
@@ -88,7 +88,7 @@
 	for _, x := range records {
 		r.Records = append(r.Records, &wire.StoreRecord{Stream: int32(stream), Key: x.Key, Value: x.Value, Offset: x.Offset})
 	}
-	return Tell{Report: r}
+	return SendReport{Report: r}
 }
 
 // recordsOn returns a report's records of one stream.
@@ -103,7 +103,7 @@
 
 // heardNews takes news and confirmations of another entry, and answers its
 // question.
-func (s *State) heardNews(e Heard) (effects []Effect) {
+func (s *State) heardNews(e ReportReceived) (effects []Effect) {
 	if !s.started() {
 		return nil
 	}
@@ -124,7 +124,7 @@
 
 // heardOperator takes what operators published by way of another entry, if
 // nothing is missing before it.
-func (s *State) heardOperator(e Heard) (effects []Effect) {
+func (s *State) heardOperator(e ReportReceived) (effects []Effect) {
 	r := e.Report
 	if r.GetOperatorNext() <= s.operatorNext {
 		return nil
@@ -132,7 +132,7 @@
 	s.heardNext = max(s.heardNext, r.GetOperatorNext())
 	complete := len(recordsOn(r, OperatorStream)) > 0 && r.GetOperatorFrom() >= 0 && r.GetOperatorFrom() <= s.operatorNext
 	if complete {
-		effects = s.published(OperatorRead{Now: e.Now, News: e.News}, false)
+		effects = s.published(OperatorRead{Now: e.Now, Update: e.Update}, false)
 		s.operatorNext = r.GetOperatorNext()
 	}
 	return append(effects, Publish{})
@@ -145,7 +145,7 @@
 	r.ReplyMillis, r.ReplyTo = asker.GetAskMillis(), asker.GetProcess()
 	r.ConfirmedAgeMillis = int64(s.now - s.confirmedAt)
 	r.FleetAgeMillis = int64(s.now - s.fleetAt)
-	return Tell{Report: r, To: asker.GetAddress()}
+	return SendReport{Report: r, To: asker.GetAddress()}
 }
 
 // confirmed takes a reader's answer. It confirms only what is the same here and
--- a/site/sharer.go
+++ b/site/sharer.go
@@ -79,7 +79,7 @@
 // these never share too much.
 func (s *State) shareOf(all []sharer, zone string, inUse map[string]bool) placement.Share {
 	atHome := func(of string) bool { return of == zone || of != "" && !inUse[of] }
-	home, away := placement.Share{Part: homePart}, placement.Share{Part: 1 - homePart}
+	home, away := placement.Share{Fraction: homePart}, placement.Share{Fraction: 1 - homePart}
 	for _, x := range all {
 		if atHome(x.zone) || x.zone == "" {
 			count(&home, x.name < s.self.Name)
@@ -91,11 +91,11 @@
 	share := away
 	switch {
 	case home.Entries == 0:
-		share.Part = 1
+		share.Fraction = 1
 	case atHome(s.self.Zone):
 		share = home
 		if away.Entries == 0 {
-			share.Part = 1
+			share.Fraction = 1
 		}
 	}
 	if s.leaving {
--- a/site/state.go
+++ b/site/state.go
@@ -152,13 +152,13 @@
 	case EntriesRead:
 		s.now = e.Now
 		effects = s.entriesRead(e)
-	case Heard:
+	case ReportReceived:
 		s.now = e.Now
 		effects = s.heard(e)
-	case Counted:
+	case TrafficCounts:
 		s.now = e.Now
 		effects = s.counted(e)
-	case Written:
+	case WriteDone:
 		s.now = e.Now
 		effects = s.written(e)
 	case StoreFailed:
@@ -193,7 +193,7 @@
 	first := !s.known[OperatorStream]
 	s.known[OperatorStream] = true
 	s.answered()
-	if s.reader() && len(e.Records) > 0 && !e.Whole {
+	if s.reader() && len(e.Records) > 0 && !e.Full {
 		effects = append(effects, s.push(OperatorStream, e.Records, e.From, e.Next))
 	}
 	s.operatorNext = max(s.operatorNext, e.Next)
@@ -204,13 +204,13 @@
 
 // published takes what operators published into the state.
 func (s *State) published(e OperatorRead, first bool) (effects []Effect) {
-	for _, f := range e.News.Faults {
-		effects = append(effects, Say{Message: "Operator's record cannot be used", Fields: []any{"key", f.Key, "offset", f.Offset, "reason", f.Reason}, Warn: true})
+	for _, f := range e.Update.Invalid {
+		effects = append(effects, LogLine{Message: "Operator's record cannot be used", Fields: []any{"key", f.Key, "offset", f.Offset, "reason", f.Reason}, Warn: true})
 	}
-	if c := e.News.Config; c != nil {
+	if c := e.Update.Config; c != nil {
 		effects = append(effects, s.adopt(c)...)
 	}
-	for _, o := range e.News.Orders {
+	for _, o := range e.Update.Orders {
 		effects = append(effects, s.ordered(o, first)...)
 	}
 	effects = append(effects, s.zones(e)...)
@@ -228,23 +228,23 @@
 		old = s.config.Version
 	}
 	s.config = c
-	return []Effect{Say{Message: "Configuration is in force", Fields: []any{"version", c.Version, "before", old, "routes", len(c.Routes), "organisations", len(c.Organisations)}}}
+	return []Effect{LogLine{Message: "Configuration is in force", Fields: []any{"version", c.Version, "before", old, "routes", len(c.Routes), "organisations", len(c.Organisations)}}}
 }
 
 func (s *State) zones(e OperatorRead) (effects []Effect) {
 	named := make(map[string]bool)
-	for _, z := range e.News.Zones {
+	for _, z := range e.Update.Zones {
 		named[z.Zone] = true
 		if s.fleet.SetZone(z.Zone, z.Out, s.now) {
-			effects = append(effects, Say{Message: "Zone changed", Fields: []any{"zone", z.Zone, "out", z.Out}})
+			effects = append(effects, LogLine{Message: "Zone changed", Fields: []any{"zone", z.Zone, "out", z.Out}})
 		}
 	}
-	if !e.Whole {
+	if !e.Full {
 		return effects
 	}
-	for _, zone := range s.fleet.Zones() {
+	for _, zone := range s.fleet.ZonesOut() {
 		if !named[zone] && s.fleet.SetZone(zone, false, s.now) {
-			effects = append(effects, Say{Message: "Zone changed", Fields: []any{"zone", zone, "out", false}})
+			effects = append(effects, LogLine{Message: "Zone changed", Fields: []any{"zone", zone, "out", false}})
 		}
 	}
 	return effects
@@ -256,11 +256,11 @@
 	e = s.hold(e)
 	for _, c := range e.Changes {
 		if c.Reason != "" {
-			effects = append(effects, Say{Message: "Endpoint's entry cannot be used", Fields: []any{"endpoint", c.ID, "reason", c.Reason}, Warn: true})
+			effects = append(effects, LogLine{Message: "Endpoint's entry cannot be used", Fields: []any{"endpoint", c.ID, "reason", c.Reason}, Warn: true})
 		}
 	}
 	s.fleetAt, s.strayAt = max(s.fleetAt, e.SentAt), 0
-	moved := s.fleet.Apply(e.Changes, e.Whole)
+	moved := s.fleet.Apply(e.Changes, e.Full)
 	effects = append(effects, s.fleetChanged(moved)...)
 	if s.reader() && len(moved) > 0 {
 		effects = append(effects, s.push(EndpointStream, recordsOf(moved, e.Records), 0, 0))
@@ -331,7 +331,7 @@
 		delete(s.lapsed, c.ID)
 		kept = append(kept, c)
 	}
-	if e.Whole {
+	if e.Full {
 		for id, known := range s.fleet.Snapshot().All() {
 			switch {
 			case named[id]:
@@ -365,22 +365,22 @@
 func (s *State) moved(id string) Effect {
 	at := s.fleet.Find(id)
 	if at == nil {
-		return Say{Message: "Endpoint is gone", Fields: []any{"endpoint", id}}
+		return LogLine{Message: "Endpoint is gone", Fields: []any{"endpoint", id}}
 	}
-	return Say{Message: "Endpoint changed", Fields: []any{
+	return LogLine{Message: "Endpoint changed", Fields: []any{
 		"endpoint", id, "service", at.Service, "address", at.Address, "zone", at.Zone, "version", at.Version, "leaving", at.Leaving, "cold", s.fleet.Snapshot().Cold(at, s.now),
 	}}
 }
 
 // heard takes a report of another entry.
-func (s *State) heard(e Heard) (effects []Effect) {
+func (s *State) heard(e ReportReceived) (effects []Effect) {
 	r := e.Report
 	if r.GetName() == s.self.Name {
 		return nil
 	}
 	old := s.peers[r.GetName()]
 	if old == nil {
-		effects = append(effects, Say{Message: "Entry heard", Fields: []any{"entry", r.GetName(), "zone", r.GetZone()}}, Publish{})
+		effects = append(effects, LogLine{Message: "Entry heard", Fields: []any{"entry", r.GetName(), "zone", r.GetZone()}}, Publish{})
 		effects = append(effects, s.answerStart(r)...)
 		old = &peer{}
 		s.peers[r.GetName()] = old
--- a/site/state_test.go
+++ b/site/state_test.go
@@ -72,9 +72,9 @@
 	case "failed":
 		return StoreFailed{Now: now}
 	case "operator":
-		return OperatorRead{Now: now, SentAt: clock.Millis(a.number("sent")), Whole: a.has("whole"), News: newsOf(t, d.Input), Next: a.number("next"), From: a.number("from")}
+		return OperatorRead{Now: now, SentAt: clock.Millis(a.number("sent")), Full: a.has("whole"), Update: newsOf(t, d.Input), Next: a.number("next"), From: a.number("from")}
 	case "endpoints":
-		return EndpointsRead{Now: now, SentAt: now, Whole: a.has("whole"), Changes: changesOf(t, d.Input)}
+		return EndpointsRead{Now: now, SentAt: now, Full: a.has("whole"), Changes: changesOf(t, d.Input)}
 	case "verdicts":
 		return VerdictsRead{Now: now, Verdicts: verdictsOf(t, d.Input), Next: a.number("next")}
 	case "entries":
@@ -86,9 +86,9 @@
 	case "written":
 		v := verdictsOf(t, d.Input)[0]
 		if a.has("moved") {
-			return Written{Now: now, Verdict: v, Err: ErrMoved.New("elsewhere")}
+			return WriteDone{Now: now, Verdict: v, Err: ErrMoved.New("elsewhere")}
 		}
-		return Written{Now: now, Verdict: v}
+		return WriteDone{Now: now, Verdict: v}
 	case "counted":
 		return countedOf(a, now)
 	case "heard":
@@ -99,7 +99,7 @@
 }
 
 // newsOf reads lines "config 4", "zone a out", "order pool v2 24000 7".
-func newsOf(t *testing.T, text string) (n OperatorNews) {
+func newsOf(t *testing.T, text string) (n OperatorUpdate) {
 	for _, line := range lines(text) {
 		f := strings.Fields(line)
 		switch f[0] {
@@ -136,7 +136,7 @@
 			}
 			switch key {
 			case "born":
-				e.Born = n
+				e.Incarnation = n
 			case "sequence":
 				e.Sequence = n
 			case "cold-until":
@@ -168,7 +168,7 @@
 		m, _ := strconv.ParseInt(bad, 10, 64)
 		return upgrade.Count{Ended: n, Bad: m}
 	}
-	return Counted{
+	return TrafficCounts{
 		Now:     now,
 		Counts:  map[string]upgrade.Counts{"pool": {{Route: "chat", Target: true}: pair("new"), {Route: "chat"}: pair("old")}},
 		Running: map[string]map[string]int{"pool": {"v1": int(a.number("running"))}},
@@ -182,9 +182,9 @@
 		StoreAgeMillis: a.number("store-age"), AskMillis: a.number("ask"), ReplyMillis: a.number("reply"), ReplyTo: a.text("reply-to"),
 		ConfirmedAgeMillis: a.number("age"), FleetAgeMillis: a.number("age"),
 	}
-	h := Heard{Now: now, Report: r}
+	h := ReportReceived{Now: now, Report: r}
 	if a.d.Input != "" {
-		h.News = newsOf(a.t, a.d.Input)
+		h.Update = newsOf(a.t, a.d.Input)
 		r.Records = []*wire.StoreRecord{{Stream: int32(OperatorStream), Key: "x"}}
 	}
 	if a.has("upgrade") {
@@ -203,7 +203,7 @@
 	var b strings.Builder
 	for _, f := range effects {
 		switch f := f.(type) {
-		case Say:
+		case LogLine:
 			fmt.Fprintf(&b, "say %s", f.Message)
 			for i := 0; i+1 < len(f.Fields); i += 2 {
 				fmt.Fprintf(&b, " %v=%v", f.Fields[i], f.Fields[i+1])
@@ -211,7 +211,7 @@
 			b.WriteString("\n")
 		case Write:
 			fmt.Fprintf(&b, "write %s %s %s at %d\n", f.Verdict.Service, f.Verdict.Target, f.Verdict.Phase, f.At)
-		case Tell:
+		case SendReport:
 			if r := f.Report; r.GetReplyMillis() > 0 {
 				fmt.Fprintf(&b, "reply to %s: asked %d, confirmed %d ago\n", f.To, r.GetReplyMillis(), r.GetConfirmedAgeMillis())
 			} else if len(r.GetRecords()) > 0 {
@@ -247,36 +247,36 @@
 // A peer's answer is to a question of the process that had this address before
 // it was restarted. Its clock was another one: taken for this one's, the answer
 // would make a configuration look confirmed seconds after the fact.
-func TestAnswerToTheProcessBeforeConfirmsNothing(t *testing.T) {
+func TestReplyToPreviousProcessIsIgnored(t *testing.T) {
 	is := is.New(t)
 	s := NewState(Self{Name: "b", Process: "b/2"}, 0)
 	Reduce(s, VerdictsRead{Now: 100})
 	Reduce(s, EndpointsRead{Now: 100, SentAt: 90})
-	Reduce(s, OperatorRead{Now: 100, SentAt: 90, Whole: true, Next: 5, News: newsOf(t, "config 1")})
+	Reduce(s, OperatorRead{Now: 100, SentAt: 90, Full: true, Next: 5, Update: newsOf(t, "config 1")})
 	r := &wire.EntryReport{Process: "a/1", Name: "a", OperatorNext: 5, ReplyMillis: 4000, ReplyTo: "b/1"}
-	Reduce(s, Heard{Now: 5000, Report: r})
+	Reduce(s, ReportReceived{Now: 5000, Report: r})
 	is.Equal(s.View().ConfirmedAt(), clock.Millis(90))
 	r.ReplyTo = "b/2"
 	r.ConfirmedAgeMillis = 700
-	Reduce(s, Heard{Now: 5000, Report: r})
+	Reduce(s, ReportReceived{Now: 5000, Report: r})
 	is.Equal(s.View().ConfirmedAt(), clock.Millis(3300))
 }
 
 // Entries are stopped in turn, and the one that is left has nearly all callers. It
 // takes the shares of those that leave; these keep a small part for what they
 // still have, so that all together stay within the bound.
-func TestLeavingEntriesHandOverTheirShare(t *testing.T) {
+func TestLeavingEntryReleasesItsShare(t *testing.T) {
 	is := is.New(t)
 	s := NewState(Self{Name: "b", Process: "b/1"}, 0)
 	Reduce(s, EntriesRead{Now: 10, Addresses: map[string]string{"a": "x", "b": "y", "c": "z"}})
-	Reduce(s, Heard{Now: 20, Report: &wire.EntryReport{Process: "a/1", Name: "a", Address: "x"}})
-	Reduce(s, Heard{Now: 20, Report: &wire.EntryReport{Process: "c/1", Name: "c", Address: "z"}})
+	Reduce(s, ReportReceived{Now: 20, Report: &wire.EntryReport{Process: "a/1", Name: "a", Address: "x"}})
+	Reduce(s, ReportReceived{Now: 20, Report: &wire.EntryReport{Process: "c/1", Name: "c", Address: "z"}})
 	is.Equal(s.View().Entries(), 3)
-	Reduce(s, Heard{Now: 30, Report: &wire.EntryReport{Process: "a/1", Name: "a", Address: "x", Leaving: true}})
+	Reduce(s, ReportReceived{Now: 30, Report: &wire.EntryReport{Process: "a/1", Name: "a", Address: "x", Leaving: true}})
 	is.Equal(s.View().Entries(), 2)
-	Reduce(s, Heard{Now: 40, Report: &wire.EntryReport{Process: "a/2", Name: "a", Address: "x"}})
+	Reduce(s, ReportReceived{Now: 40, Report: &wire.EntryReport{Process: "a/2", Name: "a", Address: "x"}})
 	is.Equal(s.View().Entries(), 3)
-	Reduce(s, EndpointsRead{Now: 50, Whole: true, Changes: changesOf(t, "i-1 v1 a ready")})
+	Reduce(s, EndpointsRead{Now: 50, Full: true, Changes: changesOf(t, "i-1 v1 a ready")})
 	before := s.View().Shares()["a"].Entries
 	Reduce(s, Leave{})
 	is.Equal(s.View().Shares()["a"].Entries, 4*before)
@@ -284,7 +284,7 @@
 
 // Entries of several zones share what an endpoint bears. Those of its own zone have
 // most of it, and all together never have more than the whole.
-func TestSharesOfAllEntriesAreTheWhole(t *testing.T) {
+func TestSharesStayWithinLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		names := []string{"a", "b", "c", "d", "e", "f", "g"}[:rapid.IntRange(1, 7).Draw(t, "entries")]
 		zones := make(map[string]string)
@@ -301,10 +301,10 @@
 			}
 			Reduce(s, EntriesRead{Now: 1, Addresses: addresses})
 			for _, other := range names {
-				Reduce(s, Heard{Now: 2, Report: &wire.EntryReport{Process: other, Name: other, Zone: zones[other], Address: other}})
+				Reduce(s, ReportReceived{Now: 2, Report: &wire.EntryReport{Process: other, Name: other, Zone: zones[other], Address: other}})
 			}
-			Reduce(s, EndpointsRead{Now: 3, Whole: true, Changes: []fleet.Change{{ID: "i", Endpoint: &fleet.Endpoint{ID: "i", Zone: "x"}}}})
-			sum += s.View().Shares()["x"].In(total, "i")
+			Reduce(s, EndpointsRead{Now: 3, Full: true, Changes: []fleet.Change{{ID: "i", Endpoint: &fleet.Endpoint{ID: "i", Zone: "x"}}}})
+			sum += s.View().Shares()["x"].Quota(total, "i")
 		}
 		if sum > int(total) {
 			t.Fatalf("all together may send %d, %g are allowed", sum, total)
@@ -320,9 +320,9 @@
 	s := NewState(Self{Name: "c", Process: "c/1"}, 0)
 	Reduce(s, VerdictsRead{Now: 100})
 	Reduce(s, EndpointsRead{Now: 100, SentAt: 90})
-	Reduce(s, OperatorRead{Now: 100, SentAt: 90, Whole: true, Next: 5, News: newsOf(t, "config 1")})
+	Reduce(s, OperatorRead{Now: 100, SentAt: 90, Full: true, Next: 5, Update: newsOf(t, "config 1")})
 	for _, name := range []string{"a", "b"} {
-		Reduce(s, Heard{Now: 1000, Report: &wire.EntryReport{Process: name, Name: name, Address: name, OperatorNext: 5}})
+		Reduce(s, ReportReceived{Now: 1000, Report: &wire.EntryReport{Process: name, Name: name, Address: name, OperatorNext: 5}})
 	}
 	view := s.View()
 	published := clock.Millis(0)
--- a/site/tell.go
+++ b/site/tell.go
@@ -30,7 +30,7 @@
 	if s.known[EntryStream] {
 		s.startReportsSent++
 	}
-	return Tell{Report: s.asking()}
+	return SendReport{Report: s.asking()}
 }
 
 // asking is a report that asks readers how fresh their knowledge is.
@@ -72,7 +72,7 @@
 	if r.GetZone() == "" || r.GetZone() != s.self.Zone || r.GetAddress() == "" {
 		return nil
 	}
-	return []Effect{Tell{Report: s.asking(), To: r.GetAddress()}}
+	return []Effect{SendReport{Report: s.asking(), To: r.GetAddress()}}
 }
 
 // tellFirst sends a report to the entries that act for all.
@@ -82,7 +82,7 @@
 			break
 		}
 		if name != s.self.Name {
-			effects = append(effects, Tell{Report: r, To: s.addresses[name]})
+			effects = append(effects, SendReport{Report: r, To: s.addresses[name]})
 		}
 	}
 	return effects
--- a/site/tell_test.go
+++ b/site/tell_test.go
@@ -12,7 +12,7 @@
 // A site has 300 entries. When each told all others once a second that it lives,
 // these reports were most of what an entry sent and received. Only those that act for
 // all do so; the others tell these three each second, and all now and then.
-func TestMostEntriesTellAllSeldom(t *testing.T) {
+func TestMostEntriesBroadcastRarely(t *testing.T) {
 	is := is.New(t)
 	const entries, span = 300, 60 * clock.Second
 	for _, x := range []struct {
@@ -47,12 +47,12 @@
 	}
 	for now := clock.Second; now <= span; now += clock.Second {
 		for i := range judges + 1 {
-			Reduce(s, Heard{Now: now, Report: &wire.EntryReport{Name: name(i), Process: name(i), Address: name(i) + ":1"}})
+			Reduce(s, ReportReceived{Now: now, Report: &wire.EntryReport{Name: name(i), Process: name(i), Address: name(i) + ":1"}})
 		}
 		effects = append(effects, Reduce(s, Tick{Now: now})...)
 	}
 	for _, f := range effects {
-		if f, ok := f.(Tell); ok && f.To == "" {
+		if f, ok := f.(SendReport); ok && f.To == "" {
 			all++
 		} else if ok {
 			few++
@@ -63,12 +63,12 @@
 
 // Two entries of a zone start one after the other. The first one has told all before the
 // second one listens, and would go on without its word on work for seconds.
-func TestEntryAnswersOneOfItsZoneThatStarts(t *testing.T) {
+func TestEntryRepliesToNewEntryInZone(t *testing.T) {
 	is := is.New(t)
 	s := NewState(Self{Name: "entry-1", Process: "p", Zone: "a"}, 0)
 	hear := func(name, zone string) (to []string) {
-		for _, f := range Reduce(s, Heard{Now: 1000, Report: &wire.EntryReport{Name: name, Process: name, Zone: zone, Address: name + ":1"}}) {
-			if f, ok := f.(Tell); ok {
+		for _, f := range Reduce(s, ReportReceived{Now: 1000, Report: &wire.EntryReport{Name: name, Process: name, Zone: zone, Address: name + ":1"}}) {
+			if f, ok := f.(SendReport); ok {
 				to = append(to, f.To)
 			}
 		}
@@ -81,13 +81,13 @@
 
 // An entry's first report went out before it knew an address, and the next a second later.
 // It left the store to entries that did not know of it, and missed what these told.
-func TestEntryThatStartsTellsAsSoonAsItKnowsWhom(t *testing.T) {
+func TestEntryBroadcastsOnceAddressesAreKnown(t *testing.T) {
 	is := is.New(t)
 	s := NewState(Self{Name: "c", Process: "p"}, 0)
 	Reduce(s, Tick{Now: 2 * clock.Second})
 	tells := func(effects []Effect) (n int) {
 		for _, f := range effects {
-			if t, ok := f.(Tell); ok && t.To == "" && t.Report.GetAskMillis() > 0 {
+			if t, ok := f.(SendReport); ok && t.To == "" && t.Report.GetAskMillis() > 0 {
 				n++
 			}
 		}
--- a/site/upgrade.go
+++ b/site/upgrade.go
@@ -49,7 +49,7 @@
 		s.settleVersion(o.Service)
 		s.due(Verdict{Service: o.Service, Target: o.Target, Phase: upgrade.Running})
 	}
-	return []Effect{Say{Message: "Upgrade ordered", Fields: []any{
+	return []Effect{LogLine{Message: "Upgrade ordered", Fields: []any{
 		"service", o.Service, "target", o.Target, "span", o.Duration, "number", o.Number, "current", s.current[o.Service], "phase", u.Phase(),
 	}}}
 }
@@ -159,7 +159,7 @@
 	}
 	delete(s.kept, o.Service)
 	t := u.Total()
-	return []Effect{Say{Message: "Upgrade ended", Fields: []any{
+	return []Effect{LogLine{Message: "Upgrade ended", Fields: []any{
 		"service", o.Service, "target", o.Target, "phase", u.Phase(), "reason", u.Reason(), "age", u.Age(s.now),
 		"ended", t.Ended, "bad", t.Bad, "timed", t.Timed, "slow", t.Slow,
 	}}, Publish{}}
@@ -202,8 +202,8 @@
 	return append(s.agreed(v, "agreed, as heard"), Publish{})
 }
 
-func (s *State) counted(e Counted) (effects []Effect) {
-	s.counts, s.running, s.kept = e.Counts, e.Running, e.Kept
+func (s *State) counted(e TrafficCounts) (effects []Effect) {
+	s.counts, s.running, s.kept = e.Counts, e.Running, e.KeptSessions
 	for service, counts := range e.Counts {
 		u := s.upgrades[service]
 		if u == nil || u.Phase() != upgrade.Running {
@@ -276,11 +276,11 @@
 		// No event tells that a reader has fallen silent. Unless the view is made
 		// anew, this entry goes on waiting to hear from it.
 		s.reads = reads
-		effects = append(effects, Say{Message: "Reading of the store changed", Fields: []any{"reader", reads, "rank", s.rank()}}, Publish{})
+		effects = append(effects, LogLine{Message: "Reading of the store changed", Fields: []any{"reader", reads, "rank", s.rank()}}, Publish{})
 	}
 	if waits := s.leftToOthers(); waits != s.waits {
 		s.waits = waits
-		effects = append(effects, Say{Message: "Failing store is left to other entries", Fields: []any{"left", waits, "failing", s.failing}}, Publish{})
+		effects = append(effects, LogLine{Message: "Failing store is left to other entries", Fields: []any{"left", waits, "failing", s.failing}}, Publish{})
 	}
 	effects = append(effects, s.tellDue()...)
 	if s.moving() && s.now-s.lastCounted >= countPace {
@@ -293,19 +293,19 @@
 // written takes the end of an append. One that lost to another entry's, or whose
 // answer was lost, is judged by reading the stream, which goes on while a duty is
 // left.
-func (s *State) written(e Written) (effects []Effect) {
+func (s *State) written(e WriteDone) (effects []Effect) {
 	if e.Err == nil {
 		s.statusEnd++
 		s.verdicts[e.Verdict.Service] = e.Verdict
 		if s.duties[e.Verdict.Service].verdict == e.Verdict {
 			delete(s.duties, e.Verdict.Service)
 		}
-		return []Effect{Say{Message: "Verdict written", Fields: []any{"service", e.Verdict.Service, "target", e.Verdict.Target, "phase", e.Verdict.Phase}}, Publish{}}
+		return []Effect{LogLine{Message: "Verdict written", Fields: []any{"service", e.Verdict.Service, "target", e.Verdict.Target, "phase", e.Verdict.Phase}}, Publish{}}
 	}
 	if errorx.IsOfType(e.Err, ErrMoved) {
 		return []Effect{Publish{}}
 	}
-	return []Effect{Say{Message: "Verdict could not be written", Fields: []any{"service", e.Verdict.Service, "phase", e.Verdict.Phase, "error", logbook.Text(e.Err)}, Warn: true}, Publish{}}
+	return []Effect{LogLine{Message: "Verdict could not be written", Fields: []any{"service", e.Verdict.Service, "phase", e.Verdict.Phase, "error", logbook.Text(e.Err)}, Warn: true}, Publish{}}
 }
 
 // settleVersions picks the version in use of services that have none, and of
@@ -341,7 +341,7 @@
 	}
 	before := s.current[service]
 	s.current[service] = best
-	return []Effect{Say{Message: "Version is in use", Fields: []any{"service", service, "version", best, "before", before}}}
+	return []Effect{LogLine{Message: "Version is in use", Fields: []any{"service", service, "version", best, "before", before}}}
 }
 
 // moving reports whether an upgrade is under way or its verdict still due.
--- a/site/view.go
+++ b/site/view.go
@@ -70,8 +70,8 @@
 // mostly use the same endpoints.
 func (v *View) Neighbours() []string { return v.neighbours }
 
-// AllTold reports whether the entries of all zones tell this one of their work.
-func (v *View) AllTold() bool { return v.allTold }
+// FullMesh reports whether the entries of all zones tell this one of their work.
+func (v *View) FullMesh() bool { return v.allTold }
 
 // Started reports whether the process knows its site.
 func (v *View) Started() bool { return v.started }
@@ -117,8 +117,8 @@
 	return m.upgrade, m.running
 }
 
-// KeptElsewhere reports whether another entry keeps a session, by its hash, on
+// KeptByPeer reports whether another entry keeps a session, by its hash, on
 // the old version of a service.
-func (v *View) KeptElsewhere(service string, session uint64) bool {
+func (v *View) KeptByPeer(service string, session uint64) bool {
 	return v.moves[service].kept[session]
 }
