--- a/comparison/comparison_test.go
+++ b/comparison/comparison_test.go
@@ -53,7 +53,7 @@
 	is.NoErr(os.WriteFile(player, []byte(script), 0o700))
 	p := &Plan{
 		Player: []string{player}, Figure: `^worth ([0-9.]+)`, Template: "template.toml", Collect: []string{"journal"}, Jobs: 2,
-		Sets:  []Set{{Name: "now", Ways: map[string]string{"drop": "by-time"}}, {Name: "other", Ways: map[string]string{"drop": "by-price"}}},
+		Sets:  []Set{{Name: "now", Strategies: map[string]string{"drop": "by-time"}}, {Name: "other", Strategies: map[string]string{"drop": "by-price"}}},
 		Plays: []Play{{Site: "sites/one.toml", Days: []string{"calm", "busy", "broken"}}},
 	}
 	is.NoErr(p.check())
--- a/operations/operations_test.go
+++ b/operations/operations_test.go
@@ -25,7 +25,7 @@
 
 type fixture struct {
 	node *node.Node
-	port *operations.Port
+	port *operations.API
 	url  string
 }
 
