--- a/bill/bill.go
+++ b/bill/bill.go
@@ -1,7 +1,6 @@
-// Package bill makes one bill of each request: the ledger that keeps it until
-// it stands on the log, and the statement that reads it back. A bill is keyed
-// by request, and two bills of one request merge into one: the union of their
-// steps.
+// Package bill produces one bill for each request. The Ledger keeps a bill until it is stored on
+// the log, and the Statement reads the bills back from the log. A bill is keyed by request: two
+// bills of one request merge into the union of their steps.
 package bill
 
 import (
@@ -19,15 +18,16 @@
 
 // Kinds of errors.
 var (
-	// ErrMalformed marks a record that holds no bills.
+	// ErrMalformed is returned for a record that cannot be decoded into bills.
 	ErrMalformed = Errors.NewType("malformed")
-	// ErrFull marks a ledger at its bound.
+	// ErrFull is returned when a ledger has reached its bound.
 	ErrFull = Errors.NewType("full")
 )
 
-// Merge returns the bill that holds the steps of both, each attempt once. The
-// result is the same in either order: of two steps of one attempt that differ
-// it keeps the lesser, and Conflicts names both.
+// Merge returns a bill with the steps of both bills, each attempt once. The result does not depend
+// on the order of the arguments: if two steps of one attempt differ, the complete one, then the
+// cheaper one, is kept. Conflicts lists attempts whose costs differ. A nil bill is treated as
+// empty.
 func Merge(a, b *wire.Bill) *wire.Bill {
 	if a == nil {
 		return b
@@ -47,7 +47,7 @@
 	return out
 }
 
-// lesser returns the lesser text that is not empty.
+// lesser returns the lexically smaller of two texts, ignoring an empty one.
 func lesser(a, b string) string {
 	if a == "" || b == "" {
 		return a + b
@@ -57,8 +57,8 @@
 
 func sameAttempt(x, y *wire.Step) bool { return x.GetAttempt() == y.GetAttempt() }
 
-// compareSteps orders by attempt; of one attempt the whole step comes first,
-// then the cheaper.
+// compareSteps orders steps by attempt. Within one attempt a complete step comes first, then the
+// cheaper one.
 func compareSteps(x, y *wire.Step) int {
 	if c := cmp.Compare(x.GetAttempt(), y.GetAttempt()); c != 0 {
 		return c
@@ -72,15 +72,15 @@
 	if c := cmp.Compare(x.GetCost(), y.GetCost()); c != 0 {
 		return c
 	}
-	return cmp.Compare(textOf(x), textOf(y))
+	return cmp.Compare(stepText(x), stepText(y))
 }
 
-func textOf(s *wire.Step) string {
+func stepText(s *wire.Step) string {
 	u := s.GetUsage()
 	return fmt.Sprint(s.GetVersion(), "/", s.GetService(), "/", s.GetVm(), "/", u.GetInputTokens(), "/", u.GetOutputTokens(), "/", u.GetCachedTokens())
 }
 
-// Conflicts returns the attempts to which the two bills give different costs.
+// Conflicts returns the attempts for which the two bills have different costs.
 func Conflicts(a, b *wire.Bill) (attempts []uint32) {
 	for _, x := range a.GetSteps() {
 		for _, y := range b.GetSteps() {
@@ -92,7 +92,7 @@
 	return attempts
 }
 
-// Cost sums a bill in micro-units of currency.
+// Cost returns the total cost of a bill in micro-units of currency.
 func Cost(b *wire.Bill) (cost int64) {
 	for _, s := range b.GetSteps() {
 		cost += s.GetCost()
@@ -100,7 +100,7 @@
 	return cost
 }
 
-// Decode reads the bills of a record of the log.
+// Decode returns the bills in a record of the log. Its error is ErrMalformed.
 func Decode(data []byte) (bills []*wire.Bill, err error) {
 	r, err := batch.Decode(data)
 	if err != nil {
--- a/bill/due.go
+++ b/bill/due.go
@@ -6,10 +6,11 @@
 	"github.com/parsleydeal/parsleydeal/clock"
 )
 
-// due lists, in a fixed order, the requests whose bills need something now.
+// due returns the requests whose bills need an action now, sorted by name so that the effects are
+// deterministic.
 func (l *Ledger) due(now clock.Millis) (requests []string) {
 	for request, x := range l.entries {
-		if l.needs(x, now) {
+		if l.needsAction(x, now) {
 			requests = append(requests, request)
 		}
 	}
@@ -17,23 +18,23 @@
 	return requests
 }
 
-// needs reports whether a bill must be taken over or handed on. While its
-// holder lives and is in time the keeper stays quiet, or every bill would be
-// appended twice.
-func (l *Ledger) needs(x *entry, now clock.Millis) bool {
+// needsAction reports whether a bill must be appended here or copied to another process. The keeper
+// takes no action while a holder is alive and within its time limit, as every bill would otherwise
+// be appended twice.
+func (l *Ledger) needsAction(x *entry, now clock.Millis) bool {
 	if x.pending != "" {
 		return false
 	}
-	if l.draining && l.others(x) < 2 {
+	if l.draining && l.otherCopies(x) < 2 {
 		return true
 	}
 	if x.queued {
-		return l.others(x) == 0 && len(x.asked) < maxAsked
+		return l.otherCopies(x) == 0 && len(x.requestedFrom) < maxHoldRequests
 	}
-	return now-x.since >= lateAfter || l.others(x) == 0
+	return now-x.lastHeldAt >= appendTimeout || l.otherCopies(x) == 0
 }
 
-// Contains reports whether a request's bill is kept here.
+// Contains reports whether the ledger has a copy of a request's bill.
 func (l *Ledger) Contains(request string) bool {
 	_, ok := l.entries[request]
 	return ok
--- a/bill/event.go
+++ b/bill/event.go
@@ -9,18 +9,18 @@
 // Event is an input of a Ledger.
 type Event interface{ isEvent() }
 
-// Effect is what the shell shall do for a Ledger.
+// Effect is an action that the caller of Reduce must perform for a Ledger.
 type Effect interface{ isEffect() }
 
-// Finish hands over a bill. Reserved says that Reserve took a place for it; an
-// orphaned step has none and is taken beyond the bound rather than lost.
+// Finish adds the bill of a finished request. Reserved is true if Reserve took a place for it. An
+// orphaned step has no reservation and is accepted beyond the bound, as it would otherwise be lost.
 type Finish struct {
 	Now      clock.Millis
 	Bill     *wire.Bill
 	Reserved bool
 }
 
-// HoldReplied tells what a process said to Hold.
+// HoldReplied reports the reply of a process to Hold.
 type HoldReplied struct {
 	Now     clock.Millis
 	Request string
@@ -28,8 +28,8 @@
 	Held    bool
 }
 
-// HoldRequested brings bills that another process asks this one to hold. Zone is where
-// the other copy stands.
+// HoldRequested carries bills that another process asks this one to hold. Zone is the availability
+// zone of the other copy, or several zones separated by spaces.
 type HoldRequested struct {
 	Now    clock.Millis
 	Zone   string
@@ -37,55 +37,55 @@
 	Bills  []*wire.Bill
 }
 
-// Stored tells that bills stand on the log, by the IDs of their Append effects.
+// Stored reports that bills are on the log, by the IDs of their Append effects.
 type Stored struct{ IDs []string }
 
-// Released tells that another process saw bills on the log.
+// Released reports that another process has seen bills on the log.
 type Released struct{ Requests []string }
 
-// MembersChanged brings the members anew.
+// MembersChanged replaces the list of members.
 type MembersChanged struct {
 	Now   clock.Millis
 	Place *batch.Place
 }
 
-// Tick tells the time.
+// Tick reports the current time.
 type Tick struct{ Now clock.Millis }
 
-// Drain tells that this process shall stop: it hands on what it keeps.
+// Drain reports that this process is stopping: it transfers the bills it keeps to others.
 type Drain struct{ Now clock.Millis }
 
-// Hold asks a process to hold a bill; Answered follows.
+// Hold asks a process to hold a bill. HoldReplied must follow.
 type Hold struct {
 	VM      string
 	Address string
-	// Zone is where the other copy stands. Keeper has it; it is this process
-	// when Keeper is empty.
+	// Zone is the availability zone of the other copy, or several zones separated by spaces. Keeper
+	// is the process that has that copy; empty means this process.
 	Zone   string
 	Keeper string
 	Bill   *wire.Bill
 }
 
-// Append asks to put a bill on the log; Stored follows with the ID.
+// Append requests that a bill is put on the log. Stored must follow with the same ID.
 type Append struct {
 	ID   string
 	Bill *wire.Bill
 }
 
-// Withdraw asks to take bills back from the journal where it has not sent them.
+// Withdraw requests that bills are removed from the journal, unless they have been sent.
 type Withdraw struct{ IDs []string }
 
-// Safe tells that a bill is held twice or on the log: the last piece of the
-// answer may go.
+// Safe reports that a bill has two copies or is on the log, so the last piece of the answer may be
+// sent.
 type Safe struct{ Request string }
 
-// Release asks to tell a process that bills stand on the log.
+// Release requests that a process is informed that bills are on the log.
 type Release struct {
 	VM       string
 	Requests []string
 }
 
-// ReplyHold answers Taken.
+// ReplyHold is the reply to HoldRequested. Reason explains a refusal.
 type ReplyHold struct {
 	Held   bool
 	Reason string
--- a/bill/fuzz_test.go
+++ b/bill/fuzz_test.go
@@ -8,7 +8,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-func seeds(f *testing.F) {
+func addSeeds(f *testing.F) {
 	f.Helper()
 	b := &wire.Bill{Request: "r", Organisation: "o", Route: "q", Steps: []*wire.Step{{Attempt: 1, Cost: 4, Whole: true}, {Attempt: 1, Cost: 5}}}
 	data, err := batch.Encode("b", []batch.Entry{{Bill: b}, {Bill: b}, {Claim: &wire.Claim{Key: []byte("k"), Round: 1}}})
@@ -24,10 +24,10 @@
 	}
 }
 
-// FuzzStatement reads hostile records. A record that stands twice must add
-// nothing, in whatever order.
+// FuzzStatement adds arbitrary records to a statement. A record that appears twice must not change
+// the totals.
 func FuzzStatement(f *testing.F) {
-	seeds(f)
+	addSeeds(f)
 	f.Fuzz(func(t *testing.T, data []byte) {
 		once, twice := NewStatement(), NewStatement()
 		once.Add(0, data)
@@ -47,10 +47,10 @@
 	})
 }
 
-// FuzzTaken hands hostile messages of peers to a ledger. It may not crash, nor
-// keep more than its bound.
+// FuzzTaken passes arbitrary messages of peers to a ledger, which must not crash or keep more bills
+// than its bound.
 func FuzzTaken(f *testing.F) {
-	seeds(f)
+	addSeeds(f)
 	f.Fuzz(func(t *testing.T, data []byte) {
 		in := &wire.HoldBillsRequest{}
 		if proto.Unmarshal(data, in) != nil {
@@ -58,7 +58,7 @@
 		}
 		const bound = 3
 		l := NewLedger("zone-a", bound)
-		l.Reduce(MembersChanged{Place: placeOf("vm-b zone-b\nvm-c zone-c")})
+		l.Reduce(MembersChanged{Place: newPlace("vm-b zone-b\nvm-c zone-c")})
 		for now := range 3 {
 			l.Reduce(HoldRequested{Zone: in.GetZone(), Keeper: in.GetFrom(), Bills: in.GetBills()})
 			for _, b := range in.GetBills() {
--- a/bill/ledger.go
+++ b/bill/ledger.go
@@ -11,77 +11,76 @@
 )
 
 const (
-	// DefaultBound is how many bills of its own, and again how many of others,
-	// a process keeps while they wait for the log.
+	// DefaultBound is the maximum number of bills of its own that a process keeps while they wait
+	// for the log. The same maximum applies separately to bills of other processes.
 	DefaultBound = 24 << 10
-	// maxTries bounds the processes asked to hold one bill before the log
-	// itself is the only way left.
-	maxTries = 2
-	// maxAsked bounds the processes asked for a bill that lost its holder, and
-	// maxSeeks how many such bills ask in one round: in a long outage all books
-	// are full, and asking without a bound would be most of the traffic.
-	maxAsked = 8
-	maxSeeks = 64
-	// HoldTimeout is how long an answer of a holder is good.
+	// maxInitialHolds is how many processes are asked to hold a new bill before it is appended
+	// here.
+	maxInitialHolds = 2
+	// maxHoldRequests is how many processes are asked in total for a bill that lost its holder, and
+	// maxHoldRequestsPerCheck how many requests of this kind one check sends. In a long outage of
+	// the log all ledgers are full, and unbounded requests would make up most of the traffic.
+	maxHoldRequests         = 8
+	maxHoldRequestsPerCheck = 64
+	// HoldTimeout is the timeout of a hold request, and the age beyond which its reply is ignored.
 	HoldTimeout = 400 * clock.Millis(1)
-	// lateAfter is when the keeper of a bill appends it itself, because the
-	// holder has not told that it did.
-	lateAfter = 10 * clock.Second
+	// appendTimeout is when the keeper of a bill appends it itself because the holder has not
+	// confirmed that it did.
+	appendTimeout = 10 * clock.Second
 )
 
 // entry is one bill that waits for the log.
 type entry struct {
 	bill *wire.Bill
-	// keeper is the process that made the bill; empty when it is this one.
+	// keeper is the process that made the bill, empty for this one.
 	keeper string
-	// zones are those in which others hold a copy.
+	// zones are the availability zones in which other processes hold a copy.
 	zones []string
-	// asked are the processes that may hold a copy; they hear of the release.
-	asked []string
-	// holders are those of asked that said that they hold it.
+	// requestedFrom lists the processes that may hold a copy and must be notified of the release.
+	requestedFrom []string
+	// holders are the processes in requestedFrom that confirmed that they hold a copy.
 	holders []string
-	// pending is the process asked last that has not answered.
+	// pending is the process that was asked last and has not replied, empty if there is none.
 	pending string
-	// askedAt is when it was asked.
-	askedAt clock.Millis
-	// since is when the bill came or was last held anew.
-	since clock.Millis
-	// waiting is true while a last piece waits for Safe.
-	waiting bool
-	// queued is true once the journal has the bill.
+	// requestedAt is when pending was asked.
+	requestedAt clock.Millis
+	// lastHeldAt is when the bill arrived or a holder last confirmed a copy.
+	lastHeldAt clock.Millis
+	// callerWaits is true while the last piece of the answer waits for Safe.
+	callerWaits bool
+	// queued is true once the bill has been handed to the journal.
 	queued bool
-	// edition counts the unions made here; copies elsewhere are of the first.
-	edition int
+	// merges counts the merges that added steps here. Copies at other processes lack these steps.
+	merges int
 }
 
-func (x *entry) id() string { return x.bill.GetRequest() + "/" + strconv.Itoa(x.edition) }
+func (x *entry) id() string { return x.bill.GetRequest() + "/" + strconv.Itoa(x.merges) }
 
-// Ledger keeps bills until they stand on the log. It is a reducer: no clock, no
-// I/O, no random source. One bill is kept by the process that made it and by a
-// holder in another availability zone, which appends it; the keeper appends it
-// when the holder goes or is late. Both lost at once is the stated limit.
+// Ledger keeps bills until they are on the log. It is a reducer without a clock, I/O or a random
+// source. Each bill is kept by the process that made it (the keeper) and by a holder in another
+// availability zone, which appends it. The keeper appends the bill itself if the holder becomes
+// unreachable or exceeds its time limit. A bill is lost only if both fail at once.
 type Ledger struct {
 	zone  string
 	bound int
 	place *batch.Place
-	// reserved counts places of requests under way.
+	// reserved counts the places taken for requests in progress.
 	reserved int
-	// entries holds bills by request, own ones at most bound less reserved, and
-	// others' at most bound. Nothing falls out: at the bound new work and new
-	// holds are refused.
+	// entries holds bills by request: at most bound less reserved of this process, and at most
+	// bound of others. No bill is evicted: at the bound, new requests and new holds are refused.
 	entries  map[string]*entry
 	own      int
 	draining bool
 }
 
-// NewLedger makes an empty ledger of a process in a zone.
+// NewLedger returns an empty ledger of a process in an availability zone. The bound is the maximum
+// number of bills, as for DefaultBound.
 func NewLedger(zone string, bound int) *Ledger {
 	return &Ledger{zone: zone, bound: bound, entries: make(map[string]*entry)}
 }
 
-// Reserve takes a place for a request's bill before the request is dispatched.
-// In an outage of the log the places run out, and the refusal is still true
-// when it says that nothing ran.
+// Reserve takes a place for a request's bill. It must be called before the request is dispatched:
+// during an outage of the log the places run out, and ErrFull must then mean that nothing has run.
 func (l *Ledger) Reserve() (err error) {
 	if l.own+l.reserved >= l.bound {
 		return ErrFull.New("%d bills wait for the log", l.own)
@@ -90,28 +89,28 @@
 	return nil
 }
 
-// Cancel gives back the place of a request that ran nothing.
+// Cancel returns the place of a request for which nothing ran.
 func (l *Ledger) Cancel() { l.reserved-- }
 
-// Waiting returns how many bills of its own and of others the process keeps.
+// Waiting returns how many bills the ledger keeps: its own, and those held for other processes.
 func (l *Ledger) Waiting() (own, held int) { return l.own, len(l.entries) - l.own }
 
-// Reserved returns the places of requests under way.
+// Reserved returns the number of places taken for requests in progress.
 func (l *Ledger) Reserved() int { return l.reserved }
 
-// Replicated reports whether every bill kept here is also safe without this
-// process: on the log, or held by two others.
+// Replicated reports whether every bill in the ledger is held by two other live processes, so that
+// this process can stop without losing any.
 func (l *Ledger) Replicated() bool {
 	for _, e := range l.entries {
-		if l.others(e) < 2 {
+		if l.otherCopies(e) < 2 {
 			return false
 		}
 	}
 	return true
 }
 
-// others counts the live processes beside this one that have a copy.
-func (l *Ledger) others(x *entry) (n int) {
+// otherCopies counts the other live processes that have a copy.
+func (l *Ledger) otherCopies(x *entry) (n int) {
 	if x.keeper != "" && l.live(x.keeper) {
 		n++
 	}
@@ -135,27 +134,27 @@
 	return ok
 }
 
-// Reduce takes one event and returns the effects in order.
+// Reduce applies one event and returns the effects in the order in which they must be performed.
 func (l *Ledger) Reduce(ev Event) (effects []Effect) {
 	switch e := ev.(type) {
 	case Finish:
 		return l.finish(e)
 	case HoldReplied:
-		return l.answered(e)
+		return l.holdReplied(e)
 	case HoldRequested:
-		return l.take(e)
+		return l.holdRequested(e)
 	case Stored:
 		return l.stored(e)
 	case Released:
 		return l.released(e)
 	case MembersChanged:
 		l.place = e.Place
-		return l.look(e.Now)
+		return l.check(e.Now)
 	case Tick:
-		return l.look(e.Now)
+		return l.check(e.Now)
 	case Drain:
 		l.draining = true
-		return l.look(e.Now)
+		return l.check(e.Now)
 	}
 	return nil
 }
@@ -165,84 +164,83 @@
 		l.reserved--
 	}
 	if old, ok := l.entries[e.Bill.GetRequest()]; ok {
-		return l.finishAgain(old, e)
+		return l.finishExisting(old, e)
 	}
-	x := &entry{bill: e.Bill, since: e.Now, waiting: true}
+	x := &entry{bill: e.Bill, lastHeldAt: e.Now, callerWaits: true}
 	l.entries[e.Bill.GetRequest()] = x
 	l.own++
-	return l.seek(x, maxTries, e.Now)
+	return l.requestHold(x, maxInitialHolds, e.Now)
 }
 
-// finishAgain finishes a bill of which a copy is kept here already: it came
-// from an endpoint that took this process for gone.
-func (l *Ledger) finishAgain(x *entry, e Finish) (effects []Effect) {
-	edition := x.edition
-	x.waiting = true
-	effects = l.unite(x, e.Bill)
-	if x.edition == edition && l.others(x) > 0 {
+// finishExisting finishes a bill of which the ledger already has a copy. The copy came from an
+// endpoint that considered this process unreachable.
+func (l *Ledger) finishExisting(x *entry, e Finish) (effects []Effect) {
+	mergesBefore := x.merges
+	x.callerWaits = true
+	effects = l.merge(x, e.Bill)
+	if x.merges == mergesBefore && l.otherCopies(x) > 0 {
 		effects = append(effects, l.safe(x)...)
 	}
 	return effects
 }
 
-// unite adds steps to a bill that is kept already. Copies elsewhere lack them,
-// so the union goes to the log from here and their release does not count.
-func (l *Ledger) unite(x *entry, b *wire.Bill) (effects []Effect) {
+// merge adds steps to a bill in the ledger. Copies at other processes lack these steps, so the
+// merged bill is appended from here and a release by those processes does not count.
+func (l *Ledger) merge(x *entry, b *wire.Bill) (effects []Effect) {
 	merged := Merge(x.bill, b)
 	if len(merged.GetSteps()) != len(x.bill.GetSteps()) {
 		x.bill = merged
-		x.edition++
+		x.merges++
 		x.queued = false
 	}
 	return l.queue(x)
 }
 
-// seek asks the next process to hold a bill, or hands the bill to the journal
-// when as many as allowed have been asked. The first to be asked is an
-// appender; the next is any process, since full appenders are all full.
-func (l *Ledger) seek(x *entry, most int, now clock.Millis) (effects []Effect) {
-	if l.place == nil || len(x.asked) >= most {
+// requestHold asks the next process to hold a bill, or hands the bill to the journal if maxRequests
+// processes have been asked. The first process asked is an appender. Later ones are chosen from all
+// processes, since when one appender is full all of them are.
+func (l *Ledger) requestHold(x *entry, maxRequests int, now clock.Millis) (effects []Effect) {
+	if l.place == nil || len(x.requestedFrom) >= maxRequests {
 		return l.queue(x)
 	}
-	zones, not := l.avoid(x)
-	choose := l.place.Holder
-	if len(x.asked) > 0 {
-		choose = l.place.Spare
+	zones, excludedVMs := l.excluded(x)
+	selectHolder := l.place.Holder
+	if len(x.requestedFrom) > 0 {
+		selectHolder = l.place.Spare
 	}
-	m, ok := choose(x.bill.GetRequest(), zones, not)
+	m, ok := selectHolder(x.bill.GetRequest(), zones, excludedVMs)
 	if !ok {
 		return l.queue(x)
 	}
-	x.asked = append(x.asked, m.ID)
+	x.requestedFrom = append(x.requestedFrom, m.ID)
 	x.pending = m.ID
-	x.askedAt = now
+	x.requestedAt = now
 	h := Hold{VM: m.ID, Address: m.Address, Bill: x.bill, Zone: l.zone}
 	if l.live(x.keeper) {
 		h.Keeper = x.keeper
 	}
-	if l.handsOn(x) {
+	if l.transfers(x) {
 		h.Zone = strings.Join(x.zones, " ")
 	}
 	return []Effect{h}
 }
 
-// handsOn reports whether a further copy shall take the place of the one here,
-// because this process goes.
-func (l *Ledger) handsOn(x *entry) bool { return l.draining && len(x.zones) > 0 }
+// transfers reports whether a further copy replaces the one here because this process is stopping.
+func (l *Ledger) transfers(x *entry) bool { return l.draining && len(x.zones) > 0 }
 
-// avoid says where no further copy may go: where one stands, and to this
-// process's own zone unless the copy here goes. The first holder of a process
-// that drains is no exception, for the answer is released while both stand in
-// one zone.
-func (l *Ledger) avoid(x *entry) (zones, not []string) {
+// excluded returns the availability zones and VMs that may not hold a further copy: those that have
+// one, and the zone of this process unless its copy is being replaced. The first holder of a
+// draining process must be in another zone as well, because the answer is released while both
+// copies exist.
+func (l *Ledger) excluded(x *entry) (zones, vms []string) {
 	zones = slices.Clone(x.zones)
-	if !l.handsOn(x) {
+	if !l.transfers(x) {
 		zones = append(zones, l.zone)
 	}
-	return zones, append(slices.Clone(x.asked), x.keeper)
+	return zones, append(slices.Clone(x.requestedFrom), x.keeper)
 }
 
-// queue hands a bill to the journal once.
+// queue hands a bill to the journal unless that has been done.
 func (l *Ledger) queue(x *entry) (effects []Effect) {
 	if x.queued {
 		return nil
@@ -251,20 +249,20 @@
 	return []Effect{Append{ID: x.id(), Bill: x.bill}}
 }
 
-func (l *Ledger) answered(e HoldReplied) (effects []Effect) {
+func (l *Ledger) holdReplied(e HoldReplied) (effects []Effect) {
 	x, ok := l.entries[e.Request]
 	if !ok || x.pending != e.VM {
 		return nil
 	}
 	x.pending = ""
-	// An answer that this process took in late, because it was paused, says
-	// nothing: the holder may be gone since, and the caller would get the last
-	// piece while one process alone has the bill.
-	if !e.Held || e.Now-x.askedAt > HoldTimeout {
-		return l.seek(x, maxTries+len(x.holders), e.Now)
+	// A reply that is processed late because this process was paused proves nothing: the holder may
+	// have failed since, and the caller would get the last piece of the answer while only one
+	// process has the bill.
+	if !e.Held || e.Now-x.requestedAt > HoldTimeout {
+		return l.requestHold(x, maxInitialHolds+len(x.holders), e.Now)
 	}
 	x.holders = append(x.holders, e.VM)
-	x.since = e.Now
+	x.lastHeldAt = e.Now
 	if m, found := l.find(e.VM); found {
 		x.zones = append(x.zones, m.Zone)
 	}
@@ -272,16 +270,16 @@
 }
 
 func (l *Ledger) safe(x *entry) (effects []Effect) {
-	if !x.waiting {
+	if !x.callerWaits {
 		return nil
 	}
-	x.waiting = false
+	x.callerWaits = false
 	return []Effect{Safe{Request: x.bill.GetRequest()}}
 }
 
-// take holds bills of another process. A holder in the keeper's own zone would
-// be lost with it, so it says no.
-func (l *Ledger) take(e HoldRequested) (effects []Effect) {
+// holdRequested holds bills of another process. It refuses those of a keeper in its own
+// availability zone, as one failure of the zone would lose both copies.
+func (l *Ledger) holdRequested(e HoldRequested) (effects []Effect) {
 	switch {
 	case l.draining:
 		return []Effect{ReplyHold{Reason: "leaving"}}
@@ -291,23 +289,23 @@
 		return []Effect{ReplyHold{Reason: "full"}}
 	}
 	for _, b := range e.Bills {
-		effects = append(effects, l.hold(e, b)...)
+		effects = append(effects, l.holdBill(e, b)...)
 	}
 	return append(effects, ReplyHold{Held: true})
 }
 
-func (l *Ledger) hold(e HoldRequested, b *wire.Bill) (effects []Effect) {
+func (l *Ledger) holdBill(e HoldRequested, b *wire.Bill) (effects []Effect) {
 	if x, ok := l.entries[b.GetRequest()]; ok {
-		return l.unite(x, b)
+		return l.merge(x, b)
 	}
-	x := &entry{bill: b, keeper: e.Keeper, zones: []string{e.Zone}, since: e.Now}
+	x := &entry{bill: b, keeper: e.Keeper, zones: []string{e.Zone}, lastHeldAt: e.Now}
 	l.entries[b.GetRequest()] = x
 	return l.queue(x)
 }
 
-// stored drops bills that stand on the log and tells whoever keeps a copy.
+// stored removes bills that are on the log and releases the copies at other processes.
 func (l *Ledger) stored(e Stored) (effects []Effect) {
-	tell := make(map[string][]string)
+	requestsByVM := make(map[string][]string)
 	var order []string
 	for _, id := range e.IDs {
 		request := id[:strings.LastIndexByte(id, '/')]
@@ -316,26 +314,26 @@
 			continue
 		}
 		effects = append(effects, l.safe(x)...)
-		for _, vm := range x.tell() {
-			if len(tell[vm]) == 0 {
+		for _, vm := range x.possibleHolders() {
+			if len(requestsByVM[vm]) == 0 {
 				order = append(order, vm)
 			}
-			tell[vm] = append(tell[vm], request)
+			requestsByVM[vm] = append(requestsByVM[vm], request)
 		}
 		l.drop(request, x)
 	}
 	for _, vm := range order {
-		effects = append(effects, Release{VM: vm, Requests: tell[vm]})
+		effects = append(effects, Release{VM: vm, Requests: requestsByVM[vm]})
 	}
 	return effects
 }
 
-// tell lists the processes that may keep a copy.
-func (x *entry) tell() []string {
+// possibleHolders lists the processes that may have a copy.
+func (x *entry) possibleHolders() []string {
 	if x.keeper == "" {
-		return x.asked
+		return x.requestedFrom
 	}
-	return append(slices.Clone(x.asked), x.keeper)
+	return append(slices.Clone(x.requestedFrom), x.keeper)
 }
 
 func (l *Ledger) drop(request string, x *entry) {
@@ -349,7 +347,7 @@
 	var queued []string
 	for _, request := range e.Requests {
 		x, ok := l.entries[request]
-		if !ok || x.edition > 0 {
+		if !ok || x.merges > 0 {
 			continue
 		}
 		if x.queued {
@@ -364,16 +362,16 @@
 	return effects
 }
 
-// look takes over bills whose holder went or is late, seeks another holder for
-// those that are alone, and hands bills on while this process drains.
-func (l *Ledger) look(now clock.Millis) (effects []Effect) {
-	seeks := 0
+// check queues bills whose holder failed or is late, requests another holder for bills without a
+// copy elsewhere, and transfers bills while this process drains.
+func (l *Ledger) check(now clock.Millis) (effects []Effect) {
+	holdRequests := 0
 	for _, request := range l.due(now) {
 		x := l.entries[request]
 		effects = append(effects, l.queue(x)...)
-		if seeks < maxSeeks && (l.others(x) == 0 || l.draining) {
-			seeks++
-			effects = append(effects, l.seek(x, maxAsked, now)...)
+		if holdRequests < maxHoldRequestsPerCheck && (l.otherCopies(x) == 0 || l.draining) {
+			holdRequests++
+			effects = append(effects, l.requestHold(x, maxHoldRequests, now)...)
 		}
 	}
 	return effects
--- a/bill/ledger_test.go
+++ b/bill/ledger_test.go
@@ -12,7 +12,8 @@
 	"github.com/parsleydeal/parsleydeal/peer/wire"
 )
 
-// The scripts under testdata/ledger drive one ledger and print its effects.
+// TestLedger runs the scripts under testdata/ledger, which send events to one ledger and print its
+// effects.
 func TestLedger(t *testing.T) {
 	datadriven.Walk(t, "testdata/ledger", func(t *testing.T, path string) {
 		l := NewLedger("zone-a", 2)
@@ -22,13 +23,13 @@
 			if d.Cmd == "reserve" {
 				return fmt.Sprintln(l.Reserve())
 			}
-			effects := l.Reduce(eventOf(t, d, clock.Millis(now)))
-			return effectsOf(effects) + fmt.Sprintf("secure=%v\n", l.Replicated())
+			effects := l.Reduce(newEvent(t, d, clock.Millis(now)))
+			return effectsText(effects) + fmt.Sprintf("secure=%v\n", l.Replicated())
 		})
 	})
 }
 
-func eventOf(t *testing.T, d *datadriven.TestData, now clock.Millis) Event {
+func newEvent(t *testing.T, d *datadriven.TestData, now clock.Millis) Event {
 	var vm, zone, request string
 	d.MaybeScanArgs(t, "vm", &vm)
 	d.MaybeScanArgs(t, "zone", &zone)
@@ -36,7 +37,7 @@
 	b := &wire.Bill{Request: request, Steps: []*wire.Step{{Attempt: 1, Cost: 5, Whole: true}}}
 	switch d.Cmd {
 	case "place":
-		return MembersChanged{Now: now, Place: placeOf(d.Input)}
+		return MembersChanged{Now: now, Place: newPlace(d.Input)}
 	case "finish":
 		return Finish{Now: now, Bill: b, Reserved: true}
 	case "orphan":
@@ -55,8 +56,8 @@
 	return Tick{Now: now}
 }
 
-// placeOf reads lines "vm zone".
-func placeOf(input string) *batch.Place {
+// newPlace parses lines of the form "vm zone".
+func newPlace(input string) *batch.Place {
 	var members []batch.Member
 	for line := range strings.Lines(input) {
 		f := strings.Fields(line)
@@ -65,7 +66,7 @@
 	return batch.NewPlace(batch.Member{ID: "self", Zone: "zone-a"}, members)
 }
 
-func effectsOf(effects []Effect) string {
+func effectsText(effects []Effect) string {
 	var b strings.Builder
 	for _, x := range effects {
 		switch x := x.(type) {
@@ -86,11 +87,11 @@
 	return b.String()
 }
 
-// BenchmarkWaitingBill tells the memory of one bill that waits for the log with
-// a holder, its place in the journal left out.
+// BenchmarkWaitingBill measures the memory of one bill that waits for the log with a holder. It
+// does not include the bill's entry in the journal.
 func BenchmarkWaitingBill(b *testing.B) {
 	l := NewLedger("zone-a", b.N)
-	l.Reduce(MembersChanged{Place: placeOf("vm-b zone-b")})
+	l.Reduce(MembersChanged{Place: newPlace("vm-b zone-b")})
 	b.ReportAllocs()
 	for i := range b.N {
 		if err := l.Reserve(); err != nil {
--- a/bill/statement.go
+++ b/bill/statement.go
@@ -8,27 +8,28 @@
 	"github.com/parsleydeal/parsleydeal/peer/wire"
 )
 
-// AnomalyKind names what is wrong with a bill or a record.
+// AnomalyKind is the kind of problem found in a bill or record.
 type AnomalyKind string
 
 // The kinds of anomaly.
 const (
-	// CorruptRecord is a record that holds no bills; it was skipped.
+	// CorruptRecord is a record that cannot be decoded. It is skipped.
 	CorruptRecord AnomalyKind = "corrupt-record"
-	// ConflictingSteps is one attempt with two costs; the bill has the lesser.
+	// ConflictingSteps is one attempt with two costs. If both steps are complete or neither is, the
+	// bill has the lower cost; else that of the complete step.
 	ConflictingSteps AnomalyKind = "conflicting-steps"
 	// ConflictingOwner is one request billed to two organisations or routes.
 	ConflictingOwner AnomalyKind = "conflicting-owner"
-	// Incomplete is a bill without a request, a step or a whole step.
+	// Incomplete is a bill without a request ID or without a complete step.
 	Incomplete AnomalyKind = "incomplete"
-	// UnknownOrganisation is a bill of an organisation that no tables have.
+	// UnknownOrganisation is a bill of an organisation that is in no tables.
 	UnknownOrganisation AnomalyKind = "unknown-organisation"
 )
 
-// maxAnomalies bounds the anomalies that are listed; more are counted.
+// maxAnomalies is how many anomalies are listed. Further ones are only counted.
 const maxAnomalies = 10_000
 
-// Anomaly is something that a person shall look at.
+// Anomaly is a problem that needs manual review.
 type Anomaly struct {
 	Kind    AnomalyKind `json:"kind"`
 	Request string      `json:"request,omitempty"`
@@ -36,7 +37,7 @@
 	Detail  string      `json:"detail"`
 }
 
-// Total sums the bills of one organisation on one route.
+// Total is the sum of the bills of one organisation on one route.
 type Total struct {
 	Organisation string `json:"organisation"`
 	Route        string `json:"route"`
@@ -46,30 +47,29 @@
 	Cost int64 `json:"cost"`
 }
 
-// Statement reduces the stream of bills to one bill a request. It keeps all
-// bills between the first and the last record it is given, so its reader bounds
-// the span.
+// Statement merges a stream of bills into one bill for each request. It holds the bills of all
+// records it is given in memory, so the caller must limit the range of records.
 type Statement struct {
 	bills map[string]*wire.Bill
-	// seen holds where each request was first billed.
-	seen      map[string]int64
-	anomalies []Anomaly
-	dropped   int
-	records   int64
-	repeats   int64
+	// firstOffsets holds the offset at which each request was first billed.
+	firstOffsets map[string]int64
+	anomalies    []Anomaly
+	omitted      int
+	records      int64
+	repeats      int64
 }
 
-// NewStatement makes an empty statement.
+// NewStatement returns an empty statement.
 func NewStatement() *Statement {
-	return &Statement{bills: make(map[string]*wire.Bill), seen: make(map[string]int64)}
+	return &Statement{bills: make(map[string]*wire.Bill), firstOffsets: make(map[string]int64)}
 }
 
-// Add takes in the record at an offset.
+// Add processes the record at an offset of the log.
 func (s *Statement) Add(offset int64, data []byte) {
 	s.records++
 	bills, err := Decode(data)
 	if err != nil {
-		s.note(Anomaly{Kind: CorruptRecord, Offset: offset, Detail: err.Error()})
+		s.report(Anomaly{Kind: CorruptRecord, Offset: offset, Detail: err.Error()})
 		return
 	}
 	for _, b := range bills {
@@ -79,12 +79,12 @@
 
 func (s *Statement) add(offset int64, b *wire.Bill) {
 	if b.GetRequest() == "" {
-		s.note(Anomaly{Kind: Incomplete, Offset: offset, Detail: "the bill names no request"})
+		s.report(Anomaly{Kind: Incomplete, Offset: offset, Detail: "the bill names no request"})
 		return
 	}
 	old, ok := s.bills[b.GetRequest()]
 	if !ok {
-		s.seen[b.GetRequest()] = offset
+		s.firstOffsets[b.GetRequest()] = offset
 		s.compare(offset, b, b)
 		s.bills[b.GetRequest()] = Merge(b, b)
 		return
@@ -96,42 +96,42 @@
 
 func (s *Statement) compare(offset int64, old, b *wire.Bill) {
 	for _, attempt := range Conflicts(old, b) {
-		s.note(Anomaly{
+		s.report(Anomaly{
 			Kind: ConflictingSteps, Request: b.GetRequest(), Offset: offset,
-			Detail: fmt.Sprintf("attempt %d has another cost than at offset %d", attempt, s.seen[b.GetRequest()]),
+			Detail: fmt.Sprintf("attempt %d has another cost than at offset %d", attempt, s.firstOffsets[b.GetRequest()]),
 		})
 	}
 	if old.GetOrganisation() != b.GetOrganisation() || old.GetRoute() != b.GetRoute() {
-		s.note(Anomaly{
+		s.report(Anomaly{
 			Kind: ConflictingOwner, Request: b.GetRequest(), Offset: offset,
 			Detail: fmt.Sprintf("%s on %s, and %s on %s", old.GetOrganisation(), old.GetRoute(), b.GetOrganisation(), b.GetRoute()),
 		})
 	}
 }
 
-func (s *Statement) note(a Anomaly) {
+func (s *Statement) report(a Anomaly) {
 	if len(s.anomalies) >= maxAnomalies {
-		s.dropped++
+		s.omitted++
 		return
 	}
 	s.anomalies = append(s.anomalies, a)
 }
 
-// Finish looks at the bills as a whole. Known reports whether an organisation
-// stands, or once stood, in the tables; nil skips the question.
+// Finish checks the merged bills and must be called after the last Add. Known reports whether an
+// organisation is or was in the tables; if it is nil, organisations are not checked.
 func (s *Statement) Finish(known func(organisation string) bool) {
 	for _, b := range s.Bills() {
 		whole := slices.ContainsFunc(b.GetSteps(), (*wire.Step).GetWhole)
 		if !whole {
-			s.note(Anomaly{Kind: Incomplete, Request: b.GetRequest(), Offset: s.seen[b.GetRequest()], Detail: fmt.Sprintf("none of its %d steps is whole", len(b.GetSteps()))})
+			s.report(Anomaly{Kind: Incomplete, Request: b.GetRequest(), Offset: s.firstOffsets[b.GetRequest()], Detail: fmt.Sprintf("none of its %d steps is whole", len(b.GetSteps()))})
 		}
 		if known != nil && !known(b.GetOrganisation()) {
-			s.note(Anomaly{Kind: UnknownOrganisation, Request: b.GetRequest(), Offset: s.seen[b.GetRequest()], Detail: fmt.Sprintf("no tables have organisation %q", b.GetOrganisation())})
+			s.report(Anomaly{Kind: UnknownOrganisation, Request: b.GetRequest(), Offset: s.firstOffsets[b.GetRequest()], Detail: fmt.Sprintf("no tables have organisation %q", b.GetOrganisation())})
 		}
 	}
 }
 
-// Bills returns one bill a request, sorted by request.
+// Bills returns one bill for each request, sorted by request.
 func (s *Statement) Bills() (bills []*wire.Bill) {
 	for _, b := range s.bills {
 		bills = append(bills, b)
@@ -140,13 +140,13 @@
 	return bills
 }
 
-// Anomalies returns what was found, and how many more were not kept.
-func (s *Statement) Anomalies() (list []Anomaly, more int) { return s.anomalies, s.dropped }
+// Anomalies returns the listed anomalies and the number of further ones.
+func (s *Statement) Anomalies() (list []Anomaly, more int) { return s.anomalies, s.omitted }
 
-// Counts returns the records read and the bills that repeated a request.
+// Counts returns the number of records added and of bills that repeated a request.
 func (s *Statement) Counts() (records, repeats int64) { return s.records, s.repeats }
 
-// Totals sums the bills by organisation and route, sorted.
+// Totals returns the sums by organisation and route, sorted.
 func (s *Statement) Totals() (totals []Total) {
 	type key struct{ organisation, route string }
 	sums := make(map[key]*Total)
--- a/bill/statement_test.go
+++ b/bill/statement_test.go
@@ -11,7 +11,8 @@
 	"github.com/parsleydeal/parsleydeal/peer/wire"
 )
 
-// The scripts under testdata/statement append records and print the statement.
+// TestStatement runs the scripts under testdata/statement, which add records and print the
+// statement.
 func TestStatement(t *testing.T) {
 	datadriven.Walk(t, "testdata/statement", func(t *testing.T, path string) {
 		s, offset := NewStatement(), int64(0)
@@ -22,7 +23,7 @@
 			case "corrupt":
 				s.Add(offset, []byte(d.Input))
 			case "statement":
-				return printed(s)
+				return statementText(s)
 			}
 			offset++
 			return ""
@@ -30,8 +31,8 @@
 	})
 }
 
-// record makes a record of lines "request organisation attempt:cost[!]...",
-// where "!" marks a step that is not whole.
+// record encodes lines of the form "request organisation attempt:cost[!]...", where "!" marks a
+// step that is not complete.
 func record(t *testing.T, input string) []byte {
 	var entries []batch.Entry
 	for line := range strings.SplitSeq(input, "\n") {
@@ -52,7 +53,7 @@
 	return data
 }
 
-func printed(s *Statement) string {
+func statementText(s *Statement) string {
 	s.Finish(func(o string) bool { return o == "desk" || o == "ministry" })
 	var b strings.Builder
 	for _, x := range s.Bills() {
