--- a/burn/burn_test.go
+++ b/burn/burn_test.go
@@ -14,24 +14,24 @@
 	"pgregory.net/rapid"
 )
 
-var routes = &table.Tables{Routes: map[string]table.Route{
+var testTables = &table.Tables{Routes: map[string]table.Route{
 	"dossier": {QualityTarget: 0.9, Objective: table.Objective{Target: 0.95, Availability: 0.99, FirstToken: 390, TokenGap: 69}},
 }}
 
-type timed struct {
-	now clock.Millis
-	r   *Recorder
+type testRecorder struct {
+	now      clock.Millis
+	recorder *Recorder
 }
 
-func newTimed() *timed {
-	t := &timed{}
-	t.r = NewRecorder(clock.New(func() clock.Millis { return t.now }))
+func newTestRecorder() *testRecorder {
+	t := &testRecorder{}
+	t.recorder = NewRecorder(clock.New(func() clock.Millis { return t.now }))
 	return t
 }
 
-// report makes a report as it comes over the wire.
-func (t *timed) report(is *is.I, vm string, epoch uint64) *Report {
-	r, err := t.r.Report(vm, epoch, routes, 1)
+// report returns a report as it is received over the wire.
+func (t *testRecorder) report(is *is.I, vm string, epoch uint64) *Report {
+	r, err := t.recorder.Report(vm, epoch, testTables, 1)
 	is.NoErr(err)
 	data, err := json.Marshal(r)
 	is.NoErr(err)
@@ -50,22 +50,21 @@
 	return Line{}
 }
 
-// An entry is asked twice, since the first answer came late, and another was
-// restarted. Counting a life twice, or dropping one, would show a burn that never
-// was, or hide one.
-func TestMergeCountsEachLifeOnce(t *testing.T) {
+// An entry reports twice, as its first reply was late, and another one was restarted. Counting an
+// incarnation twice would show too high a burn rate, and dropping one too low a rate.
+func TestMergeCountsEachIncarnationOnce(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		is := is.New(t)
 		var reports []*Report
 		want, bad := int64(0), int64(0)
 		for epoch := range uint64(3) {
-			x := newTimed()
+			x := newTestRecorder()
 			n := rapid.Int64Range(1, 50).Draw(rt, "requests")
-			x.r.Add(Key{Route: "dossier", Zone: "z1"}, Counts{Requests: n, Unanswered: 1})
-			x.r.RecordLatency("dossier", 100, 10)
+			x.recorder.Add(Key{Route: "dossier", Zone: "z1"}, Counts{Requests: n, Unanswered: 1})
+			x.recorder.RecordLatency("dossier", 100, 10)
 			x.now += clock.Second
 			reports = append(reports, x.report(is, "entry-1", epoch))
-			x.r.Add(Key{Route: "dossier", Zone: "z2"}, Counts{Requests: 1})
+			x.recorder.Add(Key{Route: "dossier", Zone: "z2"}, Counts{Requests: 1})
 			x.now += clock.Second
 			for range rapid.IntRange(1, 3).Draw(rt, "asked") {
 				reports = append(reports, x.report(is, "entry-1", epoch))
@@ -84,15 +83,15 @@
 	})
 }
 
-// A version fails in one zone for ten minutes. The short windows must page while
-// it lasts, and stop once it has ended, while the budget stays spent.
+// A version fails in one zone for 30 minutes. The alert must be raised during the failure and end
+// soon after it, while the budget remains spent.
 func TestAlertsBeginAndEnd(t *testing.T) {
 	is := is.New(t)
-	x := newTimed()
+	x := newTestRecorder()
 	serve := func(span clock.Millis, unanswered int64) Line {
 		for end := x.now + span; x.now < end; x.now += 10 * clock.Second {
-			x.r.Add(Key{Route: "dossier", Version: "a@1", Zone: "z1"}, Counts{Requests: 10})
-			x.r.Add(Key{Route: "dossier", Version: "a@2", Zone: "z2"}, Counts{Requests: 10, Unanswered: unanswered})
+			x.recorder.Add(Key{Route: "dossier", Version: "a@1", Zone: "z1"}, Counts{Requests: 10})
+			x.recorder.Add(Key{Route: "dossier", Version: "a@2", Zone: "z2"}, Counts{Requests: 10, Unanswered: unanswered})
 		}
 		m, err := Merge([]*Report{x.report(is, "e", 1)})
 		is.NoErr(err)
@@ -102,21 +101,21 @@
 	during := serve(30*clock.Minute, 8)
 	is.Equal(during.Alert, Page)
 	is.Equal(during.Causes[0].Fraction, 1.0)
-	is.True(math.Abs(during.Rates["5m"]-40) < 1e-9) // 40 in 100 unanswered, 1 allowed
+	is.True(math.Abs(during.Rates["5m"]-40) < 1e-9) // 40% unanswered, 1% allowed
 	after := serve(20*clock.Minute, 0)
 	is.True(after.Alert != Page)
 	is.Equal(after.Rates["5m"], 0.0)
 	is.True(after.BudgetRemaining < 0)
-	is.True(serve(4*24*clock.Hour, 0).BudgetRemaining > 0.999) // left the longest window
+	is.True(serve(4*24*clock.Hour, 0).BudgetRemaining > 0.999) // the failure has left the longest window
 }
 
-// A page with parts from elsewhere shows nothing on an operator's phone beside a
-// broken network, which is when it is read.
+// Operators read the page during network failures, when resources from other hosts cannot be
+// loaded.
 func TestPageIsSelfContained(t *testing.T) {
 	is := is.New(t)
-	x := newTimed()
-	x.r.Add(Key{Route: "dossier", Version: "a@1", Zone: "<z1>", Organisation: "desk"}, Counts{Requests: 100, Unanswered: 40, FirstTokens: 100, LateFirstTokens: 3, Ratings: 10, RatingSum: 9.5})
-	x.r.RecordLatency("dossier", 350, 20)
+	x := newTestRecorder()
+	x.recorder.Add(Key{Route: "dossier", Version: "a@1", Zone: "<z1>", Organisation: "desk"}, Counts{Requests: 100, Unanswered: 40, FirstTokens: 100, LateFirstTokens: 3, Ratings: 10, RatingSum: 9.5})
+	x.recorder.RecordLatency("dossier", 350, 20)
 	m, err := Merge([]*Report{x.report(is, "e", 1)})
 	is.NoErr(err)
 	v := m.Evaluate()
@@ -137,12 +136,12 @@
 	}
 }
 
-// A caller who makes up organisations could fill the memory of every entry.
+// A caller that invents organisations must not be able to fill the memory of every entry.
 func TestKeysAreBounded(t *testing.T) {
 	is := is.New(t)
-	x := newTimed()
+	x := newTestRecorder()
 	for i := range 3 * maxKeys {
-		x.r.Add(Key{Route: "dossier", Organisation: string(rune(i + 1000))}, Counts{Requests: 1})
+		x.recorder.Add(Key{Route: "dossier", Organisation: string(rune(i + 1000))}, Counts{Requests: 1})
 	}
 	r := x.report(is, "e", 1)
 	is.True(len(r.Windows["3d"]) <= maxKeys+1)
@@ -151,41 +150,41 @@
 	is.Equal(m.Evaluate().find(is, "availability").Events, int64(3*maxKeys))
 }
 
-// Entries are replaced one after the other all day. A report that lost what each
-// had served, or counted it at both heirs, would show a budget that is not there.
-func TestPlannedStopHandsOn(t *testing.T) {
+// Entries are replaced one after the other. A report that loses the counts of a stopped entry, or
+// counts them at both processes that inherited them, would show a wrong budget.
+func TestPlannedStopHandsOverCounts(t *testing.T) {
 	is := is.New(t)
-	first, second, third := newTimed(), newTimed(), newTimed()
-	second.now, third.now = 5*clock.Hour, 90*clock.Hour // clocks of their own
-	hand := func(from *timed, vm string, to ...*timed) {
-		for _, l := range from.r.Handovers(vm, 1) {
-			data, err := l.Encode()
+	first, second, third := newTestRecorder(), newTestRecorder(), newTestRecorder()
+	second.now, third.now = 5*clock.Hour, 90*clock.Hour // different clocks
+	handOver := func(from *testRecorder, vm string, to ...*testRecorder) {
+		for _, h := range from.recorder.Handovers(vm, 1) {
+			data, err := h.Encode()
 			is.NoErr(err)
 			got, err := DecodeHandover(data)
 			is.NoErr(err)
 			for _, x := range to {
-				x.r.Inherit(got)
-				x.r.Inherit(got)
+				x.recorder.Inherit(got)
+				x.recorder.Inherit(got)
 			}
 		}
 	}
-	judge := func() Line {
+	evaluate := func() Line {
 		m, err := Merge([]*Report{second.report(is, "b", 1), third.report(is, "c", 1)})
 		is.NoErr(err)
 		return m.Evaluate().find(is, "availability")
 	}
-	first.r.Add(Key{Route: "dossier"}, Counts{Requests: 100, Unanswered: 50})
+	first.recorder.Add(Key{Route: "dossier"}, Counts{Requests: 100, Unanswered: 50})
 	first.now += clock.Minute
-	hand(first, "a", second, third)
-	is.Equal(judge().Events, int64(100))
-	is.True(judge().Rates["5m"] > 0)
+	handOver(first, "a", second, third)
+	is.Equal(evaluate().Events, int64(100))
+	is.True(evaluate().Rates["5m"] > 0)
 	second.now += 10 * clock.Minute
 	third.now += 10 * clock.Minute
-	_, recent := judge().Rates["5m"]
-	is.True(!recent) // it left the short window at both heirs
-	second.r.Add(Key{Route: "dossier"}, Counts{Requests: 10})
-	hand(second, "b", third)
-	is.Equal(judge().Events, int64(110))
+	_, recent := evaluate().Rates["5m"]
+	is.True(!recent) // the failure has left the short window of both reports
+	second.recorder.Add(Key{Route: "dossier"}, Counts{Requests: 10})
+	handOver(second, "b", third)
+	is.Equal(evaluate().Events, int64(110))
 	third.now += 80 * clock.Hour
 	m, err := Merge([]*Report{third.report(is, "c", 1)})
 	is.NoErr(err)
@@ -193,18 +192,18 @@
 }
 
 func BenchmarkAdd(b *testing.B) {
-	x := newTimed()
+	x := newTestRecorder()
 	b.ReportAllocs()
 	for b.Loop() {
 		x.now++
-		x.r.Add(Key{Route: "dossier", Version: "a@1", Zone: "z1", Organisation: "desk"}, Counts{Requests: 1})
+		x.recorder.Add(Key{Route: "dossier", Version: "a@1", Zone: "z1", Organisation: "desk"}, Counts{Requests: 1})
 	}
 }
 
-// An operator on call reads "-1900%" and has to work out what it means.
-func TestOverspentBudgetIsTold(t *testing.T) {
+// An overspent budget must be shown in a form that operators understand at once, unlike "-1900%".
+func TestOverspentBudgetText(t *testing.T) {
 	is := is.New(t)
-	is.Equal(Line{BudgetRemaining: 0.41}.left(), "41%")
-	is.Equal(Line{BudgetRemaining: 0}.left(), "0%")
-	is.Equal(Line{BudgetRemaining: -19}.left(), "0%, spent 20.0 times")
+	is.Equal(Line{BudgetRemaining: 0.41}.budgetText(), "41%")
+	is.Equal(Line{BudgetRemaining: 0}.budgetText(), "0%")
+	is.Equal(Line{BudgetRemaining: -19}.budgetText(), "0%, spent 20.0 times")
 }
--- a/burn/judge.go
+++ b/burn/judge.go
@@ -6,26 +6,27 @@
 	"slices"
 )
 
-// Alert says whether somebody should act.
+// Alert is the urgency of a burn rate.
 type Alert string
 
-// The alerts, from none to the most pressing.
+// The alerts, by increasing urgency.
 const (
 	NoAlert Alert = ""
-	// Ticket means that the budget of three days is spent within the window.
+	// Ticket means that the budget of the three-day window is being spent in full.
 	Ticket Alert = "ticket"
-	// Page means that a month's budget would be gone within two days.
+	// Page means that a month's budget would be spent within about two days.
 	Page Alert = "page"
 )
 
-// Burn rates at which an alert is given; both windows must show them, so that
-// an alert ends soon after its cause.
+// Burn rates from which an alert is raised. Both the long and the short window must reach them, so
+// that an alert ends soon after its cause.
 const (
 	pageRate   = 14.4
 	ticketRate = 1.0
-	// leastEvents keeps a few requests on a quiet route from alerting.
-	leastEvents = 20
-	// maxCauses bounds the causes named for one objective.
+	// minEvents is the number of events in the long window below which no alert is raised, so that
+	// a few failed requests on a quiet route do not cause one.
+	minEvents = 20
+	// maxCauses is how many causes are listed for one objective.
 	maxCauses = 5
 )
 
@@ -34,28 +35,30 @@
 	Route     string  `json:"route"`
 	Objective string  `json:"objective"`
 	Target    float64 `json:"target"`
-	// Rates holds the burn rate by window: the share of bad events over the share
-	// allowed. 1 spends the budget exactly.
+	// Rates holds the burn rate by window: the ratio of bad events divided by the ratio that the
+	// target allows. A rate of 1 spends the budget exactly.
 	Rates map[string]float64 `json:"rates"`
-	// Events counts the events of the longest window, Bad the bad ones. Bad is
-	// not whole for quality, where an answer may be good in part.
+	// Events counts the events of the longest window that has any, and Bad the bad ones. Bad is
+	// fractional for quality, where an answer may be partly good.
 	Events int64   `json:"events"`
 	Bad    float64 `json:"bad"`
-	// BudgetRemaining is the part of the longest window's budget that is left; below 0 it is
-	// overspent.
+	// BudgetRemaining is the remaining fraction of that window's budget. It is below 0 if the
+	// budget is overspent.
 	BudgetRemaining float64 `json:"left"`
 	Alert           Alert   `json:"alert,omitempty"`
 	Causes          []Cause `json:"causes,omitempty"`
 }
 
-// Cause is a part of the bad events that one version, zone or organisation has.
+// Cause is the fraction of the bad events that belongs to one version, availability zone or
+// organisation. An event counts for one of each kind.
 type Cause struct {
 	Kind     string  `json:"kind"`
 	Name     string  `json:"name"`
 	Fraction float64 `json:"part"`
 }
 
-// Percentiles are those of a route's last hour, in milliseconds.
+// Percentiles are the latencies of a route over the last hour, in milliseconds. First is the time
+// to the first token, Gap the mean time between tokens.
 type Percentiles struct {
 	Route    string `json:"route"`
 	FirstP50 int64  `json:"first-p50"`
@@ -66,62 +69,62 @@
 	Attempts int64  `json:"attempts"`
 }
 
-// Evaluation is what operators read.
+// Evaluation is the burn report for operators.
 type Evaluation struct {
 	Processes int `json:"processes"`
-	// Missing names the entries that did not answer; what they served lacks.
+	// Missing names the entries that did not reply. What they served is not included.
 	Missing       []string      `json:"missing,omitempty"`
 	CoveredMillis int64         `json:"covered-millis"`
 	Lines         []Line        `json:"lines"`
 	Latencies     []Percentiles `json:"latencies"`
 }
 
-// part reads good and bad of one objective out of a tally.
-type part struct {
+// indicator extracts the events of one objective, and the bad ones among them, from counts.
+type indicator struct {
 	name   string
 	target func(Objective) float64
-	read   func(Counts) (events int64, bad float64)
+	count  func(Counts) (events int64, bad float64)
 }
 
-func parts() []part {
-	return []part{
-		{"availability", func(o Objective) float64 { return o.Availability }, func(t Counts) (int64, float64) { return t.Requests, float64(t.Unanswered) }},
-		{"first-token", func(o Objective) float64 { return pick(o.FirstTokenMillis, o.Target) }, func(t Counts) (int64, float64) { return t.FirstTokens, float64(t.LateFirstTokens) }},
-		{"token-gap", func(o Objective) float64 { return pick(o.TokenGapMillis, o.Target) }, func(t Counts) (int64, float64) { return t.TokenGaps, float64(t.SlowGaps) }},
-		{"quality", func(o Objective) float64 { return o.Quality }, func(t Counts) (int64, float64) { return t.Ratings, float64(t.Ratings) - t.RatingSum }},
-		{"exposure", func(Objective) float64 { return exposureTarget }, func(t Counts) (int64, float64) { return t.Requests, float64(t.Exposed) }},
+func indicators() []indicator {
+	return []indicator{
+		{"availability", func(o Objective) float64 { return o.Availability }, func(c Counts) (int64, float64) { return c.Requests, float64(c.Unanswered) }},
+		{"first-token", func(o Objective) float64 { return targetIfLimited(o.FirstTokenMillis, o.Target) }, func(c Counts) (int64, float64) { return c.FirstTokens, float64(c.LateFirstTokens) }},
+		{"token-gap", func(o Objective) float64 { return targetIfLimited(o.TokenGapMillis, o.Target) }, func(c Counts) (int64, float64) { return c.TokenGaps, float64(c.SlowGaps) }},
+		{"quality", func(o Objective) float64 { return o.Quality }, func(c Counts) (int64, float64) { return c.Ratings, float64(c.Ratings) - c.RatingSum }},
+		{"exposure", func(Objective) float64 { return exposureTarget }, func(c Counts) (int64, float64) { return c.Requests, float64(c.Exposed) }},
 	}
 }
 
-// exposureTarget is the share of requests that must not be answered by a
-// version held or withdrawn by then.
+// exposureTarget is the ratio of requests that must not be answered by a version that is held or
+// withdrawn by the time the answer ends.
 const exposureTarget = 0.999
 
-func pick(limit int64, target float64) float64 {
+func targetIfLimited(limit int64, target float64) float64 {
 	if limit == 0 {
 		return 0
 	}
 	return target
 }
 
-// Evaluate makes the verdict, the most pressing objective first.
+// Evaluate returns the state of all objectives, the one with the least remaining budget first.
 func (m *Merged) Evaluate() *Evaluation {
-	v := &Evaluation{Processes: m.Processes, CoveredMillis: m.CoveredMillis}
+	out := &Evaluation{Processes: m.Processes, CoveredMillis: m.CoveredMillis}
 	for _, route := range slices.Sorted(maps.Keys(m.Objectives)) {
-		for _, p := range parts() {
+		for _, p := range indicators() {
 			if l, ok := m.line(route, p); ok {
-				v.Lines = append(v.Lines, l)
+				out.Lines = append(out.Lines, l)
 			}
 		}
 	}
-	slices.SortStableFunc(v.Lines, func(a, b Line) int { return cmp.Compare(a.BudgetRemaining, b.BudgetRemaining) })
+	slices.SortStableFunc(out.Lines, func(a, b Line) int { return cmp.Compare(a.BudgetRemaining, b.BudgetRemaining) })
 	for _, route := range slices.Sorted(maps.Keys(m.first)) {
-		v.Latencies = append(v.Latencies, m.percentiles(route))
+		out.Latencies = append(out.Latencies, m.percentiles(route))
 	}
-	return v
+	return out
 }
 
-func (m *Merged) line(route string, p part) (l Line, ok bool) {
+func (m *Merged) line(route string, p indicator) (l Line, ok bool) {
 	target := p.target(m.Objectives[route])
 	if target <= 0 || target >= 1 {
 		return l, false
@@ -143,7 +146,7 @@
 
 func alert(rates map[string]float64, events map[string]int64) Alert {
 	over := func(long, short string, rate float64) bool {
-		return events[long] >= leastEvents && rates[long] >= rate && rates[short] >= rate
+		return events[long] >= minEvents && rates[long] >= rate && rates[short] >= rate
 	}
 	switch {
 	case over("1h", "5m", pageRate):
@@ -154,10 +157,10 @@
 	return NoAlert
 }
 
-func (m *Merged) count(window, route string, p part) (n int64, bad float64) {
-	for k, t := range m.windows[window] {
+func (m *Merged) count(window, route string, p indicator) (n int64, bad float64) {
+	for k, counts := range m.windows[window] {
 		if k.Route == route {
-			events, x := p.read(t)
+			events, x := p.count(counts)
 			n += events
 			bad += x
 		}
@@ -165,12 +168,12 @@
 	return n, bad
 }
 
-// causes names who has the most of the bad events within six hours.
-func (m *Merged) causes(route string, p part) (out []Cause) {
+// causes returns the largest contributors to the bad events of the last six hours.
+func (m *Merged) causes(route string, p indicator) (out []Cause) {
 	sums := make(map[Cause]float64)
 	all := 0.0
-	for k, t := range m.windows["6h"] {
-		_, bad := p.read(t)
+	for k, counts := range m.windows["6h"] {
+		_, bad := p.count(counts)
 		if k.Route != route || bad <= 0 {
 			continue
 		}
@@ -200,5 +203,5 @@
 	}
 }
 
-// Percent returns the part in a hundred.
+// Percent returns the fraction as a percentage.
 func (c Cause) Percent() float64 { return 100 * c.Fraction }
--- a/burn/life.go
+++ b/burn/life.go
@@ -12,15 +12,16 @@
 )
 
 const (
-	// maxLives bounds the lives of other processes kept; the one taken first
-	// falls out.
-	maxLives = 64
-	// maxLifeBytes bounds what is unpacked of one hand-over.
-	maxLifeBytes = 32 << 20
+	// maxHandovers is how many handovers of other processes are kept. Beyond it the one received
+	// first is dropped.
+	maxHandovers = 64
+	// maxHandoverBytes limits the decompressed size of one handover.
+	maxHandoverBytes = 32 << 20
 )
 
-// Handover is what one life of a process counted, as it is handed on at a planned
-// stop. Ages are spans before the hand-over, so that no two clocks are compared.
+// Handover holds the counts of one incarnation of a process, which it hands over to another process
+// at a planned stop. Ages are relative to the handover, so that clocks of different processes are
+// never compared.
 type Handover struct {
 	VM            string                  `json:"vm"`
 	Epoch         uint64                  `json:"epoch,string"`
@@ -28,51 +29,52 @@
 	Rings         map[string][]AgedBucket `json:"rings"`
 }
 
-// AgedBucket is one bucket.
+// AgedBucket is one bucket of counts.
 type AgedBucket struct {
-	// AgeMillis is how long before the hand-over the bucket began.
+	// AgeMillis is the time from the start of the bucket to the handover.
 	AgeMillis int64 `json:"age-millis"`
 	Rows      []Row `json:"rows"`
 }
 
-// inherited is a life and when it was taken, on this process's clock.
+// inherited is a handover and the time it was received, on this process's clock.
 type inherited struct {
-	life Handover
-	at   clock.Millis
+	handover   Handover
+	receivedAt clock.Millis
 }
 
-func (l Handover) same(o Handover) bool { return l.VM == o.VM && l.Epoch == o.Epoch }
+func (h Handover) sameIncarnation(o Handover) bool { return h.VM == o.VM && h.Epoch == o.Epoch }
 
-// Handovers returns this process's own life and those it has taken from others, for
-// whoever takes them over.
-func (r *Recorder) Handovers(vm string, epoch uint64) (lives []Handover) {
+// Handovers returns the counts of this process and those it has inherited, for the process that
+// takes them over. VM and epoch identify this incarnation.
+func (r *Recorder) Handovers(vm string, epoch uint64) (handovers []Handover) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.now()
 	own := Handover{VM: vm, Epoch: epoch, CoveredMillis: int64(now - r.startedAt), Rings: make(map[string][]AgedBucket)}
 	for i, w := range Windows() {
 		for _, b := range r.rings[i] {
-			sums := make(map[Key]Counts, len(b.tallies))
-			for k, t := range b.tallies {
-				sums[k] = *t
+			sums := make(map[Key]Counts, len(b.counts))
+			for k, counts := range b.counts {
+				sums[k] = *counts
 			}
 			own.Rings[w.Name] = append(own.Rings[w.Name], AgedBucket{AgeMillis: int64(now - b.start), Rows: rowsOf(sums)})
 		}
 	}
-	lives = append(lives, own)
+	handovers = append(handovers, own)
 	for _, x := range r.inherited {
-		lives = append(lives, x.aged(now))
+		handovers = append(handovers, x.aged(now))
 	}
-	return lives
+	return handovers
 }
 
-// aged returns the life as of a later instant.
+// aged returns the handover with its ages as of a later time, without buckets that have left their
+// window.
 func (x inherited) aged(now clock.Millis) Handover {
-	out := x.life
-	out.Rings = make(map[string][]AgedBucket, len(x.life.Rings))
+	out := x.handover
+	out.Rings = make(map[string][]AgedBucket, len(x.handover.Rings))
 	for _, w := range Windows() {
-		for _, b := range x.life.Rings[w.Name] {
-			b.AgeMillis += int64(now - x.at)
+		for _, b := range x.handover.Rings[w.Name] {
+			b.AgeMillis += int64(now - x.receivedAt)
 			if b.AgeMillis < int64(w.Duration) {
 				out.Rings[w.Name] = append(out.Rings[w.Name], b)
 			}
@@ -81,35 +83,35 @@
 	return out
 }
 
-// Inherit takes over the life of another process. Of two hand-overs of one life
-// the later counts, so a repeated one does no harm.
-func (r *Recorder) Inherit(l Handover) {
+// Inherit adds the counts of another process. Of two handovers of one incarnation the later one
+// counts, so a handover may be repeated.
+func (r *Recorder) Inherit(h Handover) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	i := slices.IndexFunc(r.inherited, func(x inherited) bool { return x.life.same(l) })
+	i := slices.IndexFunc(r.inherited, func(x inherited) bool { return x.handover.sameIncarnation(h) })
 	switch {
-	case i >= 0 && r.inherited[i].life.CoveredMillis >= l.CoveredMillis:
+	case i >= 0 && r.inherited[i].handover.CoveredMillis >= h.CoveredMillis:
 		return
 	case i >= 0:
 		r.inherited = slices.Delete(r.inherited, i, i+1)
-	case len(r.inherited) >= maxLives:
+	case len(r.inherited) >= maxHandovers:
 		r.inherited = r.inherited[1:]
 	}
-	r.inherited = append(r.inherited, inherited{life: l, at: r.now()})
+	r.inherited = append(r.inherited, inherited{handover: h, receivedAt: r.now()})
 }
 
-// reports makes a report of each life taken over.
-func (r *Recorder) reports(now clock.Millis) (out []*Report) {
+// inheritedReports returns a report of each inherited handover.
+func (r *Recorder) inheritedReports(now clock.Millis) (out []*Report) {
 	for _, x := range r.inherited {
-		l := x.aged(now)
-		report := &Report{VM: l.VM, Epoch: l.Epoch, CoveredMillis: l.CoveredMillis, Revision: -1, Windows: make(map[string][]Row)}
-		for name, ring := range l.Rings {
+		h := x.aged(now)
+		report := &Report{VM: h.VM, Epoch: h.Epoch, CoveredMillis: h.CoveredMillis, Revision: -1, Windows: make(map[string][]Row)}
+		for name, ring := range h.Rings {
 			sums := make(map[Key]Counts)
 			for _, b := range ring {
 				for _, row := range b.Rows {
-					t := sums[row.Key]
-					t.Add(row.Counts)
-					sums[row.Key] = t
+					counts := sums[row.Key]
+					counts.Add(row.Counts)
+					sums[row.Key] = counts
 				}
 			}
 			report.Windows[name] = rowsOf(sums)
@@ -120,33 +122,33 @@
 	return out
 }
 
-// Encode writes a life for the wire.
-func (l Handover) Encode() (data []byte, err error) {
+// Encode encodes a handover for the wire, as compressed JSON.
+func (h Handover) Encode() (data []byte, err error) {
 	defer func() {
 		if err != nil {
-			err = ErrMalformed.Wrap(err, "pack life of %s", l.VM)
+			err = ErrMalformed.Wrap(err, "encode handover of %s", h.VM)
 		}
 	}()
 	var b bytes.Buffer
 	z := gzip.NewWriter(&b)
-	if err = json.NewEncoder(z).Encode(l); err != nil {
+	if err = json.NewEncoder(z).Encode(h); err != nil {
 		return nil, err
 	}
 	err = z.Close()
 	return b.Bytes(), err
 }
 
-// DecodeHandover reads what Pack wrote.
-func DecodeHandover(data []byte) (l Handover, err error) {
+// DecodeHandover decodes what Encode returned. Its error is ErrMalformed.
+func DecodeHandover(data []byte) (h Handover, err error) {
 	defer func() {
 		if err != nil {
-			err = ErrMalformed.Wrap(err, "unpack life")
+			err = ErrMalformed.Wrap(err, "decode handover")
 		}
 	}()
 	z, err := gzip.NewReader(bytes.NewReader(data))
 	if err != nil {
-		return l, err
+		return h, err
 	}
-	err = json.NewDecoder(io.LimitReader(z, maxLifeBytes)).Decode(&l)
-	return l, err
+	err = json.NewDecoder(io.LimitReader(z, maxHandoverBytes)).Decode(&h)
+	return h, err
 }
--- a/burn/page.go
+++ b/burn/page.go
@@ -22,8 +22,9 @@
 const (
 	plotWidth  = 340 * vg.Length(1)
 	plotHeight = 200 * vg.Length(1)
-	// rateShown caps the bars, so that one bad route leaves the others legible.
-	rateShown = 20
+	// maxPlottedRate limits the height of the bars. Without a limit, one very high rate would make
+	// the other bars too small to read.
+	maxPlottedRate = 20
 )
 
 type page struct {
@@ -32,7 +33,7 @@
 	Cards   []card
 }
 
-// card is one objective as the page shows it.
+// card is one objective on the page.
 type card struct {
 	Line
 	LeftText string
@@ -42,14 +43,14 @@
 
 type cell struct{ Name, Value string }
 
-// WriteHTML writes the verdict as one page with nothing outside it.
+// WriteHTML writes the evaluation as one HTML page that loads nothing else.
 func (v *Evaluation) WriteHTML(w io.Writer) (err error) {
 	defer func() {
 		if err != nil {
 			err = ErrMalformed.Wrap(err, "write page")
 		}
 	}()
-	p := page{Evaluation: v, Covered: spanText(v.CoveredMillis)}
+	p := page{Evaluation: v, Covered: durationText(v.CoveredMillis)}
 	for _, l := range v.Lines {
 		c, err := cardOf(l)
 		if err != nil {
@@ -64,7 +65,7 @@
 	return t.Execute(w, p)
 }
 
-func spanText(millis int64) string {
+func durationText(millis int64) string {
 	const minute = 60_000
 	switch {
 	case millis < minute:
@@ -76,7 +77,7 @@
 }
 
 func cardOf(l Line) (c card, err error) {
-	c = card{Line: l, LeftText: l.left()}
+	c = card{Line: l, LeftText: l.budgetText()}
 	for _, w := range Windows() {
 		text := "–"
 		if r, ok := l.Rates[w.Name]; ok {
@@ -88,7 +89,7 @@
 	return c, err
 }
 
-// plotOf draws the burn rate by window beside the rate that spends the budget
+// plotOf draws the burn rate by window, with a dashed line at the rate that spends the budget
 // exactly.
 func plotOf(l Line) (svg template.HTML, err error) {
 	p := plot.New()
@@ -96,25 +97,25 @@
 	p.Y.Min = 0
 	var values plotter.Values
 	var names []string
-	most := 2.0
+	yMax := 2.0
 	for _, w := range Windows() {
-		values = append(values, min(l.Rates[w.Name], rateShown))
+		values = append(values, min(l.Rates[w.Name], maxPlottedRate))
 		names = append(names, w.Name)
-		most = max(most, min(l.Rates[w.Name], rateShown))
+		yMax = max(yMax, min(l.Rates[w.Name], maxPlottedRate))
 	}
-	p.Y.Max = most
+	p.Y.Max = yMax
 	bars, err := plotter.NewBarChart(values, vg.Points(36))
 	if err != nil {
 		return "", err
 	}
 	bars.Color = colorOf(l)
 	bars.LineStyle.Width = 0
-	even, err := plotter.NewLine(plotter.XYs{{X: -0.5, Y: 1}, {X: float64(len(names)) - 0.5, Y: 1}})
+	exactRate, err := plotter.NewLine(plotter.XYs{{X: -0.5, Y: 1}, {X: float64(len(names)) - 0.5, Y: 1}})
 	if err != nil {
 		return "", err
 	}
-	even.Dashes = []vg.Length{vg.Points(4), vg.Points(3)}
-	p.Add(bars, even)
+	exactRate.Dashes = []vg.Length{vg.Points(4), vg.Points(3)}
+	p.Add(bars, exactRate)
 	p.NominalX(names...)
 	canvas := vgsvg.New(plotWidth, plotHeight)
 	p.Draw(draw.New(canvas))
--- a/burn/recorder.go
+++ b/burn/recorder.go
@@ -8,30 +8,30 @@
 )
 
 const (
-	// maxKeys bounds the keys of one bucket; more organisations are counted
-	// together under "other".
-	maxKeys = 1024
-	other   = "other"
-	// Histograms hold 1 ms to 2 minutes to two digits.
-	histogramLeast  = 1
-	histogramMost   = int64(2 * clock.Minute)
-	histogramDigits = 2
-	// maxRoutes bounds the routes with histograms; further ones have none.
+	// maxKeys is the number of keys in one bucket beyond which further organisations are counted
+	// together under otherOrganisations. It limits memory when callers invent organisations.
+	maxKeys            = 1024
+	otherOrganisations = "other"
+	// Histograms cover 1 ms to 2 minutes with two significant digits.
+	histogramMinMillis = 1
+	histogramMaxMillis = int64(2 * clock.Minute)
+	histogramDigits    = 2
+	// maxRoutes is how many routes have histograms. Latencies of further routes are not recorded.
 	maxRoutes = 64
-	// latencySlots and latencySlot make the hour over which latencies are kept.
-	latencySlots = 4
-	latencySlot  = 15 * clock.Minute
+	// latencySlotCount slots of latencySlotWidth cover the hour for which latencies are kept.
+	latencySlotCount = 4
+	latencySlotWidth = 15 * clock.Minute
 )
 
-// Window is a span over which burn is judged.
+// Window is a period over which burn rates are computed.
 type Window struct {
 	Name     string
 	Duration clock.Millis
-	// step is the width of the buckets that it is summed from.
+	// step is the width of the buckets that are summed for the window.
 	step clock.Millis
 }
 
-// Windows are the spans judged, the shortest first.
+// Windows returns the windows, the shortest first.
 func Windows() []Window {
 	return []Window{
 		{Name: "5m", Duration: 5 * clock.Minute, step: clock.Minute / 2},
@@ -41,66 +41,65 @@
 	}
 }
 
-// Recorder counts what this process serves. It is safe for use by many
-// goroutines.
+// Recorder counts the requests that this process serves. It is safe for concurrent use.
 type Recorder struct {
 	mu  sync.Mutex
 	now func() clock.Millis
-	// rings holds the buckets of each window, the newest last.
+	// rings holds the buckets of each window in the order of Windows, the newest bucket last.
 	rings [][]bucket
-	// latencies holds at most maxRoutes routes.
+	// latencies holds the histograms of at most maxRoutes routes.
 	latencies map[string]*latency
 	startedAt clock.Millis
-	// inherited holds at most maxLives lives, the one taken first in front.
+	// inherited holds at most maxHandovers handovers, in the order in which they were received.
 	inherited []inherited
 }
 
 type bucket struct {
 	// start is a multiple of the window's step.
-	start   clock.Millis
-	tallies map[Key]*Counts
+	start  clock.Millis
+	counts map[Key]*Counts
 }
 
-// latency holds one histogram a slot; the slot in use is overwritten after an
-// hour.
+// latency holds the histograms of one route by slot. A slot is overwritten after an hour.
 type latency struct {
-	slots [latencySlots]latencySlotted
+	slots [latencySlotCount]slotHistograms
 }
 
-type latencySlotted struct {
+type slotHistograms struct {
 	start      clock.Millis
 	first, gap *hdrhistogram.Histogram
 }
 
-// NewRecorder makes an empty recorder.
+// NewRecorder returns an empty recorder.
 func NewRecorder(c clock.Clock) *Recorder {
 	return &Recorder{now: c.Now, rings: make([][]bucket, len(Windows())), latencies: make(map[string]*latency), startedAt: c.Now()}
 }
 
-// Add counts a tally under a key.
-func (r *Recorder) Add(k Key, t Counts) {
+// Add adds counts under a key.
+func (r *Recorder) Add(k Key, counts Counts) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.now()
 	for i, w := range Windows() {
 		r.rings[i] = advance(r.rings[i], w, now)
-		tallies := r.rings[i][len(r.rings[i])-1].tallies
+		byKey := r.rings[i][len(r.rings[i])-1].counts
 		key := k
-		if _, known := tallies[key]; !known && len(tallies) >= maxKeys {
-			key = Key{Route: k.Route, Organisation: other}
+		if _, known := byKey[key]; !known && len(byKey) >= maxKeys {
+			key = Key{Route: k.Route, Organisation: otherOrganisations}
 		}
-		if tallies[key] == nil {
-			tallies[key] = &Counts{}
+		if byKey[key] == nil {
+			byKey[key] = &Counts{}
 		}
-		tallies[key].Add(t)
+		byKey[key].Add(counts)
 	}
 }
 
-// advance opens the bucket of an instant and drops those that left the window.
+// advance adds the bucket for the current time if it is missing and drops those that have left the
+// window.
 func advance(ring []bucket, w Window, now clock.Millis) []bucket {
 	start := now / w.step * w.step
 	if len(ring) == 0 || ring[len(ring)-1].start < start {
-		ring = append(ring, bucket{start: start, tallies: make(map[Key]*Counts)})
+		ring = append(ring, bucket{start: start, counts: make(map[Key]*Counts)})
 	}
 	for ring[0].start+w.step+w.Duration <= now {
 		ring = ring[1:]
@@ -108,8 +107,8 @@
 	return ring
 }
 
-// RecordLatency counts an attempt's time to the first token and mean time between
-// tokens; a span of 0 is not counted.
+// RecordLatency records an attempt's time to the first token and its mean time between tokens. A
+// duration of 0 is not recorded.
 func (r *Recorder) RecordLatency(route string, first, gap clock.Millis) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -126,21 +125,21 @@
 	record(s.gap, gap)
 }
 
-func (l *latency) slot(now clock.Millis) *latencySlotted {
-	start := now / latencySlot * latencySlot
-	s := &l.slots[start/latencySlot%latencySlots]
+func (l *latency) slot(now clock.Millis) *slotHistograms {
+	start := now / latencySlotWidth * latencySlotWidth
+	s := &l.slots[start/latencySlotWidth%latencySlotCount]
 	if s.first == nil || s.start != start {
-		*s = latencySlotted{start: start, first: newHistogram(), gap: newHistogram()}
+		*s = slotHistograms{start: start, first: newHistogram(), gap: newHistogram()}
 	}
 	return s
 }
 
 func newHistogram() *hdrhistogram.Histogram {
-	return hdrhistogram.New(histogramLeast, histogramMost, histogramDigits)
+	return hdrhistogram.New(histogramMinMillis, histogramMaxMillis, histogramDigits)
 }
 
-func record(h *hdrhistogram.Histogram, span clock.Millis) {
-	if span > 0 {
-		_ = h.RecordValue(min(int64(span), histogramMost))
+func record(h *hdrhistogram.Histogram, duration clock.Millis) {
+	if duration > 0 {
+		_ = h.RecordValue(min(int64(duration), histogramMaxMillis))
 	}
 }
--- a/burn/report.go
+++ b/burn/report.go
@@ -13,10 +13,11 @@
 // Errors is the namespace of this package's errors.
 var Errors = errorx.NewNamespace("burn")
 
-// ErrMalformed marks a report that cannot be merged.
+// ErrMalformed is returned for a report, handover or page that cannot be encoded or decoded.
 var ErrMalformed = Errors.NewType("malformed")
 
-// Objective is what a route promises, as the tables had it.
+// Objective holds the service-level objectives of a route as they are in the tables. A field is 0
+// if the tables set none.
 type Objective struct {
 	FirstTokenMillis int64   `json:"first-token-millis,omitempty"`
 	TokenGapMillis   int64   `json:"token-gap-millis,omitempty"`
@@ -25,34 +26,35 @@
 	Quality          float64 `json:"quality,omitempty"`
 }
 
-// Row is what one key counted within a window.
+// Row holds the counts of one key within a window.
 type Row struct {
 	Key
 	Counts
 }
 
-// Latency holds a route's mergeable histograms of the last hour.
+// Latency holds the histograms of a route for the last hour, encoded so that they can be merged.
 type Latency struct {
 	Route string `json:"route"`
 	First []byte `json:"first"`
 	Gap   []byte `json:"gap"`
 }
 
-// Report is what one life of one process has served.
+// Report holds the counts of one incarnation of a process.
 type Report struct {
 	VM    string `json:"vm"`
 	Epoch uint64 `json:"epoch,string"`
-	// CoveredMillis is how long the process has counted.
+	// CoveredMillis is how long the process has been counting.
 	CoveredMillis int64                `json:"covered-millis"`
 	Revision      int64                `json:"revision"`
 	Objectives    map[string]Objective `json:"objectives"`
 	Windows       map[string][]Row     `json:"windows"`
 	Latencies     []Latency            `json:"latencies"`
-	// Inherited holds what processes that stopped handed to this one.
+	// Inherited holds the counts that stopped processes handed over to this one.
 	Inherited []*Report `json:"inherited,omitempty"`
 }
 
-// Report makes the report of this process. Tables may be nil.
+// Report returns the report of this process. VM and epoch identify its incarnation. Tables may be
+// nil.
 func (r *Recorder) Report(vm string, epoch uint64, t *table.Tables, revision int64) (out *Report, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -68,7 +70,7 @@
 		}
 		out.Latencies = append(out.Latencies, x)
 	}
-	out.Inherited = r.reports(now)
+	out.Inherited = r.inheritedReports(now)
 	slices.SortFunc(out.Latencies, func(a, b Latency) int { return cmp.Compare(a.Route, b.Route) })
 	return out, nil
 }
@@ -99,9 +101,9 @@
 		if b.start+w.Duration <= now {
 			continue
 		}
-		for k, t := range b.tallies {
+		for k, counts := range b.counts {
 			s := sums[k]
-			s.Add(*t)
+			s.Add(*counts)
 			sums[k] = s
 		}
 	}
@@ -109,8 +111,8 @@
 }
 
 func rowsOf(sums map[Key]Counts) (rows []Row) {
-	for k, t := range sums {
-		rows = append(rows, Row{Key: k, Counts: t})
+	for k, counts := range sums {
+		rows = append(rows, Row{Key: k, Counts: counts})
 	}
 	slices.SortFunc(rows, func(a, b Row) int {
 		return cmp.Or(cmp.Compare(a.Route, b.Route), cmp.Compare(a.Version, b.Version), cmp.Compare(a.Zone, b.Zone), cmp.Compare(a.Organisation, b.Organisation))
@@ -136,28 +138,28 @@
 	return out, nil
 }
 
-// Merged sums the reports of many processes.
+// Merged is the sum of the reports of several processes.
 type Merged struct {
 	Processes  int
 	Revision   int64
 	Objectives map[string]Objective
 	windows    map[string]map[Key]Counts
 	first, gap map[string]*hdrhistogram.Histogram
-	// CoveredMillis is the longest that any process has counted.
+	// CoveredMillis is the longest time that any process has been counting.
 	CoveredMillis int64
 }
 
-// Merge sums reports. Of two reports of one life of a process, such as after a
-// call that was tried again, the later one counts.
+// Merge sums reports. Of two reports of one incarnation of a process, for example after a retried
+// call, the later one counts. Its error is ErrMalformed.
 func Merge(reports []*Report) (m *Merged, err error) {
-	type life struct {
+	type incarnation struct {
 		vm    string
 		epoch uint64
 	}
-	latest := make(map[life]*Report)
+	latest := make(map[incarnation]*Report)
 	for _, r := range reports {
 		for _, x := range append([]*Report{r}, r.Inherited...) {
-			k := life{x.VM, x.Epoch}
+			k := incarnation{x.VM, x.Epoch}
 			if old := latest[k]; old == nil || old.CoveredMillis < x.CoveredMillis {
 				latest[k] = x
 			}
@@ -182,9 +184,9 @@
 			m.windows[name] = make(map[Key]Counts)
 		}
 		for _, row := range rows {
-			t := m.windows[name][row.Key]
-			t.Add(row.Counts)
-			m.windows[name][row.Key] = t
+			counts := m.windows[name][row.Key]
+			counts.Add(row.Counts)
+			m.windows[name][row.Key] = counts
 		}
 	}
 	for _, l := range r.Latencies {
--- a/burn/tally.go
+++ b/burn/tally.go
@@ -1,12 +1,12 @@
-// Package burn reports how fast each route spends the errors that its
-// service-level objectives allow, and on what.
+// Package burn reports how fast each route spends the error budget of its service-level objectives,
+// and the main causes.
 //
-// Each entry counts what it serves by its own clock. Reports of several
-// processes are merged by process and epoch, so that a process asked twice
-// counts once and a restarted one counts both lives.
+// Each entry counts the requests that it serves by its own clock. Reports of several processes are
+// merged by process and epoch, so that a process that reports twice counts once, and both
+// incarnations of a restarted process count.
 package burn
 
-// Key says where a request ran.
+// Key identifies where a request ran.
 type Key struct {
 	Route        string `json:"route"`
 	Version      string `json:"version,omitempty"`
@@ -14,35 +14,38 @@
 	Organisation string `json:"organisation,omitempty"`
 }
 
-// Counts counts good and bad by objective. All fields only grow.
+// Counts holds the numbers of all events and of bad events for each objective. All fields only
+// increase.
 type Counts struct {
-	// Requests counts those that should have had an answer, Unanswered those
-	// that got no whole one.
+	// Requests counts the requests that should have been answered, Unanswered those that got no
+	// complete answer.
 	Requests   int64 `json:"requests,omitempty"`
 	Unanswered int64 `json:"unanswered,omitempty"`
-	// FirstTokens counts attempts with a first token, Late those beyond the limit.
+	// FirstTokens counts attempts with a first token, LateFirstTokens those that exceeded the
+	// limit.
 	FirstTokens     int64 `json:"firsts,omitempty"`
 	LateFirstTokens int64 `json:"late,omitempty"`
-	// TokenGaps counts attempts with more than one token, Slow those beyond the limit.
+	// TokenGaps counts attempts with more than one token, SlowGaps those whose mean time between
+	// tokens exceeded the limit.
 	TokenGaps int64 `json:"gaps,omitempty"`
 	SlowGaps  int64 `json:"slow,omitempty"`
-	// Ratings counts ratings, Score adds them up.
+	// Ratings counts ratings, RatingSum is the sum of their scores.
 	Ratings   int64   `json:"ratings,omitempty"`
 	RatingSum float64 `json:"score,omitempty"`
-	// Exposed counts requests answered by a version that was held or withdrawn
-	// by the time the answer ended.
+	// Exposed counts requests answered by a version that was held or withdrawn by the time the
+	// answer ended.
 	Exposed int64 `json:"exposed,omitempty"`
 }
 
-// Add adds another tally.
-func (t *Counts) Add(o Counts) {
-	t.Requests += o.Requests
-	t.Unanswered += o.Unanswered
-	t.FirstTokens += o.FirstTokens
-	t.LateFirstTokens += o.LateFirstTokens
-	t.TokenGaps += o.TokenGaps
-	t.SlowGaps += o.SlowGaps
-	t.Ratings += o.Ratings
-	t.RatingSum += o.RatingSum
-	t.Exposed += o.Exposed
+// Add adds the counts of o.
+func (c *Counts) Add(o Counts) {
+	c.Requests += o.Requests
+	c.Unanswered += o.Unanswered
+	c.FirstTokens += o.FirstTokens
+	c.LateFirstTokens += o.LateFirstTokens
+	c.TokenGaps += o.TokenGaps
+	c.SlowGaps += o.SlowGaps
+	c.Ratings += o.Ratings
+	c.RatingSum += o.RatingSum
+	c.Exposed += o.Exposed
 }
--- a/burn/text.go
+++ b/burn/text.go
@@ -9,7 +9,7 @@
 	"github.com/parsleydeal/parsleydeal/clock"
 )
 
-// WriteText prints the verdict for a terminal.
+// WriteText writes the evaluation as text for a terminal.
 func (v *Evaluation) WriteText(w io.Writer) (err error) {
 	fmt.Fprintf(w, "%d processes, counting for up to %s\n", v.Processes, clock.Millis(v.CoveredMillis))
 	if len(v.Missing) > 0 {
@@ -19,7 +19,7 @@
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "ROUTE\tOBJECTIVE\tTARGET\t5m\t1h\t6h\t3d\tBUDGET LEFT\tALERT\tTOP CAUSES")
 	for _, l := range v.Lines {
-		fmt.Fprintf(t, "%s\t%s\t%.4g\t%s\t%s\t%s\t%s\n", l.Route, l.Objective, l.Target, l.rates(), l.left(), l.Alert, l.causes())
+		fmt.Fprintf(t, "%s\t%s\t%.4g\t%s\t%s\t%s\t%s\n", l.Route, l.Objective, l.Target, l.ratesText(), l.budgetText(), l.Alert, l.causesText())
 	}
 	fmt.Fprintln(t)
 	fmt.Fprintln(t, "ROUTE, LAST HOUR\tATTEMPTS\tFIRST p50\tp95\tp99\tGAP p50\tp95")
@@ -29,7 +29,7 @@
 	return t.Flush()
 }
 
-func (l Line) rates() string {
+func (l Line) ratesText() string {
 	var out []string
 	for _, w := range Windows() {
 		text := "-"
@@ -41,16 +41,16 @@
 	return strings.Join(out, "\t")
 }
 
-// left words the budget left. One that is overspent is told as a multiple: "20
-// times over" is read at once, "-1900%" is not.
-func (l Line) left() string {
+// budgetText formats the remaining budget. An overspent budget is shown as a multiple, as "spent
+// 20.0 times" is easier to understand than "-1900%".
+func (l Line) budgetText() string {
 	if l.BudgetRemaining >= 0 {
 		return fmt.Sprintf("%.0f%%", 100*l.BudgetRemaining)
 	}
 	return fmt.Sprintf("0%%, spent %.1f times", 1-l.BudgetRemaining)
 }
 
-func (l Line) causes() string {
+func (l Line) causesText() string {
 	var out []string
 	for _, c := range l.Causes {
 		out = append(out, fmt.Sprintf("%s %s %.0f%%", c.Kind, c.Name, 100*c.Fraction))
