--- a/account/account.go
+++ b/account/account.go
@@ -1,5 +1,5 @@
-// Package account sums up what became of the requests in the log lines of entries: by
-// route, by second and by cause, with the time that each cause took.
+// Package account summarises the outcomes of requests from the log lines of entries, by route, by
+// second and by cause, with the time that each cause took.
 package account
 
 import (
@@ -14,98 +14,99 @@
 	"github.com/parsleydeal/parsleydeal/explain"
 )
 
-// Request is the end of a request as an entry logged it.
+// Request is a finished request as an entry logged it.
 type Request struct {
-	// At is the writer's wall clock at the end.
+	// At is when the request ended, by the wall clock of the entry.
 	At    time.Time
 	Route string
-	// Cause is why the request was not answered in time, or "answered".
+	// Cause is Answered, or why the request was not answered in time.
 	Cause string
-	// Took is its whole time at the entry, First the time to the first byte; 0 when
-	// none came.
+	// Took is the total time at the entry, FirstByte the time to the first byte, 0 if there was
+	// none.
 	Took      clock.Millis
 	FirstByte clock.Millis
-	// Phases holds how long the phases of an answered request took; nil where its line
-	// does not say.
+	// Phases holds the durations of the phases of an answered request. It is nil if the line does
+	// not have them.
 	Phases *Phases
 }
 
-// Phases are the parts of a request's time, one after another.
+// Phases are the consecutive phases of a request.
 type Phases struct {
-	// Body is the reading of the caller's body, Placed what passed after it until the
-	// first attempt began.
+	// Body is the time to read the caller's body, Placement the time from then to the start of the
+	// first attempt.
 	Body      clock.Millis
 	Placement clock.Millis
-	// Connect is the making of connections, Answer the rest until the first byte, and
-	// Stream what came after it.
+	// Connect is the time to open connections, FirstByte the remaining time until the first byte,
+	// and Stream the time after it.
 	Connect   clock.Millis
 	FirstByte clock.Millis
 	Stream    clock.Millis
 }
 
-// Attempt is an attempt that did not bring the answer.
+// Attempt is an attempt that did not produce the answer.
 type Attempt struct {
-	// Result is what became of it, in the words of the log.
+	// Result is the outcome as logged, for example "failed".
 	Result  string
 	Model   string
 	Elapsed clock.Millis
-	// FirstByte is how long the first byte took, Expected how long it was expected to take;
-	// First is 0 when none came.
+	// FirstByte is the time to the first byte, 0 if there was none, and Expected its predicted
+	// value.
 	FirstByte clock.Millis
 	Expected  clock.Millis
 }
 
-// Log holds what log lines told.
+// Log holds the requests and attempts read from log lines.
 type Log struct {
 	Requests []Request
 	Attempts []Attempt
-	// Malformed counts lines of requests and attempts that lack a field or cannot be read;
-	// Other counts lines that tell of something else.
+	// Malformed counts lines of requests and attempts that lack a field or cannot be parsed. Other
+	// counts lines about anything else.
 	Malformed int
 	Other     int
 }
 
-// Causes of requests that were not answered, or late.
+// The values of Request.Cause, besides refused and failed ones, which include the error code.
 const (
-	// Answered requests had their whole answer in time.
+	// Answered is a request whose complete answer was sent in time.
 	Answered = "answered"
-	// LateFirstByte and LatePause are answers whose first byte came after its aim, or that
-	// paused for longer than their route allows.
+	// LateFirstByte and LatePause are answers whose first byte came after its latency target, or
+	// that paused for longer than their route allows.
 	LateFirstByte = "late: first byte"
 	LatePause     = "late: pause"
-	// LeftByCaller requests ended because their caller went away.
+	// LeftByCaller is a request that ended because the caller closed its connection.
 	LeftByCaller = "left by caller"
 )
 
-var pairs = regexp.MustCompile(`([a-z-]+)=("(?:[^"\\]|\\.)*"|\S*)`)
+var fieldPattern = regexp.MustCompile(`([a-z-]+)=("(?:[^"\\]|\\.)*"|\S*)`)
 
-// Read adds the lines of a log.
+// Read parses the lines of a log and adds them. It fails if the log cannot be read or has a line
+// longer than explain.MaxLineBytes.
 func (l *Log) Read(r io.Reader) (err error) {
 	s := bufio.NewScanner(r)
 	s.Buffer(make([]byte, 64<<10), explain.MaxLineBytes)
 	for s.Scan() {
-		l.line(s.Text())
+		l.readLine(s.Text())
 	}
 	return s.Err()
 }
 
-func (l *Log) line(text string) {
+func (l *Log) readLine(text string) {
 	switch {
 	case strings.Contains(text, "Request answered "), strings.Contains(text, "Request failed "):
-		l.request(text)
+		l.readRequest(text)
 	case strings.Contains(text, "Attempt did not answer "):
-		l.attempt(text)
+		l.readAttempt(text)
 	default:
 		l.Other++
 	}
 }
 
-// fields of a line, by name.
+// fields holds the fields of a line by name.
 type fields map[string]string
 
-func fieldsOf(text string) fields {
+func parseFields(text string) fields {
 	f := make(fields)
-	for _, m := range pairs.FindAllStringSubmatch(text, -1) {
+	for _, m := range fieldPattern.FindAllStringSubmatch(text, -1) {
 		value := m[2]
 		if unquoted, err := strconv.Unquote(value); err == nil {
 			value = unquoted
@@ -115,17 +116,17 @@
 	return f
 }
 
-// span reads a field that holds a span of time.
-func (f fields) span(name string) (span clock.Millis, ok bool) {
+// duration parses a field that holds a duration.
+func (f fields) duration(name string) (length clock.Millis, ok bool) {
 	d, err := time.ParseDuration(f[name])
 	return clock.Of(d), err == nil
 }
 
-func (l *Log) request(text string) {
-	f := fieldsOf(text)
+func (l *Log) readRequest(text string) {
+	f := parseFields(text)
 	at, _ := explain.SplitTimestamp(text)
-	took, ok := f.span("took")
-	first, hasFirst := f.span("first")
+	took, ok := f.duration("took")
+	first, hasFirst := f.duration("first")
 	if at.IsZero() || !ok || !hasFirst || f["route"] == "" && f["error"] == "" {
 		l.Malformed++
 		return
@@ -133,11 +134,11 @@
 	l.Requests = append(l.Requests, Request{At: at, Route: f["route"], Cause: causeOf(f), Took: took, FirstByte: first, Phases: phasesOf(f, took, first)})
 }
 
-// phasesOf parts the time of a request that was answered.
+// phasesOf splits the time of an answered request into its phases.
 func phasesOf(f fields, took, first clock.Millis) *Phases {
-	body, hasBody := f.span("body")
-	placed, hasPlaced := f.span("placed")
-	connect, hasConnect := f.span("connect")
+	body, hasBody := f.duration("body")
+	placed, hasPlaced := f.duration("placed")
+	connect, hasConnect := f.duration("connect")
 	if !hasBody || !hasPlaced || !hasConnect || f["error"] != "" {
 		return nil
 	}
@@ -147,7 +148,7 @@
 	return &Phases{Body: body, Placement: max(placed-body, 0), Connect: connect, FirstByte: max(first-placed-connect, 0), Stream: max(took-first, 0)}
 }
 
-// causeOf names the cause by a line's fields.
+// causeOf returns the cause from the fields of a line.
 func causeOf(f fields) string {
 	code, _, _ := strings.Cut(f["error"], " (")
 	switch {
@@ -165,15 +166,15 @@
 	return "failed: " + code
 }
 
-func (l *Log) attempt(text string) {
-	f := fieldsOf(text)
-	after, ok := f.span("after")
+func (l *Log) readAttempt(text string) {
+	f := parseFields(text)
+	after, ok := f.duration("after")
 	if !ok || f["result"] == "" {
 		l.Malformed++
 		return
 	}
 	a := Attempt{Result: f["result"], Model: f["model"], Elapsed: after}
-	a.FirstByte, _ = f.span("first")
-	a.Expected, _ = f.span("expected")
+	a.FirstByte, _ = f.duration("first")
+	a.Expected, _ = f.duration("expected")
 	l.Attempts = append(l.Attempts, a)
 }
--- a/account/account_test.go
+++ b/account/account_test.go
@@ -7,9 +7,9 @@
 	"github.com/cockroachdb/datadriven"
 )
 
-// On-call engineers have logs of several programs, torn at the ends. What became of
-// the requests is summed up from the lines that can be read, and the rest is counted.
-func TestAccountOfLogs(t *testing.T) {
+// Logs may contain lines of other programs and truncated lines. Requests are summarised from the
+// lines that can be parsed, and the others are counted.
+func TestPrintSummary(t *testing.T) {
 	datadriven.RunTest(t, "testdata/hour", func(t *testing.T, d *datadriven.TestData) string {
 		l := &Log{}
 		if err := l.Read(strings.NewReader(d.Input)); err != nil {
@@ -23,7 +23,7 @@
 	})
 }
 
-// FuzzRead reads whatever a collector may hand over.
+// FuzzRead reads and prints arbitrary text, as from a log collector.
 func FuzzRead(f *testing.F) {
 	f.Add("Feb 26 16:14:35.120 INFO Request answered route=chat took=2.5s first=900ms")
 	f.Add("Feb 26 16:14:36.450 INFO Attempt did not answer result=poor after=300ms")
--- a/account/print.go
+++ b/account/print.go
@@ -15,121 +15,121 @@
 	"github.com/parsleydeal/parsleydeal/clock"
 )
 
-// ErrEmpty marks logs that tell of no request.
+// ErrEmpty is returned by Print for logs without any request.
 var ErrEmpty = errors.New("account: the logs tell of no request")
 
-// barWidth is the length of the longest bar of the plot, in characters.
-const barWidth = 40
+// maxBarWidth is the width of the longest bar of the plot, in characters.
+const maxBarWidth = 40
 
-// Print writes the account.
+// Print writes the summary as text. Without any request its error is ErrEmpty.
 func (l *Log) Print(w io.Writer) (err error) {
 	if len(l.Requests) == 0 {
 		return ErrEmpty
 	}
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	l.routes(t)
-	l.causes(t)
-	l.attempts(t)
-	l.phases(t)
-	l.errors(t)
-	l.seconds(t)
+	l.printRoutes(t)
+	l.printCauses(t)
+	l.printAttempts(t)
+	l.printPhases(t)
+	l.printPredictionErrors(t)
+	l.printTimeline(t)
 	fmt.Fprintf(t, "\n%d lines of other things, %d torn ones passed over\n", l.Other, l.Malformed)
 	return t.Flush()
 }
 
-// tally counts requests of one kind.
-type tally struct {
-	asked, answered, late, refused, failed, left int
-	first                                        []clock.Millis
+// requestCounts counts requests by outcome.
+type requestCounts struct {
+	total, inTime, late, refused, failed, leftByCaller int
+	firstBytes                                         []clock.Millis
 }
 
-func (c *tally) add(r Request) {
-	c.asked++
+func (c *requestCounts) add(r Request) {
+	c.total++
 	switch {
 	case r.Cause == Answered:
-		c.answered++
+		c.inTime++
 	case r.Cause == LateFirstByte || r.Cause == LatePause:
 		c.late++
 	case r.Cause == LeftByCaller:
-		c.left++
+		c.leftByCaller++
 	case strings.HasPrefix(r.Cause, "refused"):
 		c.refused++
 	default:
 		c.failed++
 	}
 	if r.FirstByte > 0 {
-		c.first = append(c.first, r.FirstByte)
+		c.firstBytes = append(c.firstBytes, r.FirstByte)
 	}
 }
 
-// quantile is the span below which a part of the spans lie; 0 without any.
-func quantile(spans []clock.Millis, part float64) clock.Millis {
-	if len(spans) == 0 {
+// quantile returns the q-quantile of durations, 0 for none. It sorts durations.
+func quantile(durations []clock.Millis, q float64) clock.Millis {
+	if len(durations) == 0 {
 		return 0
 	}
-	slices.Sort(spans)
-	return spans[int(math.Ceil(part*float64(len(spans)-1)))]
+	slices.Sort(durations)
+	return durations[int(math.Ceil(q*float64(len(durations)-1)))]
 }
 
-func (l *Log) routes(w io.Writer) {
-	by := make(map[string]*tally)
+func (l *Log) printRoutes(w io.Writer) {
+	byRoute := make(map[string]*requestCounts)
 	for _, r := range l.Requests {
 		name := cmp.Or(r.Route, "-")
-		if by[name] == nil {
-			by[name] = &tally{}
+		if byRoute[name] == nil {
+			byRoute[name] = &requestCounts{}
 		}
-		by[name].add(r)
+		byRoute[name].add(r)
 	}
 	fmt.Fprintln(w, "route\tasked\tin time\tlate\trefused\tfailed\tleft\tfirst byte p50\tp99")
-	for _, name := range slices.Sorted(maps.Keys(by)) {
-		c := by[name]
-		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%s\t%s\n", name, c.asked, c.answered, c.late, c.refused, c.failed, c.left, quantile(c.first, 0.5), quantile(c.first, 0.99))
+	for _, name := range slices.Sorted(maps.Keys(byRoute)) {
+		counts := byRoute[name]
+		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%s\t%s\n", name, counts.total, counts.inTime, counts.late, counts.refused, counts.failed, counts.leftByCaller, quantile(counts.firstBytes, 0.5), quantile(counts.firstBytes, 0.99))
 	}
 }
 
-// sum is how many of something there were, and the time they took.
-type sum struct {
+// causeTotal is the number of items with one name and the total time they took.
+type causeTotal struct {
 	name string
 	n    int
 	took clock.Millis
 }
 
-// sums groups by name, the most time first.
-func sums[T any](all []T, of func(T) (name string, took clock.Millis)) (out []sum) {
-	by := make(map[string]sum)
-	for _, x := range all {
+// totalsByName groups items by name, sorted by total time in descending order.
+func totalsByName[T any](items []T, of func(T) (name string, took clock.Millis)) (out []causeTotal) {
+	byName := make(map[string]causeTotal)
+	for _, x := range items {
 		name, took := of(x)
-		s := by[name]
-		by[name] = sum{name, s.n + 1, s.took + took}
+		s := byName[name]
+		byName[name] = causeTotal{name, s.n + 1, s.took + took}
 	}
-	return slices.SortedFunc(maps.Values(by), func(a, b sum) int {
+	return slices.SortedFunc(maps.Values(byName), func(a, b causeTotal) int {
 		return cmp.Or(cmp.Compare(b.took, a.took), cmp.Compare(a.name, b.name))
 	})
 }
 
-func (l *Log) causes(w io.Writer) {
+func (l *Log) printCauses(w io.Writer) {
 	fmt.Fprintln(w, "\nwhat became of requests\tnumber\ttime at the entry")
-	for _, s := range sums(l.Requests, func(r Request) (string, clock.Millis) { return r.Cause, r.Took }) {
+	for _, s := range totalsByName(l.Requests, func(r Request) (string, clock.Millis) { return r.Cause, r.Took }) {
 		fmt.Fprintf(w, "%s\t%d\t%s\n", s.name, s.n, s.took)
 	}
 }
 
-func (l *Log) attempts(w io.Writer) {
+func (l *Log) printAttempts(w io.Writer) {
 	fmt.Fprintln(w, "\nattempts that brought no answer\tnumber\ttime")
-	for _, s := range sums(l.Attempts, func(a Attempt) (string, clock.Millis) { return strings.TrimSpace(a.Result + " " + a.Model), a.Elapsed }) {
+	for _, s := range totalsByName(l.Attempts, func(a Attempt) (string, clock.Millis) { return strings.TrimSpace(a.Result + " " + a.Model), a.Elapsed }) {
 		fmt.Fprintf(w, "%s\t%d\t%s\n", s.name, s.n, s.took)
 	}
 }
 
-// phases tells by route how long the phases of answered requests took.
-func (l *Log) phases(w io.Writer) {
-	by := make(map[string][]Phases)
+// printPhases prints the durations of the phases of answered requests by route.
+func (l *Log) printPhases(w io.Writer) {
+	byRoute := make(map[string][]Phases)
 	for _, r := range l.Requests {
 		if r.Phases != nil {
-			by[r.Route] = append(by[r.Route], *r.Phases)
+			byRoute[r.Route] = append(byRoute[r.Route], *r.Phases)
 		}
 	}
-	if len(by) == 0 {
+	if len(byRoute) == 0 {
 		return
 	}
 	columns := []func(p Phases) clock.Millis{
@@ -140,59 +140,59 @@
 		func(p Phases) clock.Millis { return p.Stream },
 	}
 	fmt.Fprintln(w, "\nphases of answered requests, p50 and p99\tnumber\tbody\tplaced\tconnect\tfirst byte\tstream")
-	for _, route := range slices.Sorted(maps.Keys(by)) {
-		fmt.Fprintf(w, "%s\t%d", route, len(by[route]))
+	for _, route := range slices.Sorted(maps.Keys(byRoute)) {
+		fmt.Fprintf(w, "%s\t%d", route, len(byRoute[route]))
 		for _, of := range columns {
-			spans := make([]clock.Millis, len(by[route]))
-			for i, p := range by[route] {
-				spans[i] = of(p)
+			durations := make([]clock.Millis, len(byRoute[route]))
+			for i, p := range byRoute[route] {
+				durations[i] = of(p)
 			}
-			fmt.Fprintf(w, "\t%s %s", quantile(spans, 0.5), quantile(spans, 0.99))
+			fmt.Fprintf(w, "\t%s %s", quantile(durations, 0.5), quantile(durations, 0.99))
 		}
 		fmt.Fprintln(w)
 	}
 }
 
-// errors tells by model how far first bytes were off what was expected. Only attempts
-// that did not bring the answer have a line of their own.
-func (l *Log) errors(w io.Writer) {
-	by := make(map[string][]clock.Millis)
+// printPredictionErrors prints by model how far times to the first byte deviated from the
+// prediction. It covers only attempts that did not produce the answer, since only these have a log
+// line of their own.
+func (l *Log) printPredictionErrors(w io.Writer) {
+	byModel := make(map[string][]clock.Millis)
 	for _, a := range l.Attempts {
 		if a.Model != "" && a.FirstByte > 0 {
-			by[a.Model] = append(by[a.Model], a.FirstByte-a.Expected)
+			byModel[a.Model] = append(byModel[a.Model], a.FirstByte-a.Expected)
 		}
 	}
-	if len(by) == 0 {
+	if len(byModel) == 0 {
 		return
 	}
 	fmt.Fprintln(w, "\nfirst bytes less what was expected\tnumber\tp1\tp10\tp50\tp90\tp99")
-	for _, model := range slices.Sorted(maps.Keys(by)) {
-		fmt.Fprintf(w, "%s\t%d", model, len(by[model]))
-		for _, part := range [...]float64{0.01, 0.1, 0.5, 0.9, 0.99} {
-			fmt.Fprintf(w, "\t%s", quantile(by[model], part))
+	for _, model := range slices.Sorted(maps.Keys(byModel)) {
+		fmt.Fprintf(w, "%s\t%d", model, len(byModel[model]))
+		for _, q := range [...]float64{0.01, 0.1, 0.5, 0.9, 0.99} {
+			fmt.Fprintf(w, "\t%s", quantile(byModel[model], q))
 		}
 		fmt.Fprintln(w)
 	}
 }
 
-// seconds plots the requests that were not answered in time by the second of their
-// end.
-func (l *Log) seconds(w io.Writer) {
-	by := make(map[time.Time]*tally)
-	most := 1
+// printTimeline plots the outcomes of requests by the second in which they ended.
+func (l *Log) printTimeline(w io.Writer) {
+	bySecond := make(map[time.Time]*requestCounts)
+	maxTotal := 1
 	for _, r := range l.Requests {
 		at := r.At.Truncate(time.Second)
-		if by[at] == nil {
-			by[at] = &tally{}
+		if bySecond[at] == nil {
+			bySecond[at] = &requestCounts{}
 		}
-		by[at].add(r)
-		most = max(most, by[at].asked)
+		bySecond[at].add(r)
+		maxTotal = max(maxTotal, bySecond[at].total)
 	}
 	fmt.Fprintln(w, "\nended at\tin time\tlate\trefused\tfailed\tleft\t= in time, ~ late, x refused or failed")
-	for _, at := range slices.SortedFunc(maps.Keys(by), time.Time.Compare) {
-		c := by[at]
-		bar := func(n int, mark string) string { return strings.Repeat(mark, (n*barWidth+most-1)/most) }
-		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%s\n", at.Format(time.TimeOnly), c.answered, c.late, c.refused, c.failed, c.left,
-			bar(c.answered, "=")+bar(c.late, "~")+bar(c.refused+c.failed, "x"))
+	for _, at := range slices.SortedFunc(maps.Keys(bySecond), time.Time.Compare) {
+		counts := bySecond[at]
+		bar := func(n int, symbol string) string { return strings.Repeat(symbol, (n*maxBarWidth+maxTotal-1)/maxTotal) }
+		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%s\n", at.Format(time.TimeOnly), counts.inTime, counts.late, counts.refused, counts.failed, counts.leftByCaller,
+			bar(counts.inTime, "=")+bar(counts.late, "~")+bar(counts.refused+counts.failed, "x"))
 	}
 }
