--- a/explain/explain.go
+++ b/explain/explain.go
@@ -1,5 +1,5 @@
-// Package explain puts the log lines of many processes in order that tell of one
-// request, endpoint or upgrade.
+// Package explain collects the log lines of many processes about one request, endpoint or upgrade
+// and orders them by time.
 package explain
 
 import (
@@ -14,35 +14,35 @@
 	"github.com/parsleydeal/parsleydeal/clock"
 )
 
-// MaxLineBytes bounds a log line that is read.
+// MaxLineBytes is the maximum length of a log line, in bytes. Longer lines cannot be read.
 const MaxLineBytes = 1 << 20
 
 // Line is one log line.
 type Line struct {
-	// At is the writer's wall clock.
+	// At is the wall clock of the process that wrote the line; zero if the line has no time.
 	At time.Time
-	// Source names the file or process that wrote it.
+	// Source is the name of the file or process that the line was read from.
 	Source string
-	// VM is the writer's, empty when the line does not say.
+	// VM is the VM of the process that wrote the line, empty if the line does not name it.
 	VM   string
 	Text string
 }
 
-// stamp finds the time of a line, which may stand behind what a collector put
-// before it.
-var stamp = regexp.MustCompile(`[A-Z][a-z]{2} [ \d]\d \d\d:\d\d:\d\d\.\d{3}`)
+// timestampPattern finds the time of a line, which may follow a prefix that a log collector added.
+var timestampPattern = regexp.MustCompile(`[A-Z][a-z]{2} [ \d]\d \d\d:\d\d:\d\d\.\d{3}`)
 
 var vmField = regexp.MustCompile(`\bvm=(\S+)`)
 
-// Read returns the lines of a log that name a subject: a request's, endpoint's or
-// version's name as it stands in a field.
+// Read returns the lines of a log that name a subject. The subject is the name of a request,
+// endpoint or version as it appears in a field. The error is that of the reader, or
+// bufio.ErrTooLong for a line longer than MaxLineBytes.
 func Read(r io.Reader, source, subject string) (lines []Line, err error) {
 	s := bufio.NewScanner(r)
 	s.Buffer(make([]byte, 64<<10), MaxLineBytes)
-	names := regexp.MustCompile(`[=/ ]` + regexp.QuoteMeta(subject) + `(\s|/|$)`)
+	subjectPattern := regexp.MustCompile(`[=/ ]` + regexp.QuoteMeta(subject) + `(\s|/|$)`)
 	for s.Scan() {
 		text := s.Text()
-		if !names.MatchString(text) {
+		if !subjectPattern.MatchString(text) {
 			continue
 		}
 		at, rest := SplitTimestamp(text)
@@ -55,55 +55,56 @@
 	return lines, s.Err()
 }
 
-// SplitTimestamp parts a line at its time; one without a time keeps its place.
+// SplitTimestamp splits a line into its time and the text after it. Without a time, at is zero and
+// rest is the whole line.
 func SplitTimestamp(text string) (at time.Time, rest string) {
-	where := stamp.FindStringIndex(text)
-	if where == nil {
+	position := timestampPattern.FindStringIndex(text)
+	if position == nil {
 		return at, strings.TrimSpace(text)
 	}
-	at, err := time.Parse(time.StampMilli, text[where[0]:where[1]])
+	at, err := time.Parse(time.StampMilli, text[position[0]:position[1]])
 	if err != nil {
 		return time.Time{}, strings.TrimSpace(text)
 	}
-	return at, strings.TrimSpace(text[where[1]:])
+	return at, strings.TrimSpace(text[position[1]:])
 }
 
-// WriteTimeline sorts lines by time and writes them with the span since the first. Wall
-// clocks of VMs differ: lines of one VM keep their order, and each names its VM.
+// WriteTimeline sorts lines by time and writes them with the time since the first one and the VM.
+// Wall clocks of VMs may differ, so the order is reliable only between lines of one VM.
 func WriteTimeline(w io.Writer, lines []Line) (err error) {
 	slices.SortStableFunc(lines, func(a, b Line) int { return a.At.Compare(b.At) })
 	for _, l := range lines {
-		span := clock.Millis(0)
+		elapsed := clock.Millis(0)
 		if !l.At.IsZero() {
-			span = clock.Of(l.At.Sub(lines[0].At))
+			elapsed = clock.Of(l.At.Sub(lines[0].At))
 		}
-		if _, err = fmt.Fprintf(w, "%8s  %-24s %s\n", span, name(l), field(l.Text)); err != nil {
+		if _, err = fmt.Fprintf(w, "%8s  %-24s %s\n", elapsed, writer(l), withoutVM(l.Text)); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func name(l Line) string {
+func writer(l Line) string {
 	if l.VM != "" {
 		return l.VM
 	}
 	return l.Source
 }
 
-// field drops the VM from a line's fields, since it stands before it.
-func field(text string) string { return vmField.ReplaceAllString(text, "") }
+// withoutVM removes the VM field, as the VM precedes the line.
+func withoutVM(text string) string { return vmField.ReplaceAllString(text, "") }
 
-// Outcome says in a sentence what ended a request, from its last line; empty when
-// the lines do not tell.
+// Outcome returns a sentence on how a request ended, from the last line that says so. It is empty
+// if no line does.
 func Outcome(lines []Line) string {
 	for i := len(lines) - 1; i >= 0; i-- {
 		text := lines[i].Text
 		switch {
 		case strings.Contains(text, "Request answered"):
-			return "The request was answered" + attempts(text) + "."
+			return "The request was answered" + attemptsText(text) + "."
 		case strings.Contains(text, "Request failed"):
-			return "The request failed" + attempts(text) + ": " + cause(text) + "."
+			return "The request failed" + attemptsText(text) + ": " + failureCause(text) + "."
 		}
 	}
 	return ""
@@ -114,7 +115,7 @@
 	errorField = regexp.MustCompile(`\berror=("([^"]*)"|\S+)`)
 )
 
-func attempts(text string) string {
+func attemptsText(text string) string {
 	m := sendsField.FindStringSubmatch(text)
 	switch {
 	case m == nil:
@@ -128,7 +129,7 @@
 	}
 }
 
-func cause(text string) string {
+func failureCause(text string) string {
 	m := errorField.FindStringSubmatch(text)
 	if m == nil {
 		return "the line names no error"
--- a/explain/explain_test.go
+++ b/explain/explain_test.go
@@ -13,9 +13,9 @@
 Dec  3 02:00:00.100 INFO Endpoint changed vm=frontend-b endpoint=i-7 leaving=true
 `
 
-// A user names a request. Its lines come from several processes and out of order;
-// those of a request whose name merely begins alike must not be among them.
-func TestStoryOfARequest(t *testing.T) {
+// Lines of a request come from several processes and out of order. Lines of a request whose ID has
+// this one as a prefix must not be included.
+func TestTimelineOfRequest(t *testing.T) {
 	is := is.New(t)
 	lines, err := Read(strings.NewReader(logs), "a.log", "r-1")
 	is.NoErr(err)
@@ -28,7 +28,7 @@
 	is.Equal(Outcome(lines), "The request failed after 2 attempts: deadline-passed (unknown): time is up.")
 }
 
-func TestStoryOfAnEndpoint(t *testing.T) {
+func TestTimelineOfEndpoint(t *testing.T) {
 	is := is.New(t)
 	lines, err := Read(strings.NewReader(logs), "a.log", "i-7")
 	is.NoErr(err)
