--- a/operations/operations.go
+++ b/operations/operations.go
@@ -1,5 +1,5 @@
-// Package operations serves the operators' interface of a process: health,
-// readiness, metrics, status and service-level burn.
+// Package operations serves the operators' HTTP interface of a process: health, readiness, metrics,
+// status and service-level burn.
 package operations
 
 import (
@@ -25,10 +25,10 @@
 // Errors is the namespace of this package's errors.
 var Errors = errorx.NewNamespace("operations")
 
-// ErrNoReport marks a report that the process does not make.
+// ErrNoReport is returned for a report that this process does not provide.
 var ErrNoReport = Errors.NewType("no-report")
 
-// Names of the reports, as peers and commands ask for them.
+// Names of the reports, as used by peers and commands.
 const (
 	StatusReport = "status"
 	BurnReport   = "burn"
@@ -39,77 +39,81 @@
 	idleTimeout   = clock.Minute
 )
 
-// Section is a part of the status that a package adds: windows, holds, waiting
-// bills. Read is called from any goroutine and must not block.
+// Section is a part of the status that another package provides, such as endpoint slots, holds or waiting
+// bills. Read may be called from any goroutine and must not block.
 type Section struct {
 	Name string
 	Read func() any
 }
 
-// API is the operators' interface of one process.
+// API is the operators' HTTP interface of one process.
 type API struct {
 	program string
 	version string
 	node    *node.Node
 	mu      sync.Mutex
-	// sections holds each name once; a later one replaces an earlier one.
+	// sections holds each name once. A later section replaces an earlier one of the same name.
 	sections []Section
 	burn     func(ctx context.Context) (report any, err error)
-	// leaving is set before the node drains, so that balancers hear of it first.
+	// leaving returns true before the node starts to drain, so that load balancers stop sending
+	// requests first.
 	leaving func() bool
 }
 
-// New makes the port of a process and answers the reports that peers ask for.
+// New returns the interface of a process and registers it with the node to serve the reports that
+// peers request.
 func New(program, version string, n *node.Node) *API {
-	p := &API{program: program, version: version, node: n, leaving: func() bool { return false }}
-	p.register()
-	n.SetReports(p.Report)
-	return p
-}
-
-// Add adds a section to the status.
-func (p *API) Add(s Section) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for i := range p.sections {
-		if p.sections[i].Name == s.Name {
-			p.sections[i] = s
+	a := &API{program: program, version: version, node: n, leaving: func() bool { return false }}
+	a.registerMetrics()
+	n.SetReports(a.Report)
+	return a
+}
+
+// Add adds a section to the status. It replaces one of the same name.
+func (a *API) Add(s Section) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	for i := range a.sections {
+		if a.sections[i].Name == s.Name {
+			a.sections[i] = s
 			return
 		}
 	}
-	p.sections = append(p.sections, s)
+	a.sections = append(a.sections, s)
 }
 
-// SetBurn sets the function that makes the burn report.
-func (p *API) SetBurn(f func(ctx context.Context) (report any, err error)) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.burn = f
+// SetBurn sets the function that returns the burn report. Without it, there is no such report.
+func (a *API) SetBurn(f func(ctx context.Context) (report any, err error)) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.burn = f
 }
 
-// SetLeaving sets a function that makes the process not ready before it drains.
-func (p *API) SetLeaving(f func() bool) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.leaving = f
+// SetLeaving sets a function that reports whether the process is about to drain. While it returns
+// true, the process is not ready.
+func (a *API) SetLeaving(f func() bool) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.leaving = f
 }
 
-// Report makes a report as JSON. ErrNoReport marks one that is not made here.
-func (p *API) Report(ctx context.Context, report string) (data []byte, err error) {
+// Report returns a report as JSON. Its error is ErrNoReport if the process does not provide the
+// report.
+func (a *API) Report(ctx context.Context, report string) (data []byte, err error) {
 	switch report {
 	case StatusReport:
-		return json.Marshal(p.Snapshot())
+		return json.Marshal(a.Snapshot())
 	case BurnReport:
-		return p.burnReport(ctx)
+		return a.burnReport(ctx)
 	default:
 		return nil, ErrNoReport.New("%q, %q or %q is allowed", report, StatusReport, BurnReport)
 	}
 }
 
-func (p *API) burnReport(ctx context.Context) (data []byte, err error) {
-	p.mu.Lock()
-	burn := p.burn
-	p.mu.Unlock()
+func (a *API) burnReport(ctx context.Context) (data []byte, err error) {
+	a.mu.Lock()
+	burn := a.burn
+	a.mu.Unlock()
 	if burn == nil {
 		return nil, ErrNoReport.New("this process keeps no service-level burn")
 	}
@@ -120,17 +124,17 @@
 	return json.Marshal(report)
 }
 
-// Handler returns the operators' interface.
-func (p *API) Handler() http.Handler {
+// Handler returns the HTTP handler of the interface.
+func (a *API) Handler() http.Handler {
 	mux := goahttp.NewMuxer()
 	dec, enc := goahttp.RequestDecoder, goahttp.ResponseEncoder
-	operationsserver.New(operations.NewEndpoints(p), mux, dec, enc, nil, nil).Mount(mux)
+	operationsserver.New(operations.NewEndpoints(a), mux, dec, enc, nil, nil).Mount(mux)
 	return mux
 }
 
-// Serve answers operators on a listener until the context ends.
-func (p *API) Serve(ctx context.Context, lis net.Listener) (err error) {
-	srv := &http.Server{Handler: p.Handler(), ReadHeaderTimeout: headerTimeout.Duration(), IdleTimeout: idleTimeout.Duration()}
+// Serve serves the interface on a listener until the context ends. It then returns nil.
+func (a *API) Serve(ctx context.Context, lis net.Listener) (err error) {
+	srv := &http.Server{Handler: a.Handler(), ReadHeaderTimeout: headerTimeout.Duration(), IdleTimeout: idleTimeout.Duration()}
 	stop := context.AfterFunc(ctx, func() { _ = srv.Close() })
 	defer stop()
 	err = srv.Serve(lis)
@@ -140,84 +144,84 @@
 	return err
 }
 
-// Health answers while the process runs.
-func (p *API) Health(context.Context) (res string, err error) { return "ok", nil }
+// Health succeeds while the process runs.
+func (a *API) Health(context.Context) (res string, err error) { return "ok", nil }
 
-// Ready fails before the first tables and while the process leaves.
-func (p *API) Ready(context.Context) (res string, err error) {
-	if reason := p.notReady(); reason != "" {
+// Ready fails before the process has confirmed tables and while it is leaving.
+func (a *API) Ready(context.Context) (res string, err error) {
+	if reason := a.notReady(); reason != "" {
 		return "", operations.MakeNotReady(errors.New(reason))
 	}
 	return "ready", nil
 }
 
-func (p *API) notReady() (reason string) {
-	p.mu.Lock()
-	leaving := p.leaving()
-	p.mu.Unlock()
-	v := p.node.View()
+func (a *API) notReady() (reason string) {
+	a.mu.Lock()
+	leaving := a.leaving()
+	a.mu.Unlock()
+	v := a.node.View()
 	switch {
 	case leaving, v.Draining():
 		return "the process is leaving"
 	case !v.Started():
-		// Tables that a single peer gave may be old ones: with these the process still
-		// refuses all work, so that callers of a process that said it was ready were
-		// refused until the log or more peers had confirmed them.
+		// Tables received from a single peer may be outdated. With these the process refuses all
+		// work until the log or more peers have confirmed them, so it must not be ready yet.
 		return "the process has no tables yet"
 	}
 	return ""
 }
 
-// Metrics writes the metrics of this node and of the Go process.
-func (p *API) Metrics(context.Context) (body io.ReadCloser, err error) {
-	return &page{contentType: "text/plain; version=0.0.4; charset=utf-8", write: func(w io.Writer) {
-		p.node.Metrics().WritePrometheus(w)
+// Metrics returns the metrics of this node and of the Go process in the Prometheus text format.
+func (a *API) Metrics(context.Context) (body io.ReadCloser, err error) {
+	return &response{contentType: "text/plain; version=0.0.4; charset=utf-8", write: func(w io.Writer) {
+		a.node.Metrics().WritePrometheus(w)
 		metrics.WriteProcessMetrics(w)
 	}}, nil
 }
 
-// Status writes the status as JSON.
-func (p *API) Status(ctx context.Context) (body io.ReadCloser, err error) {
-	return p.report(ctx, StatusReport)
+// Status returns the status as JSON.
+func (a *API) Status(ctx context.Context) (body io.ReadCloser, err error) {
+	return a.report(ctx, StatusReport)
 }
 
-// Burn writes the service-level burn as JSON.
-func (p *API) Burn(ctx context.Context) (body io.ReadCloser, err error) {
-	return p.report(ctx, BurnReport)
+// Burn returns the service-level burn as JSON. The HTTP status is 404 if the process does not
+// provide it.
+func (a *API) Burn(ctx context.Context) (body io.ReadCloser, err error) {
+	return a.report(ctx, BurnReport)
 }
 
-func (p *API) report(ctx context.Context, name string) (body io.ReadCloser, err error) {
-	data, err := p.Report(ctx, name)
+func (a *API) report(ctx context.Context, name string) (body io.ReadCloser, err error) {
+	data, err := a.Report(ctx, name)
 	if errorx.IsOfType(err, ErrNoReport) {
-		return &page{status: http.StatusNotFound, contentType: "text/plain", write: func(w io.Writer) { fmt.Fprintln(w, err) }}, nil
+		return &response{status: http.StatusNotFound, contentType: "text/plain", write: func(w io.Writer) { fmt.Fprintln(w, err) }}, nil
 	}
 	if err != nil {
 		return nil, err
 	}
-	return &page{contentType: "application/json", write: func(w io.Writer) { _, _ = w.Write(data) }}, nil
+	return &response{contentType: "application/json", write: func(w io.Writer) { _, _ = w.Write(data) }}, nil
 }
 
-// page is a body that goa writes with the response writer.
-type page struct {
-	// status is 0 for 200.
+// response is a body that goa writes to the response writer.
+type response struct {
+	// status is the HTTP status; 0 means 200.
 	status      int
 	contentType string
 	write       func(w io.Writer)
 }
 
-// Read is never called: goa prefers WriteTo.
-func (p *page) Read([]byte) (n int, err error) { return 0, io.EOF }
+// Read is never called, since goa uses WriteTo.
+func (r *response) Read([]byte) (n int, err error) { return 0, io.EOF }
 
-// Close has nothing to release.
-func (p *page) Close() error { return nil }
+// Close does nothing.
+func (r *response) Close() error { return nil }
 
-// WriteTo writes the page with its content type.
-func (p *page) WriteTo(w io.Writer) (n int64, err error) {
+// WriteTo writes the status, content type and body.
+func (r *response) WriteTo(w io.Writer) (n int64, err error) {
 	if rw, ok := w.(http.ResponseWriter); ok {
-		rw.Header().Set("Content-Type", p.contentType)
-		rw.WriteHeader(max(p.status, http.StatusOK))
+		rw.Header().Set("Content-Type", r.contentType)
+		rw.WriteHeader(max(r.status, http.StatusOK))
 	}
 	var buf bytes.Buffer
-	p.write(&buf)
+	r.write(&buf)
 	return buf.WriteTo(w)
 }
--- a/operations/operations_test.go
+++ b/operations/operations_test.go
@@ -25,7 +25,7 @@
 
 type fixture struct {
 	node *node.Node
-	port *operations.API
+	api  *operations.API
 	url  string
 }
 
@@ -33,8 +33,8 @@
 	s := settings.Default()
 	s.VM, s.Zone = "vm-1", "zone-a"
 	n := node.New(node.Config{Settings: s, Clock: clock.System(), Log: log.New(io.Discard)})
-	f := &fixture{node: n, port: operations.New("parsleydeal-entry", "v1", n)}
-	srv := httptest.NewServer(f.port.Handler())
+	f := &fixture{node: n, api: operations.New("parsleydeal-entry", "v1", n)}
+	srv := httptest.NewServer(f.api.Handler())
 	t.Cleanup(srv.Close)
 	f.url = srv.URL
 	go n.Loop().Run(t.Context())
@@ -51,19 +51,19 @@
 	return resp.StatusCode, string(data)
 }
 
-// until polls for a condition, with a limit that only a hang reaches.
-func until(t *testing.T, ok func() bool) {
+// waitUntil polls a condition. Its timeout is reached only if the condition never becomes true.
+func waitUntil(t *testing.T, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("condition did not come about")
+			t.Fatal("condition did not become true")
 		}
 	}
 }
 
-// A balancer sends callers to an entry that has just started and has no tables,
-// or to one that is stopping, and they see refusals although other entries are
-// well. Readiness must fail in both states, and health in neither.
+// A process that is not ready must not get requests from load balancers, as it refuses them
+// although other entries could serve them. Readiness must fail before the first tables and while
+// the process is leaving, and health in neither state.
 func TestReadyOnlyWithTablesAndNotLeaving(t *testing.T) {
 	is := is.New(t)
 	f := newFixture(t)
@@ -72,15 +72,15 @@
 	is.True(strings.Contains(body, "no tables yet"))
 	page := provider.Page{Head: 1, Records: []provider.Record{{Offset: 0, Data: []byte(tables)}}}
 	f.node.Loop().Post(t.Context(), event.LogRead{Stream: provider.ConfigStream, Page: page})
-	until(t, func() bool { status, _ := f.get(t, "/readyz"); return status == http.StatusOK })
+	waitUntil(t, func() bool { status, _ := f.get(t, "/readyz"); return status == http.StatusOK })
 	leaving := false
-	f.port.SetLeaving(func() bool { return leaving })
+	f.api.SetLeaving(func() bool { return leaving })
 	leaving = true
 	status, _ = f.get(t, "/readyz")
-	is.Equal(status, http.StatusServiceUnavailable) // asked to stop, not yet draining
+	is.Equal(status, http.StatusServiceUnavailable) // leaving, not yet draining
 	leaving = false
 	f.node.Drain(t.Context())
-	until(t, func() bool { status, _ := f.get(t, "/readyz"); return status == http.StatusServiceUnavailable })
+	waitUntil(t, func() bool { status, _ := f.get(t, "/readyz"); return status == http.StatusServiceUnavailable })
 	status, _ = f.get(t, "/healthz")
 	is.Equal(status, http.StatusOK)
 }
@@ -88,11 +88,11 @@
 func TestStatusShowsTablesAndSections(t *testing.T) {
 	is := is.New(t)
 	f := newFixture(t)
-	f.port.Add(operations.Section{Name: "window", Read: func() any { return 3 }})
-	f.port.Add(operations.Section{Name: "window", Read: func() any { return 4 }})
+	f.api.Add(operations.Section{Name: "window", Read: func() any { return 3 }})
+	f.api.Add(operations.Section{Name: "window", Read: func() any { return 4 }})
 	page := provider.Page{Head: 1, Records: []provider.Record{{Offset: 0, Data: []byte(tables)}}}
 	f.node.Loop().Post(t.Context(), event.LogRead{Stream: provider.ConfigStream, Page: page})
-	until(t, func() bool { return f.node.View().Revision() == 0 })
+	waitUntil(t, func() bool { return f.node.View().Revision() == 0 })
 	status, body := f.get(t, "/status")
 	is.Equal(status, http.StatusOK)
 	var s operations.Status
@@ -106,7 +106,7 @@
 	is.True(strings.Contains(string(reply.GetJson()), `"vm":"vm-1"`))
 }
 
-func TestMetricsAreTheNodesOwn(t *testing.T) {
+func TestMetricsOfNodeAndProcess(t *testing.T) {
 	is := is.New(t)
 	f := newFixture(t)
 	f.node.Metrics().GetOrCreateCounter("parsleydeal_something_total").Inc()
@@ -117,30 +117,30 @@
 	is.True(strings.Contains(body, "process_resident_memory_bytes"))
 }
 
-func TestBurnIsASlot(t *testing.T) {
+func TestBurnReportIsOptional(t *testing.T) {
 	is := is.New(t)
 	f := newFixture(t)
 	status, _ := f.get(t, "/burn")
 	is.Equal(status, http.StatusNotFound)
-	f.port.SetBurn(func(context.Context) (any, error) { return map[string]int{"good": 7}, nil })
+	f.api.SetBurn(func(context.Context) (any, error) { return map[string]int{"good": 7}, nil })
 	status, body := f.get(t, "/burn")
 	is.Equal(status, http.StatusOK)
 	is.Equal(body, `{"good":7}`)
 }
 
-// A process that has just started was given tables by one peer, which may be old: it
-// refuses all work until the log or more peers have confirmed them. It said that it
-// was ready meanwhile, and its callers were refused.
-func TestTablesOfOnePeerDoNotMakeReady(t *testing.T) {
+// A process that has just started has tables from one peer, which may be outdated: it refuses all
+// work until the log or more peers have confirmed them. It must not be ready before, as its callers
+// would be refused.
+func TestNotReadyWithUnconfirmedTables(t *testing.T) {
 	is := is.New(t)
 	f := newFixture(t)
 	reply := &wire.RecordsReply{Head: 1, Records: []*wire.Record{{Offset: 0, Data: []byte(tables)}}}
 	f.node.Loop().Post(t.Context(), event.RecordsReceived{From: "peer", Reply: reply})
-	until(t, func() bool { return f.node.View().Tables() != nil })
+	waitUntil(t, func() bool { return f.node.View().Tables() != nil })
 	is.True(!f.node.View().Started())
 	status, _ := f.get(t, "/readyz")
 	is.Equal(status, http.StatusServiceUnavailable)
 	page := provider.Page{Head: 1, Records: []provider.Record{{Offset: 0, Data: []byte(tables)}}}
 	f.node.Loop().Post(t.Context(), event.LogRead{Stream: provider.ConfigStream, Page: page})
-	until(t, func() bool { status, _ := f.get(t, "/readyz"); return status == http.StatusOK })
+	waitUntil(t, func() bool { status, _ := f.get(t, "/readyz"); return status == http.StatusOK })
 }
