--- a/comparison/comparison_test.go
+++ b/comparison/comparison_test.go
@@ -14,8 +14,8 @@
 	"github.com/matryer/is"
 )
 
-// A slip in a plan costs an hour of plays that compare nothing.
-func TestUnplayablePlansAreNamed(t *testing.T) {
+// An invalid plan must be rejected at once, not after an hour of plays that compare nothing.
+func TestInvalidPlansAreRejected(t *testing.T) {
 	datadriven.RunTest(t, "testdata/plans", func(t *testing.T, d *datadriven.TestData) string {
 		path := filepath.Join(t.TempDir(), "plan.toml")
 		if err := os.WriteFile(path, []byte(d.Input), 0o600); err != nil {
@@ -26,26 +26,26 @@
 			return "playable\n"
 		}
 		if !errorx.IsOfType(err, ErrPlan) {
-			t.Fatalf("%v is no fault of the plan", err)
+			t.Fatalf("%v is not an ErrPlan", err)
 		}
 		return strings.ReplaceAll(err.Error(), path, "plan.toml") + "\n"
 	})
 }
 
-// One day is better by chance. The interval of few pairs has to be wide enough to say so.
-func TestDifferenceTellsItsInterval(t *testing.T) {
+// One day may be better by chance. The interval of few pairs must be wide enough to show this.
+func TestDifferenceInterval(t *testing.T) {
 	is := is.New(t)
 	mean, half := difference([]float64{0.5, 0.6, 0.7}, []float64{0.6, 0.7, 0.8})
 	is.True(math.Abs(mean-0.1) < 1e-9 && half < 1e-9)
 	mean, half = difference([]float64{0, 0, 0}, []float64{0.1, 0, -0.1})
 	is.True(math.Abs(mean) < 1e-9)
-	is.True(math.Abs(half-0.2484) < 1e-3) // 4.303 times 0.1 by the root of 3
+	is.True(math.Abs(half-0.2484) < 1e-3) // 4.303 * 0.1 / sqrt(3)
 	_, half = difference([]float64{0}, []float64{1})
 	is.True(math.IsNaN(half))
 }
 
-// Each set plays in a checkout of its own; a day that one of them cannot play counts for none.
-func TestComparisonPlaysEachSet(t *testing.T) {
+// Each set plays in a checkout of its own. A day that one set cannot play counts for no set.
+func TestRunPlaysEachSet(t *testing.T) {
 	is := is.New(t)
 	repository := repositoryWith(t, "vm = \"a\"\n")
 	player := filepath.Join(t.TempDir(), "player")
@@ -61,9 +61,9 @@
 	is.NoErr(p.Run(context.Background(), repository, &out, &progress))
 	is.True(strings.Contains(out.String(), "| one | 2 | 0.5000 | 0.7500 | +0.2500 ± 0.0000 |"))
 	is.True(strings.Contains(progress.String(), "broken other: no figure"))
-	kept, err := filepath.Glob(filepath.Join(repository, "journal", "*"))
+	copied, err := filepath.Glob(filepath.Join(repository, "journal", "*"))
 	is.NoErr(err)
-	is.Equal(len(kept), 6) // also those of plays that failed
+	is.Equal(len(copied), 6) // including those of failed plays
 }
 
 func repositoryWith(t *testing.T, template string) (folder string) {
--- a/comparison/plan.go
+++ b/comparison/plan.go
@@ -1,6 +1,6 @@
-// Package comparison plays the same days with decisions made in different ways, and
-// compares what comes of it pair by pair. Each set of ways has a checkout of its own,
-// whose settings template chooses them.
+// Package comparison plays the same days with different strategies for decisions and compares the
+// results pairwise. Each set of strategies has a checkout of its own, whose settings template
+// selects them.
 package comparison
 
 import (
@@ -16,46 +16,47 @@
 // Errors is the namespace of this package's errors.
 var Errors = errorx.NewNamespace("comparison")
 
-// ErrPlan marks a plan that cannot be played.
+// ErrPlan is returned for a plan that cannot be read or played.
 var ErrPlan = Errors.NewType("plan")
 
-// Plan says what is compared, and on what.
+// Plan defines what is compared, and on which days.
 type Plan struct {
-	// Player is the program that plays a day, with its first arguments. It gets a play's
-	// site, day and seed beside them, and runs in the checkout.
+	// Player is the program that plays a day, followed by its first arguments. The site, day and
+	// seed of a play are appended to them. It runs in the checkout.
 	Player []string `toml:"player"`
-	// Seed is the option that names a seed to the player.
+	// Seed is the option of the player that sets the seed.
 	Seed string `toml:"seed-option"`
-	// Figure is a regular expression; its first group is the figure in the player's output.
+	// Figure is a regular expression. Its only group matches the compared figure in the player's
+	// output.
 	Figure string `toml:"figure"`
-	// Template is the settings template that gets the ways.
+	// Template is the settings template to which the strategies are appended.
 	Template string `toml:"template"`
-	// Collect names folders whose new files are taken over from the checkouts.
+	// Collect names folders from which new files are copied out of the checkouts.
 	Collect []string `toml:"collect"`
-	// Jobs is how many plays run at once.
+	// Jobs is how many plays run concurrently.
 	Jobs int `toml:"jobs"`
-	// Sets holds the ways to compare, the one to compare with first.
+	// Sets holds the sets of strategies. The first one is the baseline.
 	Sets  []Set  `toml:"sets"`
 	Plays []Play `toml:"plays"`
 
 	figure *regexp.Regexp
 }
 
-// Set is a set of ways by the names of their decisions.
+// Set is a named set of strategies, by the names of their decisions.
 type Set struct {
 	Name       string            `toml:"name"`
 	Strategies map[string]string `toml:"ways"`
 }
 
-// Play names days of a site and the seeds that each is played on; without seeds each is
-// played once, on its own.
+// Play lists days of a site and the seeds for each of them. Without seeds each day is played once,
+// with its own seed.
 type Play struct {
 	Site  string   `toml:"site"`
 	Days  []string `toml:"days"`
 	Seeds []int64  `toml:"seeds"`
 }
 
-// ReadPlan reads a plan from a file and checks it.
+// ReadPlan reads a plan from a file and validates it. Its error is ErrPlan.
 func ReadPlan(path string) (p *Plan, err error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -102,11 +103,11 @@
 	return nil
 }
 
-// day is one day on one seed.
+// day is one day with one seed.
 type day struct {
 	site string
 	name string
-	// seed is -1 for the day's own.
+	// seed is -1 for the seed of the day itself.
 	seed int64
 }
 
--- a/comparison/run.go
+++ b/comparison/run.go
@@ -15,7 +15,9 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Run plays all days with all sets of ways and writes the table.
+// Run plays all days with all sets and writes the table to out. Checkouts are made from the HEAD of
+// repository, and progress gets the figure of each play. A play whose output has no figure is
+// reported there and left out.
 func (p *Plan) Run(ctx context.Context, repository string, out, progress io.Writer) (err error) {
 	defer func() {
 		if err != nil {
@@ -29,12 +31,12 @@
 	defer os.RemoveAll(folder)
 	r := &run{plan: p, repository: repository, progress: progress, figures: make(map[cell]float64)}
 	for i, s := range p.Sets {
-		at := filepath.Join(folder, strconv.Itoa(i))
-		if err = r.checkout(ctx, at, s); err != nil {
+		path := filepath.Join(folder, strconv.Itoa(i))
+		if err = r.checkout(ctx, path, s); err != nil {
 			return err
 		}
-		defer r.remove(at)
-		r.checkouts = append(r.checkouts, at)
+		defer r.remove(path)
+		r.checkouts = append(r.checkouts, path)
 	}
 	r.playAll(ctx)
 	if err = r.collect(); err != nil {
@@ -43,43 +45,43 @@
 	return writeTable(out, p, r.figures)
 }
 
-// run is one comparison under way.
+// run is the state of one comparison.
 type run struct {
 	plan       *Plan
 	repository string
 	progress   io.Writer
-	// checkouts holds the folder of each set.
+	// checkouts holds the path of each set's checkout.
 	checkouts []string
 	mu        sync.Mutex
-	// figures lacks what could not be played.
+	// figures holds the figure of each play that printed one.
 	figures map[cell]float64
 }
 
-// cell names one play: a day with a set, by its place.
+// cell identifies one play: a day and the index of a set.
 type cell struct {
 	day day
 	set int
 }
 
-// checkout makes a checkout of what is committed, with a set's ways in the template.
-func (r *run) checkout(ctx context.Context, at string, s Set) (err error) {
-	if err = r.git(ctx, "worktree", "add", "--quiet", "--detach", at, "HEAD"); err != nil {
+// checkout creates a worktree of HEAD, with a set's strategies in the template.
+func (r *run) checkout(ctx context.Context, path string, s Set) (err error) {
+	if err = r.git(ctx, "worktree", "add", "--quiet", "--detach", path, "HEAD"); err != nil {
 		return err
 	}
-	ways, err := toml.Marshal(map[string]any{"decisions": map[string]any{"trial": true, "ways": s.Strategies}})
+	strategies, err := toml.Marshal(map[string]any{"decisions": map[string]any{"trial": true, "ways": s.Strategies}})
 	if err != nil {
 		return err
 	}
-	template := filepath.Join(at, r.plan.Template)
+	template := filepath.Join(path, r.plan.Template)
 	text, err := os.ReadFile(template)
 	if err != nil {
 		return err
 	}
-	return os.WriteFile(template, append(text, ways...), 0o644)
+	return os.WriteFile(template, append(text, strategies...), 0o644)
 }
 
-func (r *run) remove(at string) {
-	if err := r.git(context.Background(), "worktree", "remove", "--force", at); err != nil {
+func (r *run) remove(path string) {
+	if err := r.git(context.Background(), "worktree", "remove", "--force", path); err != nil {
 		fmt.Fprintln(r.progress, err)
 	}
 }
@@ -92,13 +94,13 @@
 	return nil
 }
 
-// playAll plays each day with all sets before the next one, so that a run which is ended
-// early leaves whole pairs.
+// playAll plays each day with all sets before the next day, so that a run that is stopped early has
+// complete pairs.
 func (r *run) playAll(ctx context.Context) {
 	cells := make(chan cell)
-	var all sync.WaitGroup
+	var workers sync.WaitGroup
 	for range r.plan.Jobs {
-		all.Go(func() {
+		workers.Go(func() {
 			for c := range cells {
 				r.play(ctx, c)
 			}
@@ -110,7 +112,7 @@
 		}
 	}
 	close(cells)
-	all.Wait()
+	workers.Wait()
 }
 
 func (r *run) play(ctx context.Context, c cell) {
@@ -144,7 +146,7 @@
 	return 0, false
 }
 
-// collect takes over new files of the folders named.
+// collect copies new files of the folders in Collect from the checkouts to the repository.
 func (r *run) collect() (err error) {
 	for _, name := range r.plan.Collect {
 		for _, from := range r.checkouts {
@@ -156,7 +158,7 @@
 	return nil
 }
 
-// copyNew copies the files that are missing at a place.
+// copyNew copies the files that do not exist in the target folder.
 func copyNew(from, to string) (err error) {
 	return filepath.WalkDir(from, func(path string, d os.DirEntry, err error) error {
 		if err != nil || d.IsDir() {
--- a/comparison/table.go
+++ b/comparison/table.go
@@ -12,11 +12,11 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// sureness is the probability with which an interval holds the mean difference.
-const sureness = 0.95
+// confidenceLevel is the probability that an interval contains the mean difference.
+const confidenceLevel = 0.95
 
-// writeTable writes the mean figure of each set by site, and its mean difference from the
-// first set on the same days with its interval. Days that a set lacks count for no set.
+// writeTable writes the mean figure of each set by site, and the mean difference from the first set
+// on the same days with its confidence interval. A day that any set lacks is left out for all sets.
 func writeTable(w io.Writer, p *Plan, figures map[cell]float64) (err error) {
 	fmt.Fprint(w, "| site | days |")
 	for i, s := range p.Sets {
@@ -32,7 +32,7 @@
 	return err
 }
 
-// sites lists the sites in the order of the plan.
+// sites returns the sites in the order of the plan.
 func (p *Plan) sites() (all []string) {
 	for _, play := range p.Plays {
 		if !slices.Contains(all, play.Site) {
@@ -42,7 +42,7 @@
 	return all
 }
 
-// columns holds the figures of a site by set, on the days that all sets have.
+// columns returns the figures of a site by set, for the days that all sets have.
 func (p *Plan) columns(site string, figures map[cell]float64) (all [][]float64) {
 	all = make([][]float64, len(p.Sets))
 	for _, d := range p.days() {
@@ -78,12 +78,12 @@
 	fmt.Fprintln(w)
 }
 
-// difference is the mean of the paired differences and half the width of its interval;
-// not a number for a single pair, which has none.
-func difference(from, to []float64) (mean, half float64) {
-	diffs := make([]float64, len(from))
-	for i := range from {
-		diffs[i] = to[i] - from[i]
+// difference returns the mean of the paired differences and half the width of its confidence
+// interval, which is NaN for a single pair.
+func difference(baseline, values []float64) (mean, half float64) {
+	diffs := make([]float64, len(baseline))
+	for i := range baseline {
+		diffs[i] = values[i] - baseline[i]
 	}
 	mean, spread := stat.MeanStdDev(diffs, nil)
 	n := float64(len(diffs))
@@ -91,5 +91,5 @@
 		return mean, math.NaN()
 	}
 	t := distuv.StudentsT{Sigma: 1, Nu: n - 1}
-	return mean, t.Quantile((1+sureness)/2) * spread / math.Sqrt(n)
+	return mean, t.Quantile((1+confidenceLevel)/2) * spread / math.Sqrt(n)
 }
