--- a/operations/operations.go
+++ b/operations/operations.go
@@ -39,8 +39,8 @@
 	idleTimeout   = clock.Minute
 )
 
-// Section is a part of the status that another package provides, such as endpoint slots, holds or waiting
-// bills. Read may be called from any goroutine and must not block.
+// Section is a part of the status that another package provides, such as endpoint slots, holds or
+// waiting bills. Read may be called from any goroutine and must not block.
 type Section struct {
 	Name string
 	Read func() any
