--- a/account/account.go
+++ b/account/account.go
@@ -119,7 +119,7 @@
 // duration parses a field that holds a duration.
 func (f fields) duration(name string) (length clock.Millis, ok bool) {
 	d, err := time.ParseDuration(f[name])
-	return clock.Of(d), err == nil
+	return clock.FromDuration(d), err == nil
 }
 
 func (l *Log) readRequest(text string) {
--- a/cascade/cascade.go
+++ b/cascade/cascade.go
@@ -68,8 +68,8 @@
 
 // NewEscalator returns an escalator that uses the given strategies. It assumes full pressure at
 // first, since after a mass restart all callers come at once.
-func NewEscalator(strategies decision.Ways) *Escalator {
-	return &Escalator{rule: rules[strategies.Of(decision.Drop)], pressure: 1}
+func NewEscalator(strategies decision.Strategies) *Escalator {
+	return &Escalator{rule: rules[strategies.For(decision.Drop)], pressure: 1}
 }
 
 // rule reports whether an answer is to be dropped for the largest model's, whose first byte is
@@ -77,15 +77,15 @@
 type rule func(a Answer, firstByte clock.Millis, pressure float64) bool
 
 // rules holds the strategies of the decision.
-var rules = map[decision.Way]rule{
+var rules = map[decision.Strategy]rule{
 	decision.ByTime: func(a Answer, firstByte clock.Millis, _ float64) bool {
 		return goodAnswerValue*(gain(a, firstByte)-maxTimeCharge*congestion(firstByte, a.Remaining)) > 1
 	},
 	decision.ByPressure: func(a Answer, firstByte clock.Millis, pressure float64) bool {
 		return goodAnswerValue*(gain(a, firstByte)-maxTimeCharge*pressure*congestion(firstByte, a.Remaining)) > 1
 	},
-	decision.ByPrice:   func(a Answer, firstByte clock.Millis, _ float64) bool { return goodAnswerValue*gain(a, firstByte) > 1 },
-	decision.ByOpinion: func(a Answer, _ clock.Millis, _ float64) bool { return a.Confidence < 50 },
+	decision.ByPrice:  func(a Answer, firstByte clock.Millis, _ float64) bool { return goodAnswerValue*gain(a, firstByte) > 1 },
+	decision.ByRating: func(a Answer, _ clock.Millis, _ float64) bool { return a.Confidence < 50 },
 }
 
 // ShouldEscalate reports whether an answer is to be dropped for the largest model's. Answers
--- a/cascade/cascade_test.go
+++ b/cascade/cascade_test.go
@@ -12,7 +12,7 @@
 const latencyTarget = 2000 * clock.Millis(1)
 
 func escalates(confidence int, firstByte, remaining clock.Millis) bool {
-	return NewEscalator(decision.Ways{}).ShouldEscalate(Answer{Confidence: confidence, Remaining: remaining}, LargerModel{FirstByte: firstByte, QueueWait: firstByte})
+	return NewEscalator(decision.Strategies{}).ShouldEscalate(Answer{Confidence: confidence, Remaining: remaining}, LargerModel{FirstByte: firstByte, QueueWait: firstByte})
 }
 
 // Endpoints are overloaded, and the larger model's first byte takes all the remaining time. Answers
@@ -57,7 +57,7 @@
 // poor answers would be delivered for the sake of requests that are in time anyway.
 func TestLargerModelIsChargedByItsQueueWait(t *testing.T) {
 	is := is.New(t)
-	e := NewEscalator(decision.Ways{})
+	e := NewEscalator(decision.Strategies{})
 	answer := Answer{Confidence: 49, Remaining: latencyTarget}
 	busy, queued := LargerModel{FirstByte: 900, QueueWait: 50}, LargerModel{FirstByte: 900, QueueWait: 700}
 	is.True(!e.ShouldEscalate(answer, busy)) // pressure starts at 1
--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -40,9 +40,9 @@
 	Kind   Kind
 	// Timeout bounds a request, Aim is the time in which an answer is of full
 	// use, and Gap the longest pause between events of a stream that is on time.
-	Timeout clock.Millis
-	Aim     clock.Millis
-	Gap     clock.Millis
+	Timeout       clock.Millis
+	LatencyTarget clock.Millis
+	TargetGap     clock.Millis
 	// Priority is the route's rank; 0 goes first.
 	Priority int
 	// Models are the names of the models that may answer, the smallest first;
@@ -118,8 +118,8 @@
 type Limits struct {
 	MaxHeaderBytes int
 	MaxBodyBytes   int64
-	// Idle is how long a connection may wait for its next request.
-	Idle clock.Millis
+	// IdleTimeout is how long a connection may wait for its next request.
+	IdleTimeout clock.Millis
 }
 
 // Config is one version of the configuration. Nothing in it changes once it
--- a/emulator/emulator_test.go
+++ b/emulator/emulator_test.go
@@ -78,13 +78,13 @@
 	is := is.New(t)
 	x := read(t, "testdata/six-zones.toml")
 	x.Load.Seconds = 3
-	a, err := Play(x.Site, x.Load, decision.Ways{})
+	a, err := Play(x.Site, x.Load, decision.Strategies{})
 	is.NoErr(err)
-	b, err := Play(x.Site, x.Load, decision.Ways{})
+	b, err := Play(x.Site, x.Load, decision.Strategies{})
 	is.NoErr(err)
 	is.Equal(a, b)
 	x.Load.Seed++
-	c, err := Play(x.Site, x.Load, decision.Ways{})
+	c, err := Play(x.Site, x.Load, decision.Strategies{})
 	is.NoErr(err)
 	is.True(a != c)
 }
@@ -103,7 +103,7 @@
 			is := is.New(t)
 			x := read(t, "testdata/six-zones.toml")
 			change(&x)
-			r, err := Play(x.Site, x.Load, decision.Ways{})
+			r, err := Play(x.Site, x.Load, decision.Strategies{})
 			is.True(errorx.IsOfType(err, ErrSite))
 			is.True(strings.Contains(err.Error(), names))
 			is.Equal(r, Result{}) // nothing was played
@@ -121,7 +121,7 @@
 		now, readUntil := clock.Millis(0), clock.Millis(0)
 		for range rapid.IntRange(1, 60).Draw(t, "prompts") {
 			now += clock.Millis(rapid.IntRange(0, 50).Draw(t, "pause"))
-			parts := []placement.Part{{ID: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "part"), Tokens: 300}}
+			parts := []placement.Block{{ID: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "part"), Tokens: 300}}
 			known := e.kept["m/"+parts[0].ID] > 0
 			first, end, read := e.begin(now, m, parts, 5)
 			if first < readUntil || end < first || known && read > 0 {
--- a/emulator/endpoint.go
+++ b/emulator/endpoint.go
@@ -34,7 +34,7 @@
 
 // begin takes a prompt and tells when its first byte and its end come, and how many
 // tokens are read for it.
-func (e *endpoint) begin(now clock.Millis, m Model, parts []placement.Part, events int) (first, end clock.Millis, read int) {
+func (e *endpoint) begin(now clock.Millis, m Model, parts []placement.Block, events int) (first, end clock.Millis, read int) {
 	start := max(e.freeAt, float64(now), e.slotAt(float64(now)))
 	read = e.read(start, m, parts)
 	e.freeAt = start + m.Token*float64(read)
@@ -57,7 +57,7 @@
 
 // read counts the tokens that are not kept, from the first missing part on, and keeps
 // all of them.
-func (e *endpoint) read(now float64, m Model, parts []placement.Part) (read int) {
+func (e *endpoint) read(now float64, m Model, parts []placement.Block) (read int) {
 	missing := false
 	for _, p := range parts {
 		key := m.Name + "/" + p.ID
--- a/emulator/limit.go
+++ b/emulator/limit.go
@@ -41,7 +41,7 @@
 }
 
 // state is what the endpoint says of itself in an answer to an entry.
-func (e *endpoint) state(entry string, now clock.Millis) (s placement.Statement) {
+func (e *endpoint) state(entry string, now clock.Millis) (s placement.Advertisement) {
 	x, ok := e.limitAt(now)
 	if !ok {
 		clear(e.toldAt)
@@ -50,7 +50,7 @@
 	if _, told := e.toldAt[entry]; !told {
 		e.toldAt[entry] = now
 	}
-	return placement.Statement{Rate: x.Rate, HasRate: true}
+	return placement.Advertisement{Rate: x.Rate, HasRate: true}
 }
 
 // arrived takes in a request of an entry, and counts it where it is beyond the rate.
--- a/emulator/play.go
+++ b/emulator/play.go
@@ -51,7 +51,7 @@
 type play struct {
 	site      Site
 	load      Load
-	ways      decision.Ways
+	ways      decision.Strategies
 	rnd       *rand.Rand
 	fleet     *fleet.Snapshot
 	endpoints map[string]*endpoint
@@ -67,7 +67,7 @@
 type entry struct {
 	name  string
 	zone  string
-	board *placement.Board
+	board *placement.Selector
 	judge *cascade.Escalator
 	// shares holds its share of what endpoints take, by their zone.
 	shares map[string]placement.Share
@@ -79,7 +79,7 @@
 }
 
 // Play plays a load on a site with some mechanisms switched off.
-func Play(s Site, l Load, ways decision.Ways) (r Result, err error) {
+func Play(s Site, l Load, ways decision.Strategies) (r Result, err error) {
 	if err = Check(s, l); err != nil {
 		return r, err
 	}
@@ -97,7 +97,7 @@
 	return p.result, nil
 }
 
-func newPlay(s Site, l Load, ways decision.Ways) *play {
+func newPlay(s Site, l Load, ways decision.Strategies) *play {
 	p := &play{site: s, load: l, ways: ways, rnd: rand.New(rand.NewPCG(l.Seed, l.Seed)), endpoints: make(map[string]*endpoint), read: make(map[string]bool)}
 	f := fleet.New()
 	for z := range s.Zones {
@@ -108,7 +108,7 @@
 			f.Apply([]fleet.Change{{ID: id, Endpoint: &fleet.Endpoint{ID: id, Service: "pool", Zone: zone, Version: "v1", Slots: s.Slots}}}, false)
 		}
 		for i := range s.Entries {
-			p.entries = append(p.entries, &entry{name: fmt.Sprintf("entry-%d-%d", z, i), zone: zone, board: placement.NewBoardWith(ways), judge: cascade.NewEscalator(ways), shares: sharesOf(s, z, i)})
+			p.entries = append(p.entries, &entry{name: fmt.Sprintf("entry-%d-%d", z, i), zone: zone, board: placement.NewSelectorWith(ways), judge: cascade.NewEscalator(ways), shares: sharesOf(s, z, i)})
 		}
 	}
 	p.fleet = f.Snapshot()
@@ -122,16 +122,16 @@
 func sharesOf(s Site, zone, place int) map[string]placement.Share {
 	shares := make(map[string]placement.Share)
 	for z := range s.Zones {
-		share := placement.Share{Part: homePart, Entries: s.Entries, Index: place}
+		share := placement.Share{Fraction: homePart, Entries: s.Entries, Index: place}
 		switch {
 		case s.Zones == 1:
-			share.Part = 1
+			share.Fraction = 1
 		case z != zone:
 			others := zone
 			if z < zone {
 				others--
 			}
-			share = placement.Share{Part: 1 - homePart, Entries: (s.Zones - 1) * s.Entries, Index: others*s.Entries + place}
+			share = placement.Share{Fraction: 1 - homePart, Entries: (s.Zones - 1) * s.Entries, Index: others*s.Entries + place}
 		}
 		shares[fmt.Sprint("zone-", z)] = share
 	}
@@ -155,10 +155,10 @@
 		if whole {
 			e.wholeAt = now
 		}
-		told := e.board.Tell(now, whole)
+		told := e.board.Report(now, whole)
 		for _, other := range p.entries {
 			if other != e && other.zone == e.zone {
-				other.board.Hear(e.name, told, whole, now)
+				other.board.Receive(e.name, told, whole, now)
 			}
 		}
 	}
@@ -184,7 +184,7 @@
 type request struct {
 	kind  Kind
 	entry *entry
-	parts []placement.Part
+	parts []placement.Block
 	hard  bool
 	// model is the place of the model that is asked now.
 	model     int
@@ -199,7 +199,7 @@
 		subject = 0
 	}
 	own := int(float64(k.Own) * (0.5 + p.rnd.Float64()))
-	r.parts = []placement.Part{
+	r.parts = []placement.Block{
 		{ID: fmt.Sprintf("%s/%d", k.Name, subject), Tokens: k.Shared},
 		{ID: fmt.Sprintf("own/%d", p.result.Asked), Tokens: own},
 	}
@@ -223,15 +223,15 @@
 
 func (p *play) query(r *request, model int, now clock.Millis) placement.Query {
 	return placement.Query{
-		Service: "pool", Version: "v1", Zone: r.entry.zone, Model: p.site.Models[model].Name, Parts: r.parts, Bytes: r.parts[1].Tokens,
-		AllTold: p.site.Zones == 1, Bounds: placement.Bounds{Shares: r.entry.shares}, Patience: placement.Patience(r.kind.aim(), now-r.startedAt), Now: now,
+		Service: "pool", Version: "v1", Zone: r.entry.zone, Model: p.site.Models[model].Name, Blocks: r.parts, Bytes: r.parts[1].Tokens,
+		FullMesh: p.site.Zones == 1, Bounds: placement.Bounds{Shares: r.entry.shares}, FirstByteBudget: placement.FirstByteBudget(r.kind.aim(), now-r.startedAt), Now: now,
 	}
 }
 
 // send sends a request to the endpoint that its entry picks.
 func (p *play) send(r *request, now clock.Millis) {
 	q := p.query(r, r.model, now)
-	at, _ := r.entry.board.Pick(p.fleet, q)
+	at, _ := r.entry.board.Select(p.fleet, q)
 	if at == nil {
 		p.result.Refused++
 		return
@@ -247,10 +247,10 @@
 	}
 	p.count(m, r.parts[0], read)
 	p.after(first, func(now clock.Millis) {
-		work.Read(now)
-		r.entry.board.Heard(at.ID, now)
-		r.entry.board.Load(at.ID, e.held, e.slots, now)
-		r.entry.board.State(at, e.state(r.entry.name, now), q.Now, now)
+		work.FirstByte(now)
+		r.entry.board.RecordActivity(at.ID, now)
+		r.entry.board.RecordLoad(at.ID, e.held, e.slots, now)
+		r.entry.board.RecordAdvertisement(at, e.state(r.entry.name, now), q.Now, now)
 		if !p.climbs(r, now) {
 			p.answered(r, now)
 			p.after(end, func(clock.Millis) { e.held--; work.End() })
@@ -265,7 +265,7 @@
 }
 
 // count counts what was read.
-func (p *play) count(m Model, shared placement.Part, read int) {
+func (p *play) count(m Model, shared placement.Block, read int) {
 	p.result.Read += read
 	key := m.Name + "/" + shared.ID
 	if p.read[key] && read >= shared.Tokens {
@@ -289,7 +289,7 @@
 		confidence -= 2 * sureness
 	}
 	answer := cascade.Answer{Confidence: int(min(max(confidence, 0), 100)), Remaining: r.startedAt + r.kind.aim() - now}
-	return r.entry.judge.ShouldEscalate(answer, cascade.LargerModel{FirstByte: expected.First, QueueWait: expected.Wait})
+	return r.entry.judge.ShouldEscalate(answer, cascade.LargerModel{FirstByte: expected.FirstByte, QueueWait: expected.Wait})
 }
 
 func (p *play) answered(r *request, now clock.Millis) {
--- a/endpoint/endpoint.go
+++ b/endpoint/endpoint.go
@@ -66,9 +66,9 @@
 		keeping: answer.NewKeeping(answer.KeepLimits{Answers: keptAnswers, Bytes: keptBytes, One: keptBytesOfOne, For: keptFor}),
 	}
 	e.aborted, e.abort = context.WithCancel(context.Background())
-	e.orphan = n.Billing().Orphan
+	e.orphan = n.Billing().FinishOrphaned
 	n.SetLoad(e.load)
-	n.SetHandler(e.perform)
+	n.SetEffectHandler(e.perform)
 	return e
 }
 
--- a/entry/burn.go
+++ b/entry/burn.go
@@ -34,7 +34,7 @@
 		}
 		packed = append(packed, data)
 	}
-	return e.node.Hand(ctx, packed)
+	return e.node.HandOver(ctx, packed)
 }
 
 // countRequest counts the end of an admitted request. Caller errors and cancellations are left out,
--- a/explain/explain.go
+++ b/explain/explain.go
@@ -76,7 +76,7 @@
 	for _, l := range lines {
 		elapsed := clock.Millis(0)
 		if !l.At.IsZero() {
-			elapsed = clock.Of(l.At.Sub(lines[0].At))
+			elapsed = clock.FromDuration(l.At.Sub(lines[0].At))
 		}
 		if _, err = fmt.Fprintf(w, "%8s  %-24s %s\n", elapsed, writer(l), withoutVM(l.Text)); err != nil {
 			return err
--- a/fleet/endpoint.go
+++ b/fleet/endpoint.go
@@ -19,10 +19,10 @@
 	// ColdUntil is the end of its cold start on this process's clock; 0 when it
 	// is warm.
 	ColdUntil clock.Millis
-	// Born tells one start of an endpoint from the next under the same ID, and
+	// Incarnation tells one start of an endpoint from the next under the same ID, and
 	// grows; Sequence grows with each announcement of one start.
-	Born     int64
-	Sequence int64
+	Incarnation int64
+	Sequence    int64
 }
 
 // Change is a new announcement of an endpoint, or its end.
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -76,13 +76,13 @@
 // must know. A cold start that began anew is part of it: an entry that took the
 // endpoint for warm would send it more than it bears.
 func (e *Endpoint) differs(later *Endpoint) bool {
-	return e.Leaving != later.Leaving || e.Address != later.Address || e.Born != later.Born || later.ColdUntil > e.ColdUntil+coldSlack
+	return e.Leaving != later.Leaving || e.Address != later.Address || e.Incarnation != later.Incarnation || later.ColdUntil > e.ColdUntil+coldSlack
 }
 
 // older reports whether an announcement was made before the one that is known.
 // One that was held up on its way would take back an endpoint's leaving.
 func older(e, known *Endpoint) bool {
-	return e.Born < known.Born || e.Born == known.Born && e.Sequence < known.Sequence
+	return e.Incarnation < known.Incarnation || e.Incarnation == known.Incarnation && e.Sequence < known.Sequence
 }
 
 // Find returns an endpoint by its ID, or nil.
@@ -109,8 +109,8 @@
 	return changed
 }
 
-// Zones returns the zones out of service.
-func (f *Fleet) Zones() []string { return slices.Sorted(maps.Keys(f.out)) }
+// ZonesOut returns the zones out of service.
+func (f *Fleet) ZonesOut() []string { return slices.Sorted(maps.Keys(f.out)) }
 
 // Snapshot returns an immutable copy, the same one until something changes.
 func (f *Fleet) Snapshot() *Snapshot {
@@ -142,7 +142,7 @@
 		for _, text := range [...]string{id, e.Service, e.Address, e.Zone, e.Version} {
 			_, _ = d.WriteString(text + "\x00")
 		}
-		binary.BigEndian.PutUint64(b[:], uint64(e.Born))
+		binary.BigEndian.PutUint64(b[:], uint64(e.Incarnation))
 		b[8] = 0
 		if e.Leaving {
 			b[8] = 1
@@ -164,14 +164,14 @@
 // Digest returns a number that is the same for the same endpoints.
 func (s *Snapshot) Digest() uint64 { return s.digest }
 
-// Of returns a service's endpoints in the order of their IDs.
-func (s *Snapshot) Of(service string) []*Endpoint { return s.byService[service] }
+// Endpoints returns a service's endpoints in the order of their IDs.
+func (s *Snapshot) Endpoints(service string) []*Endpoint { return s.byService[service] }
 
 // Find returns an endpoint by its ID, or nil.
 func (s *Snapshot) Find(id string) *Endpoint { return s.byID[id] }
 
-// Out reports whether a zone is out of service.
-func (s *Snapshot) Out(zone string) bool { return s.out[zone] }
+// ZoneOut reports whether a zone is out of service.
+func (s *Snapshot) ZoneOut(zone string) bool { return s.out[zone] }
 
 // Usable reports whether an endpoint may get new work.
 func (s *Snapshot) Usable(e *Endpoint) bool { return !e.Leaving && !s.out[e.Zone] }
--- a/node/billing.go
+++ b/node/billing.go
@@ -163,15 +163,15 @@
 	}
 }
 
-// Settle hands over the bill of a request that has a place and failed after a
+// FinishFailed hands over the bill of a request that has a place and failed after a
 // step had run. It does not wait.
-func (b *Billing) Settle(x *wire.Bill) {
+func (b *Billing) FinishFailed(x *wire.Bill) {
 	b.post(bill.Finish{Now: b.n.cfg.Clock.Now(), Bill: x, Reserved: true})
 }
 
-// Orphan bills a step that ran at this endpoint and whose entry went before it
+// FinishOrphaned bills a step that ran at this endpoint and whose entry went before it
 // took the last piece. If the entry billed the step after all, the two merge.
-func (b *Billing) Orphan(x *wire.Bill) {
+func (b *Billing) FinishOrphaned(x *wire.Bill) {
 	b.post(bill.Finish{Now: b.n.cfg.Clock.Now(), Bill: x})
 }
 
@@ -185,9 +185,9 @@
 // Drain begins to hand on what is kept and refuses to hold more.
 func (b *Billing) Drain() { b.post(bill.Drain{Now: b.n.cfg.Clock.Now()}) }
 
-// Settled waits until every bill kept here is safe without this process. It
+// WaitSafe waits until every bill kept here is safe without this process. It
 // returns the context's error when that ends first.
-func (b *Billing) Settled(ctx context.Context) (err error) {
+func (b *Billing) WaitSafe(ctx context.Context) (err error) {
 	for {
 		b.place()
 		b.mu.Lock()
--- a/placement/board.go
+++ b/placement/board.go
@@ -23,9 +23,9 @@
 	window = 1200 * clock.Millis(1)
 )
 
-// Board is what this process knows of the endpoints by its own traffic. It is
+// Selector is what this process knows of the endpoints by its own traffic. It is
 // safe for use by many goroutines.
-type Board struct {
+type Selector struct {
 	mu       sync.Mutex
 	inflight *choice.Inflight
 	marks    map[string]*mark
@@ -35,9 +35,9 @@
 	// peers holds what other entries have at endpoints, by entry.
 	peers map[string]peerWork
 	speed speeds
-	ways  decision.Ways
+	ways  decision.Strategies
 	// affinity is the way of decision.Affinity, which is asked for at each endpoint.
-	affinity decision.Way
+	affinity decision.Strategy
 	// urgent has something in it from a prompt that others should hear of at once.
 	urgent chan struct{}
 	// usualOthers is how many prompts of others usually wait at an endpoint.
@@ -80,15 +80,15 @@
 	untoldWord bool
 }
 
-// NewBoard makes a board that knows nothing.
-func NewBoard() *Board { return NewBoardWith(decision.Ways{}) }
+// NewSelector makes a board that knows nothing.
+func NewSelector() *Selector { return NewSelectorWith(decision.Strategies{}) }
 
-// NewBoardWith makes a board that decides in the ways given.
-func NewBoardWith(ways decision.Ways) *Board {
-	return &Board{ways: ways, affinity: ways.Of(decision.Affinity), urgent: make(chan struct{}, 1), inflight: choice.NewInflight(), marks: make(map[string]*mark), byHash: make(map[uint32]*mark), kept: newKept(), peers: make(map[string]peerWork), speed: newSpeeds()}
+// NewSelectorWith makes a board that decides in the ways given.
+func NewSelectorWith(ways decision.Strategies) *Selector {
+	return &Selector{ways: ways, affinity: ways.For(decision.Affinity), urgent: make(chan struct{}, 1), inflight: choice.NewInflight(), marks: make(map[string]*mark), byHash: make(map[uint32]*mark), kept: newKept(), peers: make(map[string]peerWork), speed: newSpeeds()}
 }
 
-func (b *Board) mark(id string) *mark {
+func (b *Selector) mark(id string) *mark {
 	m, ok := b.marks[id]
 	if !ok {
 		m = &mark{hash: shortHash(id)}
@@ -100,7 +100,7 @@
 
 // Work is a prompt that an endpoint has to read.
 type Work struct {
-	board    *Board
+	board    *Selector
 	endpoint string
 	model    string
 	tokens   int
@@ -115,11 +115,11 @@
 	read     bool
 }
 
-// Expected is how long the first byte was expected to take when the work began.
-func (w *Work) Expected() clock.Millis { return w.expected }
+// ExpectedFirstByte is how long the first byte was expected to take when the work began.
+func (w *Work) ExpectedFirstByte() clock.Millis { return w.expected }
 
 // Begin counts a request that is sent to an endpoint.
-func (b *Board) Begin(e *fleet.Endpoint, q Query) *Work {
+func (b *Selector) Begin(e *fleet.Endpoint, q Query) *Work {
 	id := e.ID
 	b.inflight.Add(id, 1)
 	b.mu.Lock()
@@ -132,16 +132,16 @@
 	m.pending += w.millis
 	m.unanswered++
 	m.changed = true
-	if w.millis >= urgentLeast && !b.ways.Off(decision.UrgentReports) {
+	if w.millis >= urgentLeast && !b.ways.Disabled(decision.UrgentReports) {
 		b.signalUrgent()
 	}
 	b.kept.own(m.hash, q)
 	return w
 }
 
-// Read tells that the first byte of the answer has come, and with it that the
+// FirstByte tells that the first byte of the answer has come, and with it that the
 // prompt was read.
-func (w *Work) Read(now clock.Millis) {
+func (w *Work) FirstByte(now clock.Millis) {
 	b := w.board
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -179,8 +179,8 @@
 // their number. Where others tell of their work, an endpoint not heard of lately is
 // idle; elsewhere it is taken to be like the others: taken for idle, it would get work
 // from another zone that its neighbours have filled it with.
-func (b *Board) waiting(e *fleet.Endpoint, m *mark, q Query) float64 {
-	if b.ways.Off(decision.Waiting) {
+func (b *Selector) waiting(e *fleet.Endpoint, m *mark, q Query) float64 {
+	if b.ways.Disabled(decision.Waiting) {
 		return 0
 	}
 	usual := b.usualOthers
@@ -192,8 +192,8 @@
 	return m.pending + pending + (m.others*fresh+usual*(1-fresh))*b.speed.mean
 }
 
-// Waiting takes an endpoint's own word on how many prompts wait there.
-func (b *Board) Waiting(id string, waiting int, now clock.Millis) {
+// RecordQueueLength takes an endpoint's own word on how many prompts wait there.
+func (b *Selector) RecordQueueLength(id string, waiting int, now clock.Millis) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	m := b.mark(id)
@@ -202,7 +202,7 @@
 }
 
 // word takes an endpoint's word as of an instant.
-func (b *Board) word(m *mark, waiting int, at, now clock.Millis) {
+func (b *Selector) word(m *mark, waiting int, at, now clock.Millis) {
 	_, told := b.told(m.hash, now)
 	m.word, m.wordAt, m.untoldWord = waiting, at, false
 	m.others = max(float64(waiting-m.unanswered)-told, 0)
@@ -216,9 +216,9 @@
 // its weight: a prompt is read in a few hundred milliseconds.
 const wordHalf = 500 * clock.Millis(1)
 
-// Load takes an endpoint's own word on its load.
-func (b *Board) Load(id string, held, slots int, now clock.Millis) {
-	b.inflight.Report(&wire.Load{Vm: id, Held: int32(held), Window: int32(slots)}, now)
+// RecordLoad takes an endpoint's own word on its load.
+func (b *Selector) RecordLoad(id string, held, slots int, now clock.Millis) {
+	b.inflight.RecordLoad(&wire.Load{Vm: id, Held: int32(held), Window: int32(slots)}, now)
 }
 
 const (
@@ -231,20 +231,20 @@
 	trialFor = clock.Second
 )
 
-// Lost counts an endpoint that could not be reached or fell silent. It is left
+// RecordUnreachable counts an endpoint that could not be reached or fell silent. It is left
 // alone for a while; then one request tries it. If all did, each would pay the
 // time that it takes to find out that the endpoint is still gone.
-func (b *Board) Lost(id string, now clock.Millis) {
+func (b *Selector) RecordUnreachable(id string, now clock.Millis) {
 	b.mu.Lock()
 	m := b.mark(id)
 	m.lostUntil = now + min(lostFirst<<min(m.losses, 5), lostMost)
 	m.losses++
 	b.mu.Unlock()
-	b.Outcome(id, true, now)
+	b.RecordOutcome(id, true, now)
 }
 
-// Heard notes that an endpoint sent something.
-func (b *Board) Heard(id string, now clock.Millis) {
+// RecordActivity notes that an endpoint sent something.
+func (b *Selector) RecordActivity(id string, now clock.Millis) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	m := b.mark(id)
@@ -260,20 +260,20 @@
 // (1.2 s) and the pause between two reads of the store (0.8 s).
 const backSpan = 2 * clock.Second
 
-// HeardSince reports whether an endpoint sent something after an instant.
-func (b *Board) HeardSince(id string, at clock.Millis) bool {
+// ActiveSince reports whether an endpoint sent something after an instant.
+func (b *Selector) ActiveSince(id string, at clock.Millis) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	m, ok := b.marks[id]
 	return ok && m.heardAt > at
 }
 
-func (b *Board) reached(m *mark, now clock.Millis) bool {
-	return now >= m.lostUntil || b.ways.Off(decision.LostEndpoints)
+func (b *Selector) reached(m *mark, now clock.Millis) bool {
+	return now >= m.lostUntil || b.ways.Disabled(decision.UnreachableEndpoints)
 }
 
-// Outcome counts an attempt's end.
-func (b *Board) Outcome(id string, failed bool, now clock.Millis) {
+// RecordOutcome counts an attempt's end.
+func (b *Selector) RecordOutcome(id string, failed bool, now clock.Millis) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	m := b.mark(id)
@@ -289,15 +289,15 @@
 	return m.failed * math.Exp2(-float64(now-m.failedAt)/float64(failHalf))
 }
 
-func (b *Board) failing(m *mark, now clock.Millis) float64 {
-	if b.ways.Off(decision.Failures) {
+func (b *Selector) failing(m *mark, now clock.Millis) float64 {
+	if b.ways.Disabled(decision.Failures) {
 		return 0
 	}
 	return m.part(now)
 }
 
 // sent counts a request against the endpoint's bounds.
-func (b *Board) sent(id string, now clock.Millis) {
+func (b *Selector) sent(id string, now clock.Millis) {
 	m := b.mark(id)
 	m.sends = append(m.sends, now)
 	for m.sends[0] < now-rateSpan {
@@ -324,7 +324,7 @@
 	if s.Cold(e, q.Now) || m.backUntil > q.Now || m.statedOf(e).coldUntil > q.Now {
 		total = q.Bounds.Cold
 	}
-	return total <= 0 || m.sentSince(q.Now-window) < q.Bounds.Shares[e.Zone].In(total, e.ID)
+	return total <= 0 || m.sentSince(q.Now-window) < q.Bounds.Shares[e.Zone].Quota(total, e.ID)
 }
 
 // sentSince counts what was sent at an instant or later.
@@ -339,15 +339,15 @@
 // endpoint may get. Where all entries send to the same endpoint, as they do with a hot
 // subject, placement does not keep it as busy as its neighbours.
 func inShare(e *fleet.Endpoint, m *mark, q Query) bool {
-	return q.Bounds.Warm <= 0 || m.sentSince(q.Now-window) < q.Bounds.Shares[e.Zone].In(q.Bounds.Warm, e.ID)
+	return q.Bounds.Warm <= 0 || m.sentSince(q.Now-window) < q.Bounds.Shares[e.Zone].Quota(q.Bounds.Warm, e.ID)
 }
 
 // spared is what is saved beyond time by the tokens of a prompt that need not be read.
 func readingSaved(q Query, unread int) float64 {
-	return readCost * float64(tokensOf(q.Parts)-unread)
+	return readCost * float64(tokensOf(q.Blocks)-unread)
 }
 
-func tokensOf(parts []Part) (tokens int) {
+func tokensOf(parts []Block) (tokens int) {
 	for _, p := range parts {
 		tokens += p.Tokens
 	}
@@ -356,9 +356,9 @@
 
 // unread counts the tokens of the prompt that the endpoint must read: all parts
 // from the first one on that it does not have.
-func (b *Board) unread(m *mark, q Query) (tokens int) {
-	missing := b.ways.Off(decision.KeptParts)
-	for i, p := range q.Parts {
+func (b *Selector) unread(m *mark, q Query) (tokens int) {
+	missing := b.ways.Disabled(decision.CachedBlocks)
+	for i, p := range q.Blocks {
 		missing = missing || !b.kept.holds(m.hash, q.hashes[i], q.Now)
 		if missing {
 			tokens += p.Tokens
@@ -367,9 +367,9 @@
 	return tokens
 }
 
-// Keep drops what is known of endpoints that are gone, but for what they said of themselves
+// Prune drops what is known of endpoints that are gone, but for what they said of themselves
 // lately: an announcement that lapsed while the store was away comes back.
-func (b *Board) Keep(s *fleet.Snapshot, now clock.Millis) {
+func (b *Selector) Prune(s *fleet.Snapshot, now clock.Millis) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for id, m := range b.marks {
--- a/placement/census.go
+++ b/placement/census.go
@@ -28,12 +28,12 @@
 	obstacles
 )
 
-// Census counts the endpoints that may get a request by what speaks against each.
+// ObstacleCounts counts the endpoints that may get a request by what speaks against each.
 // It tells in a refusal's log line which bound was met.
-type Census [obstacles]int
+type ObstacleCounts [obstacles]int
 
-// Census looks at the endpoints as Pick does.
-func (b *Board) Census(s *fleet.Snapshot, q Query) (c Census) {
+// CountObstacles looks at the endpoints as Pick does.
+func (b *Selector) CountObstacles(s *fleet.Snapshot, q Query) (c ObstacleCounts) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	q = q.hashed()
@@ -47,6 +47,6 @@
 }
 
 // String names the counts for a refusal's message.
-func (c Census) String() string {
+func (c ObstacleCounts) String() string {
 	return fmt.Sprintf("%d loaded, %d at this entry's share, %d at the rate they name, %d that want nothing for now, %d too late", c[loaded], c[bounded], c[limited], c[paused], c[late])
 }
--- a/placement/kept.go
+++ b/placement/kept.go
@@ -20,7 +20,7 @@
 }
 
 // hashOf hashes a part for a model: models keep their own.
-func (p Part) hashOf(model string) uint32 { return shortHash(model + "/" + p.ID) }
+func (p Block) hashOf(model string) uint32 { return shortHash(model + "/" + p.ID) }
 
 // shortHash names an endpoint or a part in reports. Of the parts kept at one time one
 // in a hundred thousand shares its hash with another; it is then read unforeseen.
@@ -47,7 +47,7 @@
 		key := partKey{endpoint, hash}
 		at, ok := k.parts[key]
 		lately := ok && q.Now-at <= keptFor/2
-		if i < len(q.Parts)-1 && !lately {
+		if i < len(q.Blocks)-1 && !lately {
 			k.untold[endpoint] = append(k.untold[endpoint], key.part)
 		}
 		k.parts[key] = q.Now
--- a/placement/load_test.go
+++ b/placement/load_test.go
@@ -17,7 +17,7 @@
 // of what an endpoint bears in a cold start, they refused callers though no
 // endpoint was near its bound. Now hardly any is refused, and still no endpoint
 // gets more in a second than it would bear if it turned cold unannounced.
-func TestUnevenEntriesUseWhatEndpointsBear(t *testing.T) {
+func TestUnevenEntriesUseEndpointCapacity(t *testing.T) {
 	is := is.New(t)
 	const bears = 30
 	p := newReplay(31, 28, bears)
@@ -35,7 +35,7 @@
 type replay struct {
 	rnd     *rand.Rand
 	fleet   *fleet.Snapshot
-	entries []*Board
+	entries []*Selector
 	weights []int
 	bounds  float64
 	// free is when an endpoint has read all it got, held what it works on, and
@@ -53,7 +53,7 @@
 		free: make(map[string]clock.Millis), held: make(map[string]int), waiting: make(map[string]int), arrivals: make(map[string][]clock.Millis),
 	}
 	for i := range entries {
-		p.entries = append(p.entries, NewBoard())
+		p.entries = append(p.entries, NewSelector())
 		for range 2 + i%4 {
 			p.weights = append(p.weights, i)
 		}
@@ -81,12 +81,12 @@
 	b := p.entries[i]
 	subject := p.rnd.IntN(300)
 	q := Query{
-		Service: "s", Version: "v1", Zone: [...]string{"a", "b", "c", "d"}[i%4], Model: "m", Bytes: 8000, Now: now, Patience: 2 * clock.Second,
-		Parts:  []Part{{fmt.Sprint("head", subject%4), 500}, {fmt.Sprint("subject", subject), 500}, {fmt.Sprint("own", now, i), 200 + p.rnd.IntN(1500)}},
+		Service: "s", Version: "v1", Zone: [...]string{"a", "b", "c", "d"}[i%4], Model: "m", Bytes: 8000, Now: now, FirstByteBudget: 2 * clock.Second,
+		Blocks: []Block{{fmt.Sprint("head", subject%4), 500}, {fmt.Sprint("subject", subject), 500}, {fmt.Sprint("own", now, i), 200 + p.rnd.IntN(1500)}},
 		Bounds: Bounds{Cold: p.bounds / 2, Warm: p.bounds, Shares: p.shares(i)},
 	}
-	e, why := b.Pick(p.fleet, q)
-	if why != Picked {
+	e, why := b.Select(p.fleet, q)
+	if why != Selected {
 		return false
 	}
 	p.arrivals[e.ID] = append(p.arrivals[e.ID], now)
@@ -100,7 +100,7 @@
 func (p *replay) shares(i int) map[string]Share {
 	out := make(map[string]Share)
 	for _, zone := range []string{"a", "b"} {
-		home, away := Share{Part: 0.5}, Share{Part: 0.5}
+		home, away := Share{Fraction: 0.5}, Share{Fraction: 0.5}
 		for j := range p.entries {
 			share := &home
 			if at := [...]string{"a", "b", zone, zone}[j%4]; at != zone {
@@ -127,7 +127,7 @@
 )
 
 // run has an endpoint read the prompt and answer it.
-func (p *replay) run(b *Board, e *fleet.Endpoint, q Query, now clock.Millis) {
+func (p *replay) run(b *Selector, e *fleet.Endpoint, q Query, now clock.Millis) {
 	w := b.Begin(e, q)
 	p.held[e.ID]++
 	p.waiting[e.ID]++
@@ -135,10 +135,10 @@
 	read := p.free[e.ID] + 80
 	heap.Push(&p.events, event{read, func(now clock.Millis) {
 		p.waiting[e.ID]--
-		w.Read(now)
-		b.Heard(e.ID, now)
-		b.Load(e.ID, p.held[e.ID], e.Slots, now)
-		b.Waiting(e.ID, p.waiting[e.ID], now)
+		w.FirstByte(now)
+		b.RecordActivity(e.ID, now)
+		b.RecordLoad(e.ID, p.held[e.ID], e.Slots, now)
+		b.RecordQueueLength(e.ID, p.waiting[e.ID], now)
 	}})
 	heap.Push(&p.events, event{read + streams, func(clock.Millis) {
 		p.held[e.ID]--
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -12,8 +12,8 @@
 	"github.com/parsleydeal/parsleydeal/upgrade"
 )
 
-// Part is a part of a prompt, which requests share.
-type Part struct {
+// Block is a part of a prompt, which requests share.
+type Block struct {
 	ID     string
 	Tokens int
 }
@@ -27,21 +27,21 @@
 	Zone    string
 	// Avoid holds endpoints that this request has tried.
 	Avoid map[string]bool
-	// Reached leaves out endpoints that were lost lately, also where there is no other.
-	Reached bool
-	Model   string
-	Parts   []Part
+	// ReachableOnly leaves out endpoints that were lost lately, also where there is no other.
+	ReachableOnly bool
+	Model         string
+	Blocks        []Block
 	// Bytes is the size of what is sent.
 	Bytes int
-	// AllTold says that the entries of all zones tell this one of their work, and not
+	// FullMesh says that the entries of all zones tell this one of their work, and not
 	// only those of its own zone.
-	AllTold bool
+	FullMesh bool
 	// Bounds limit how much one entry sends.
 	Bounds Bounds
-	// Patience is how long the prompt may take to be read, its wait included; 0
+	// FirstByteBudget is how long the prompt may take to be read, its wait included; 0
 	// for any time.
-	Patience clock.Millis
-	Now      clock.Millis
+	FirstByteBudget clock.Millis
+	Now             clock.Millis
 
 	// hashes holds those of the parts for the model once they were needed.
 	hashes []uint32
@@ -49,11 +49,11 @@
 
 // hashed returns the query with the hashes of its parts.
 func (q Query) hashed() Query {
-	if len(q.hashes) == len(q.Parts) {
+	if len(q.hashes) == len(q.Blocks) {
 		return q
 	}
-	q.hashes = make([]uint32, len(q.Parts))
-	for i, p := range q.Parts {
+	q.hashes = make([]uint32, len(q.Blocks))
+	for i, p := range q.Blocks {
 		q.hashes[i] = p.hashOf(q.Model)
 	}
 	return q
@@ -73,19 +73,19 @@
 
 // Share is an entry's share of a bound.
 type Share struct {
-	// Part is the part of the bound that is shared, Entries how many entries share
+	// Fraction is the part of the bound that is shared, Entries how many entries share
 	// it, and Index this one's number among them from 0.
-	Part    float64
-	Entries int
-	Index   int
+	Fraction float64
+	Entries  int
+	Index    int
 }
 
-// In is what this entry may send to an endpoint in a second; 0 for nothing. What
+// Quota is what this entry may send to an endpoint in a second; 0 for nothing. What
 // does not divide evenly goes to some of the entries, others at each endpoint.
 // Where there are more entries than the bound allows requests, the rest may send
 // it nothing: if all might, they could do so in the same second.
-func (s Share) In(total float64, id string) int {
-	n, whole := s.entries(), uint64(total*s.Part)
+func (s Share) Quota(total float64, id string) int {
+	n, whole := s.entries(), uint64(total*s.Fraction)
 	share := whole / n
 	if s.turn(id) < whole%n {
 		share++
@@ -96,7 +96,7 @@
 // without counts the entries that may send an endpoint nothing, where this is one of them,
 // and tells its place among these from 1.
 func (s Share) without(total float64, id string) (place, entries clock.Millis) {
-	whole := uint64(total * s.Part)
+	whole := uint64(total * s.Fraction)
 	return clock.Millis(s.turn(id)-whole) + 1, clock.Millis(s.entries() - whole)
 }
 
@@ -107,19 +107,19 @@
 
 func (s Share) entries() uint64 { return uint64(max(s.Entries, 1)) }
 
-// Patience is how long the first byte of a request may take that was to come within an
+// FirstByteBudget is how long the first byte of a request may take that was to come within an
 // aim and has waited for some of it. A prompt that would be late holds up those behind
 // it, which are late then too; turned away at once, its caller may come back in time.
 // One that is nearly late already still gets a part of its aim.
-func Patience(aim, waited clock.Millis) clock.Millis { return max(aim-waited, aim/4) }
+func FirstByteBudget(aim, waited clock.Millis) clock.Millis { return max(aim-waited, aim/4) }
 
 // Reason says why no endpoint was picked.
 type Reason int
 
 // The reasons.
 const (
-	// Picked means that there is one.
-	Picked Reason = iota
+	// Selected means that there is one.
+	Selected Reason = iota
 	// None means that no endpoint may get the request.
 	None
 	// Full means that all that may get it are full or at their bound.
@@ -163,10 +163,10 @@
 	fullAt = 1.5
 )
 
-// Pick returns the endpoint at which the request costs least. Another version
+// Select returns the endpoint at which the request costs least. Another version
 // stands in only when there is no endpoint of the one wanted: an unproven version
 // that took what does not fit on a full one would get the most at the worst time.
-func (b *Board) Pick(s *fleet.Snapshot, q Query) (e *fleet.Endpoint, why Reason) {
+func (b *Selector) Select(s *fleet.Snapshot, q Query) (e *fleet.Endpoint, why Reason) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if e, why = b.choose(s, q); e != nil {
@@ -176,39 +176,39 @@
 	return e, why
 }
 
-// Room reports whether Pick would find an endpoint that was not lost lately.
-func (b *Board) Room(s *fleet.Snapshot, q Query) bool {
+// HasCapacity reports whether Pick would find an endpoint that was not lost lately.
+func (b *Selector) HasCapacity(s *fleet.Snapshot, q Query) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	q.Reached = true
+	q.ReachableOnly = true
 	e, _ := b.choose(s, q)
 	return e != nil
 }
 
 // Expectation is what a request is expected to meet at an endpoint.
 type Expectation struct {
-	// First is how long its first byte takes, Wait the part of it in which prompts
+	// FirstByte is how long its first byte takes, Wait the part of it in which prompts
 	// before it are read.
-	First clock.Millis
-	Wait  clock.Millis
+	FirstByte clock.Millis
+	Wait      clock.Millis
 }
 
 // Expect tells what a request would meet at the endpoint that Pick would find; not ok
 // where it would find none, or only such that were lost lately.
-func (b *Board) Expect(s *fleet.Snapshot, q Query) (x Expectation, ok bool) {
+func (b *Selector) Expect(s *fleet.Snapshot, q Query) (x Expectation, ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	q.Reached = true
+	q.ReachableOnly = true
 	e, _ := b.choose(s, q)
 	if e == nil {
 		return x, false
 	}
 	m, q := b.mark(e.ID), q.hashed()
 	wait := b.waiting(e, m, q)
-	return Expectation{First: b.speed.first(q.Model, wait+b.speed.millis(q.Model, b.unread(m, q))), Wait: clock.Millis(wait)}, true
+	return Expectation{FirstByte: b.speed.first(q.Model, wait+b.speed.millis(q.Model, b.unread(m, q))), Wait: clock.Millis(wait)}, true
 }
 
-func (b *Board) choose(s *fleet.Snapshot, q Query) (e *fleet.Endpoint, why Reason) {
+func (b *Selector) choose(s *fleet.Snapshot, q Query) (e *fleet.Endpoint, why Reason) {
 	all := b.candidates(s, q)
 	if len(all) == 0 {
 		return nil, None
@@ -217,9 +217,9 @@
 }
 
 // candidates lists the endpoints that may get the request.
-func (b *Board) candidates(s *fleet.Snapshot, q Query) (all []*fleet.Endpoint) {
+func (b *Selector) candidates(s *fleet.Snapshot, q Query) (all []*fleet.Endpoint) {
 	for _, match := range q.passes() {
-		for _, at := range s.Of(q.Service) {
+		for _, at := range s.Endpoints(q.Service) {
 			if s.Usable(at) && !q.Avoid[at.ID] && match(at) && !b.mark(at.ID).leaves(at, q.Now) {
 				all = append(all, at)
 			}
@@ -235,18 +235,18 @@
 // lost lately come last: a stall of this VM's own link makes all of them lost at
 // once, and refusing every request until that lapses would turn the stall into an
 // outage.
-func (b *Board) cheapest(s *fleet.Snapshot, all []*fleet.Endpoint, q Query) (e *fleet.Endpoint, why Reason) {
+func (b *Selector) cheapest(s *fleet.Snapshot, all []*fleet.Endpoint, q Query) (e *fleet.Endpoint, why Reason) {
 	preferred := b.preferred(all, q)
 	for _, last := range [...]obstacle{unhindered, lost} {
 		best := 0.0
 		for _, at := range all {
 			cost, o := b.cost(s, at, q, at == preferred)
-			if o <= last && (e == nil || cost < best) && (o != lost || !q.Reached) {
+			if o <= last && (e == nil || cost < best) && (o != lost || !q.ReachableOnly) {
 				e, best = at, cost
 			}
 		}
 		if e != nil {
-			return e, Picked
+			return e, Selected
 		}
 	}
 	return nil, Full
@@ -266,12 +266,12 @@
 // preferred is the endpoint to which all entries send the prompts of a subject while they know
 // of none that keeps its parts; nil when this one does, and for prompts with little to
 // keep.
-func (b *Board) preferred(all []*fleet.Endpoint, q Query) (e *fleet.Endpoint) {
+func (b *Selector) preferred(all []*fleet.Endpoint, q Query) (e *fleet.Endpoint) {
 	if !b.hasAffinity(q) {
 		return nil
 	}
-	part := q.hashes[len(q.Parts)-2]
-	least, subject := 0.0, q.Model+"/"+subject(q.Parts)
+	part := q.hashes[len(q.Blocks)-2]
+	least, subject := 0.0, q.Model+"/"+subject(q.Blocks)
 	for _, at := range all {
 		if b.kept.holds(b.mark(at.ID).hash, part, q.Now) {
 			return nil
@@ -285,16 +285,16 @@
 
 // hasAffinity reports whether a prompt shares so much that it is worth the way to another zone.
 // Where all entries tell one another what they sent, each knows where parts are.
-func (b *Board) hasAffinity(q Query) bool {
-	return b.affinity == decision.Everywhere && !q.AllTold && len(q.Parts) > 1 && q.shared() >= affinityLeast
+func (b *Selector) hasAffinity(q Query) bool {
+	return b.affinity == decision.AllZones && !q.FullMesh && len(q.Blocks) > 1 && q.shared() >= affinityLeast
 }
 
 // shared counts the tokens of a prompt that other requests share.
-func (q Query) shared() int { return tokensOf(q.Parts[:len(q.Parts)-1]) }
+func (q Query) shared() int { return tokensOf(q.Blocks[:len(q.Blocks)-1]) }
 
 // cost is what the request costs at an endpoint, which may be the one preferred for its parts, and
 // what speaks against sending it there at all.
-func (b *Board) cost(s *fleet.Snapshot, e *fleet.Endpoint, q Query, preferred bool) (cost float64, o obstacle) {
+func (b *Selector) cost(s *fleet.Snapshot, e *fleet.Endpoint, q Query, preferred bool) (cost float64, o obstacle) {
 	m := b.mark(e.ID)
 	load := b.inflight.Load(e.ID, e.Slots, q.Now)
 	switch {
@@ -313,7 +313,7 @@
 	if e.Zone != q.Zone {
 		cost += awayCost + awayByteCost*float64(q.Bytes)
 	}
-	if len(q.Parts) == 0 {
+	if len(q.Blocks) == 0 {
 		return cost, o
 	}
 	prompt, inTime := b.promptCost(e, m, q, load, preferred)
@@ -325,34 +325,34 @@
 
 // promptCost is what reading a prompt costs at an endpoint, and whether it can be read in
 // time there.
-func (b *Board) promptCost(e *fleet.Endpoint, m *mark, q Query, load float64, preferred bool) (cost float64, inTime bool) {
-	unread, own := b.unread(m, q), q.Parts[len(q.Parts)-1].Tokens
+func (b *Selector) promptCost(e *fleet.Endpoint, m *mark, q Query, load float64, preferred bool) (cost float64, inTime bool) {
+	unread, own := b.unread(m, q), q.Blocks[len(q.Blocks)-1].Tokens
 	keeps := (preferred || unread <= own) && b.hasAffinity(q) && inShare(e, m, q)
 	if keeps {
 		unread = min(unread, own)
 	}
 	queue := b.waiting(e, m, q)
 	wait := queue + b.speed.millis(q.Model, unread)
-	if !keeps && !q.visible(e) && !b.ways.Off(decision.BlindCost) {
+	if !keeps && !q.visible(e) && !b.ways.Disabled(decision.UnreportedCost) {
 		cost += blindCost
 	}
-	if q.Patience > 0 && queue+b.speed.least(q.Model, unread) > float64(q.Patience) {
+	if q.FirstByteBudget > 0 && queue+b.speed.least(q.Model, unread) > float64(q.FirstByteBudget) {
 		return 0, false
 	}
 	cost += wait - readingSaved(q, unread)*max(1-load/easyLoad, 0)
 	if b.affinity == decision.NoAffinity {
 		return cost, true
 	}
-	return cost + affinityCost*hashScore(e.ID, subject(q.Parts)), true
+	return cost + affinityCost*hashScore(e.ID, subject(q.Blocks)), true
 }
 
 // visible reports whether the entries that mostly send to an endpoint tell this one of
 // their work there.
-func (q Query) visible(e *fleet.Endpoint) bool { return q.AllTold || e.Zone == q.Zone }
+func (q Query) visible(e *fleet.Endpoint) bool { return q.FullMesh || e.Zone == q.Zone }
 
 // subject is the part by which the preferred endpoint is chosen: the last one that
 // other requests share.
-func subject(parts []Part) string {
+func subject(parts []Block) string {
 	return parts[max(len(parts)-2, 0)].ID
 }
 
--- a/placement/statement.go
+++ b/placement/statement.go
@@ -5,8 +5,8 @@
 	"github.com/parsleydeal/parsleydeal/fleet"
 )
 
-// Statement is what an answer says of the endpoint that gave it.
-type Statement struct {
+// Advertisement is what an answer says of the endpoint that gave it.
+type Advertisement struct {
 	// Rate is how many requests a second the endpoint takes from all entries together;
 	// it holds where HasRate says that the endpoint names one.
 	Rate    float64
@@ -20,7 +20,7 @@
 }
 
 // lasting is the part of a statement that holds until the next one.
-func (s Statement) lasting() Statement {
+func (s Advertisement) lasting() Advertisement {
 	s.ColdFor, s.PauseFor = 0, 0
 	return s
 }
@@ -28,7 +28,7 @@
 // stated is the last statement of an endpoint.
 type stated struct {
 	// Statement holds what lasts of it.
-	Statement
+	Advertisement
 	// born is the start of the endpoint that made it: the next process under the same
 	// ID has said nothing yet.
 	born int64
@@ -70,13 +70,13 @@
 	stateFor = 2 * clock.Second
 )
 
-// State takes an endpoint's statement, by the answer to a request that was sent at an
+// RecordAdvertisement takes an endpoint's statement, by the answer to a request that was sent at an
 // instant, and reports whether what lasts of it differs from the one before.
-func (b *Board) State(e *fleet.Endpoint, s Statement, sentAt, now clock.Millis) (changed bool) {
+func (b *Selector) RecordAdvertisement(e *fleet.Endpoint, s Advertisement, sentAt, now clock.Millis) (changed bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	m := b.mark(e.ID)
-	if e.Born < m.stated.born {
+	if e.Incarnation < m.stated.born {
 		return false
 	}
 	known := m.statedOf(e)
@@ -88,7 +88,7 @@
 	}
 	m.stated = known.followedBy(s, heardAt)
 	m.stated.own = true
-	changed = known.Statement != m.stated.Statement
+	changed = known.Advertisement != m.stated.Advertisement
 	m.stated.untold = known.untold || changed
 	if m.stated.untold {
 		b.signalUrgent()
@@ -98,9 +98,9 @@
 
 // followedBy returns what is known after a later statement of the same process. One that
 // leaves does not come back, and its later answers may have been made before.
-func (known stated) followedBy(s Statement, now clock.Millis) stated {
+func (known stated) followedBy(s Advertisement, now clock.Millis) stated {
 	next := known
-	next.Statement, next.at, next.rateSince, next.own, next.untold = s.lasting(), now, now, false, false
+	next.Advertisement, next.at, next.rateSince, next.own, next.untold = s.lasting(), now, now, false, false
 	next.Leaving = s.Leaving || known.Leaving
 	if s.PauseFor > 0 {
 		// The clock counts whole milliseconds, of which this one has begun already.
@@ -126,8 +126,8 @@
 
 // statedOf returns what an endpoint has said since its start.
 func (m *mark) statedOf(e *fleet.Endpoint) stated {
-	if m.stated.born != e.Born {
-		return stated{born: e.Born}
+	if m.stated.born != e.Incarnation {
+		return stated{born: e.Incarnation}
 	}
 	return m.stated
 }
@@ -138,15 +138,15 @@
 	return s.Leaving || s.leavingUntil > now
 }
 
-// Stated returns what an endpoint has said of itself since its start.
-func (b *Board) Stated(e *fleet.Endpoint) Statement {
+// Advertised returns what an endpoint has said of itself since its start.
+func (b *Selector) Advertised(e *fleet.Endpoint) Advertisement {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.mark(e.ID).statedOf(e).Statement
+	return b.mark(e.ID).statedOf(e).Advertisement
 }
 
-// Limited counts the endpoints that name a rate.
-func (b *Board) Limited() (n int) {
+// RateLimited counts the endpoints that name a rate.
+func (b *Selector) RateLimited() (n int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, m := range b.marks {
@@ -166,7 +166,7 @@
 		return true
 	}
 	share, total := q.Bounds.Shares[e.Zone], rateTotal(s.Rate)
-	if n := share.In(total, e.ID); n > 0 {
+	if n := share.Quota(total, e.ID); n > 0 {
 		return m.sentSince(max(q.Now-rateSpan, s.rateSince)) < n
 	}
 	place, others := share.without(total, e.ID)
@@ -187,37 +187,37 @@
 // the next one only after its pause.
 func (m *mark) tries(e *fleet.Endpoint, q Query) {
 	s := m.statedOf(e)
-	if s.HasRate && q.Bounds.Shares[e.Zone].In(rateTotal(s.Rate), e.ID) == 0 {
+	if s.HasRate && q.Bounds.Shares[e.Zone].Quota(rateTotal(s.Rate), e.ID) == 0 {
 		m.stated.at = q.Now
 	}
 }
 
 // tellState adds an endpoint's statement to what others are told of it: at once where it is
 // new, and in whole reports while it holds or has just ended, since a report may be lost.
-func (m *mark) tellState(t *Told, now clock.Millis, whole bool) (tells bool) {
+func (m *mark) tellState(t *EndpointReport, now clock.Millis, whole bool) (tells bool) {
 	s := m.stated
 	recent := (s.HasRate || s.Leaving) && now-s.at <= stateFor || s.rateEnded > 0 && now-s.rateEnded <= stateFor
 	if !s.own || !s.untold && !(whole && recent) {
 		return false
 	}
-	t.Statement, t.StatementAge, t.Born = s.Statement, max(now-s.at, 1), s.born
+	t.Advertisement, t.AdvertisementAge, t.Incarnation = s.Advertisement, max(now-s.at, 1), s.born
 	m.stated.untold = false
 	return true
 }
 
 // hearState takes another entry's word on an endpoint's statement, if it is newer than what
 // is known.
-func (m *mark) hearState(t Told, now clock.Millis) {
-	at := now - t.StatementAge
-	if t.StatementAge <= 0 || t.Born < m.stated.born || t.Born == m.stated.born && at <= m.stated.at {
+func (m *mark) hearState(t EndpointReport, now clock.Millis) {
+	at := now - t.AdvertisementAge
+	if t.AdvertisementAge <= 0 || t.Incarnation < m.stated.born || t.Incarnation == m.stated.born && at <= m.stated.at {
 		return
 	}
 	known := m.stated
-	if known.born != t.Born {
-		known = stated{born: t.Born}
+	if known.born != t.Incarnation {
+		known = stated{born: t.Incarnation}
 	}
-	m.stated = known.followedBy(Statement{Rate: t.Statement.Rate, HasRate: t.Statement.HasRate}, at)
-	if t.Statement.Leaving {
+	m.stated = known.followedBy(Advertisement{Rate: t.Advertisement.Rate, HasRate: t.Advertisement.HasRate}, at)
+	if t.Advertisement.Leaving {
 		m.stated.leavingUntil = now + toldLeavingFor
 	}
 }
--- a/placement/told_test.go
+++ b/placement/told_test.go
@@ -15,7 +15,7 @@
 // only what they sent themselves read a subject's part again at endpoint after
 // endpoint and queue behind one another, and callers wait. Telling one another of it
 // saves a third of the reading at least, and the late answers with it.
-func TestEntriesThatTellOneAnotherReadLess(t *testing.T) {
+func TestReportsReducePrefill(t *testing.T) {
 	is := is.New(t)
 	alone, told := playSubjects(false), playSubjects(true)
 	t.Logf("alone: %d tokens of shared parts read again, %d late; told: %d, %d", alone.again, alone.late, told.again, told.late)
@@ -25,7 +25,7 @@
 }
 
 // waysOf chooses one way.
-func waysOf(name, way string) decision.Ways {
+func waysOf(name, way string) decision.Strategies {
 	w, err := decision.Choose(map[string]string{name: way})
 	if err != nil {
 		panic(err)
@@ -47,9 +47,9 @@
 	)
 	rnd := rand.New(rand.NewPCG(3, 4))
 	s := fleetOf(endpoints, nil)
-	var boards []*Board
+	var boards []*Selector
 	for range entries {
-		boards = append(boards, NewBoard())
+		boards = append(boards, NewSelector())
 	}
 	free, kept := make(map[string]clock.Millis), make(map[string]bool)
 	var ends []readEnd
@@ -63,9 +63,9 @@
 		}
 		out.asked++
 		subject := fmt.Sprint("subject", rnd.IntN(subjects))
-		q := Query{Service: "s", Version: "v1", Zone: "a", Model: "m", Now: now, Parts: []Part{{subject, shared}, {fmt.Sprint("own", now), own}}}
+		q := Query{Service: "s", Version: "v1", Zone: "a", Model: "m", Now: now, Blocks: []Block{{subject, shared}, {fmt.Sprint("own", now), own}}}
 		b := boards[rnd.IntN(entries)]
-		e, _ := b.Pick(s, q)
+		e, _ := b.Select(s, q)
 		w := b.Begin(e, q)
 		tokens := own
 		if !kept[e.ID+subject] {
@@ -95,18 +95,18 @@
 			left = append(left, e)
 			continue
 		}
-		e.work.Read(now)
+		e.work.FirstByte(now)
 		e.work.End()
 	}
 	return left
 }
 
-func tellAll(boards []*Board, now clock.Millis) {
+func tellAll(boards []*Selector, now clock.Millis) {
 	for i, b := range boards {
-		told := b.Tell(now, true)
+		told := b.Report(now, true)
 		for j, other := range boards {
 			if i != j {
-				other.Hear(fmt.Sprint("entry", i), told, true, now)
+				other.Receive(fmt.Sprint("entry", i), told, true, now)
 			}
 		}
 	}
@@ -114,17 +114,17 @@
 
 // An entry told of a long prompt that it sent, and then ends. What it had waiting must
 // not keep others from the endpoint for good.
-func TestWorkOfSilentEntriesIsForgotten(t *testing.T) {
+func TestReportedWorkOfStoppedEntriesExpires(t *testing.T) {
 	is := is.New(t)
 	s := fleetOf(2, nil)
-	b := NewBoard()
-	other := NewBoard()
-	other.Begin(s.Find("e0"), Query{Model: "m", Parts: []Part{{"long", 100000}}})
-	b.Hear("other", other.Tell(0, true), true, 0)
-	q := Query{Service: "s", Version: "v1", Zone: "a", Model: "m", Parts: []Part{{"x", 300}}, Now: 10}
-	e, _ := b.Pick(s, q)
+	b := NewSelector()
+	other := NewSelector()
+	other.Begin(s.Find("e0"), Query{Model: "m", Blocks: []Block{{"long", 100000}}})
+	b.Receive("other", other.Report(0, true), true, 0)
+	q := Query{Service: "s", Version: "v1", Zone: "a", Model: "m", Blocks: []Block{{"x", 300}}, Now: 10}
+	e, _ := b.Select(s, q)
 	is.Equal(e.ID, "e1")
-	b.Keep(s, toldFor+1)
+	b.Prune(s, toldFor+1)
 	is.Equal(len(b.peers), 0)
 	pending, _ := b.told(b.mark("e0").hash, toldFor+1)
 	is.Equal(pending, 0.0)
@@ -132,39 +132,39 @@
 
 // A whole report gives shared parts once, and what waits again and again: the latter
 // heals a lost report. A request's own part is of use to nobody else.
-func TestTellRepeatsWhatWaits(t *testing.T) {
+func TestFullReportsRepeatPendingWork(t *testing.T) {
 	is := is.New(t)
 	s := fleetOf(1, nil)
-	b := NewBoard()
-	w := b.Begin(s.Find("e0"), Query{Model: "m", Parts: []Part{{"long", 1000}, {"own", 100}}})
-	first, second := b.Tell(0, true), b.Tell(0, true)
-	is.Equal(len(first[0].Parts), 1)
-	is.Equal(len(second[0].Parts), 0)
+	b := NewSelector()
+	w := b.Begin(s.Find("e0"), Query{Model: "m", Blocks: []Block{{"long", 1000}, {"own", 100}}})
+	first, second := b.Report(0, true), b.Report(0, true)
+	is.Equal(len(first[0].Blocks), 1)
+	is.Equal(len(second[0].Blocks), 0)
 	is.Equal(second[0].Unanswered, 1)
 	w.End()
-	is.Equal(len(b.Tell(0, true)), 0)
+	is.Equal(len(b.Report(0, true)), 0)
 }
 
 // A long prompt is sent between two whole reports. Others hear of that endpoint alone, and
 // what they heard of others holds.
-func TestPartialReportsAddToWhatWasTold(t *testing.T) {
+func TestPartialReportsAddToFullReports(t *testing.T) {
 	is := is.New(t)
 	s := fleetOf(2, nil)
-	teller, hearer := NewBoard(), NewBoard()
-	q := Query{Model: "m", Parts: []Part{{"long", 10000}}}
+	teller, hearer := NewSelector(), NewSelector()
+	q := Query{Model: "m", Blocks: []Block{{"long", 10000}}}
 	teller.Begin(s.Find("e0"), q)
-	hearer.Hear("teller", teller.Tell(0, true), true, 0)
+	hearer.Receive("teller", teller.Report(0, true), true, 0)
 	w := teller.Begin(s.Find("e1"), q)
-	partial := teller.Tell(10, false)
+	partial := teller.Report(10, false)
 	is.Equal(len(partial), 1)
-	hearer.Hear("teller", partial, false, 10)
+	hearer.Receive("teller", partial, false, 10)
 	for _, id := range []string{"e0", "e1"} {
 		pending, _ := hearer.told(hearer.mark(id).hash, 10)
 		is.True(pending > 0)
 	}
-	is.Equal(len(teller.Tell(20, false)), 0) // nothing has changed
+	is.Equal(len(teller.Report(20, false)), 0) // nothing has changed
 	w.End()
-	hearer.Hear("teller", teller.Tell(30, false), false, 30)
+	hearer.Receive("teller", teller.Report(30, false), false, 30)
 	pending, _ := hearer.told(hearer.mark("e1").hash, 30)
 	is.Equal(pending, 0.0)
 }
--- a/placement/zones_test.go
+++ b/placement/zones_test.go
@@ -17,7 +17,7 @@
 // nothing, prompts queued behind long ones while other endpoints were idle, and callers
 // waited several times as long as the reading takes. Sent where their work is told of,
 // long prompts at once, nine in ten are read within twice that time.
-func TestEntriesOfLargeSitesSendWhereTheyAreTold(t *testing.T) {
+func TestEntriesPreferEndpointsWithReportedWork(t *testing.T) {
 	is := is.New(t)
 	p := newZonePlay(6, 11, 12)
 	p.play(12 * clock.Second)
@@ -32,7 +32,7 @@
 	rnd     *rand.Rand
 	fleet   *fleet.Snapshot
 	zones   int
-	entries []*Board
+	entries []*Selector
 	toldAt  []clock.Millis
 	free    map[string]clock.Millis
 	events  eventQueue
@@ -45,7 +45,7 @@
 	p := &zonePlay{rnd: rand.New(rand.NewPCG(5, 6)), zones: zones, free: make(map[string]clock.Millis)}
 	p.fleet = fleetOf(zones*endpoints, func(i int, e *fleet.Endpoint) { e.Zone = fmt.Sprint("z", i%zones) })
 	for range zones * entries {
-		p.entries = append(p.entries, NewBoard())
+		p.entries = append(p.entries, NewSelector())
 	}
 	p.toldAt = make([]clock.Millis, len(p.entries))
 	return p
@@ -92,10 +92,10 @@
 			continue
 		}
 		p.toldAt[i] = now
-		told := b.Tell(now, true)
+		told := b.Report(now, true)
 		for j := i % p.zones; j < len(p.entries); j += p.zones {
 			if j != i {
-				p.entries[j].Hear(fmt.Sprint("entry", i), told, true, now)
+				p.entries[j].Receive(fmt.Sprint("entry", i), told, true, now)
 			}
 		}
 	}
@@ -107,8 +107,8 @@
 	if p.rnd.IntN(5) == 0 {
 		tokens, reads = 10000, largeReads
 	}
-	q := Query{Service: "s", Version: "v1", Zone: zone, Model: "m", Bytes: tokens, Now: now, Parts: []Part{{fmt.Sprint("own", p.asked), tokens}}}
-	e, _ := b.Pick(p.fleet, q)
+	q := Query{Service: "s", Version: "v1", Zone: zone, Model: "m", Bytes: tokens, Now: now, Blocks: []Block{{fmt.Sprint("own", p.asked), tokens}}}
+	e, _ := b.Select(p.fleet, q)
 	w := b.Begin(e, q)
 	p.asked++
 	if e.Zone == zone {
@@ -119,8 +119,8 @@
 	}
 	p.free[e.ID] = max(p.free[e.ID], now) + reads
 	heap.Push(&p.events, event{p.free[e.ID], func(now clock.Millis) {
-		w.Read(now)
-		b.Heard(e.ID, now)
+		w.FirstByte(now)
+		b.RecordActivity(e.ID, now)
 		w.End()
 	}})
 }
--- a/relay/admit.go
+++ b/relay/admit.go
@@ -46,7 +46,7 @@
 	x.setDeadline()
 	x.session = sessionOf(x.req)
 	x.service = x.route.Service(x.session)
-	s.budget(x.service, x.view.Entries()).Earn(x.startedAt)
+	s.budget(x.service, x.view.Entries()).RecordRequest(x.startedAt)
 	return nil
 }
 
@@ -63,7 +63,7 @@
 // entries no other entry could serve it.
 func (x *exchange) awaitStart() {
 	s := x.server
-	if x.view.Started() || s.cfg.Strategies.Of(decision.Early) != decision.Hold {
+	if x.view.Started() || s.cfg.Strategies.For(decision.EarlyRequests) != decision.Hold {
 		return
 	}
 	hold := s.startedAt + maxStartWait - x.startedAt
--- a/relay/admit_test.go
+++ b/relay/admit_test.go
@@ -38,7 +38,7 @@
 			c := clock.Boot()
 			startedAt := c.Now()
 			started := make(chan struct{})
-			route := &catalog.Route{Name: "r", Host: "h", Prefix: "/", Public: true, Kind: catalog.Idempotent, Timeout: 2000, Aim: 500, MaxAttempts: 2, Targets: []catalog.Target{{Service: "app", Weight: 1}}}
+			route := &catalog.Route{Name: "r", Host: "h", Prefix: "/", Public: true, Kind: catalog.Idempotent, Timeout: 2000, LatencyTarget: 500, MaxAttempts: 2, Targets: []catalog.Target{{Service: "app", Weight: 1}}}
 			before, after := site.NewState(site.Self{Name: "e"}, 0).View(), viewOf(route, []fleet.Change{slotsOf("i-1", e.Address())})
 			server := serverOn(c, nil)
 			server.cfg.Started = started
@@ -68,7 +68,7 @@
 			if x.status != http.StatusOK {
 				is.True(w.Header().Get("Retry-After") != "")
 				is.True(took <= x.callerTimeout/2+200)
-				is.Equal(e.Seen(), 0)
+				is.Equal(e.Received(), 0)
 			}
 		})
 	}
--- a/relay/attempt.go
+++ b/relay/attempt.go
@@ -54,7 +54,7 @@
 		x.firstAttemptAt = now
 	}
 	work := s.board.Begin(a.endpoint, x.query(a.plan))
-	a.expectedFirstByte = work.Expected()
+	a.expectedFirstByte = work.ExpectedFirstByte()
 	defer work.End()
 	defer s.counts.beginRequest(x.service, a.endpoint.Version)()
 	defer s.sessions.begin(x.session, x.service, a.endpoint.Version, s.cfg.Clock.Now)()
@@ -71,10 +71,10 @@
 	}
 	defer answer.Close()
 	a.timeToFirstByte = max(s.cfg.Clock.Now()-a.startedAt, 1)
-	x.connectTook += answer.Connected()
-	work.Read(s.cfg.Clock.Now())
+	x.connectTook += answer.ConnectTime()
+	work.FirstByte(s.cfg.Clock.Now())
 	s.latency.addError(x.route, a.plan.model(), a.timeToFirstByte-a.expectedFirstByte)
-	s.board.Heard(a.endpoint.ID, s.cfg.Clock.Now())
+	s.board.RecordActivity(a.endpoint.ID, s.cfg.Clock.Now())
 	h := s.cfg.Dialect.Head(answer.Status, answer.Header)
 	a.status, a.confidence = h.Status, h.Confidence
 	a.recordHead(h)
@@ -85,7 +85,7 @@
 func (a *attempt) countLimited() {
 	s := a.exchange.server
 	switch {
-	case !s.board.Stated(a.endpoint).HasRate:
+	case !s.board.Advertised(a.endpoint).HasRate:
 	case a.exchange.sends == 0:
 		s.limitedFirst.Inc()
 	default:
@@ -105,11 +105,11 @@
 	}
 	c := x.server.cfg.Dialect.Call(x.req, o, x.req.body)
 	c.HasBody = x.req.hasBody
-	c.Wait = a.firstByteWait
-	if c.Fresh && x.server.cfg.Strategies.Of(decision.Connection) == decision.Watched {
-		c.Settle = settleDuration
+	c.FirstByteTimeout = a.firstByteWait
+	if c.NewConnection && x.server.cfg.Strategies.For(decision.Connection) == decision.Watched {
+		c.SettleTime = settleDuration
 	}
-	c.MostIdle = x.server.maxIdle(x.view, x.service)
+	c.MaxIdle = x.server.maxIdle(x.view, x.service)
 	return c
 }
 
@@ -143,18 +143,18 @@
 func (a *attempt) firstByteWait(waited clock.Millis) clock.Millis {
 	x := a.exchange
 	remaining := x.remaining()
-	strategy := x.server.cfg.Strategies.Of(decision.Patience)
-	if !x.mayRepeatAfter(1) || strategy == decision.Endless {
+	strategy := x.server.cfg.Strategies.For(decision.FirstByteTimeout)
+	if !x.mayRepeatAfter(1) || strategy == decision.CallerTimeout {
 		return remaining
 	}
 	timeout := x.server.latency.typicalTimeout(x.route, a.plan.model())
 	if strategy == decision.ByError {
 		timeout = x.server.latency.timeoutFor(x.route, a.plan.model(), a.expectedFirstByte)
 	}
-	if x.server.board.HeardSince(a.endpoint.ID, a.startedAt) {
+	if x.server.board.ActiveSince(a.endpoint.ID, a.startedAt) {
 		timeout = clock.Millis(busyTimeoutFactor * float64(timeout))
 	}
-	if waited >= timeout && !x.server.cfg.Strategies.Off(decision.StayIfBusy) && !a.otherEndpointHasRoom() {
+	if waited >= timeout && !x.server.cfg.Strategies.Disabled(decision.StayIfBusy) && !a.otherEndpointHasRoom() {
 		return min(recheckInterval, remaining)
 	}
 	return min(timeout-waited, remaining)
@@ -169,7 +169,7 @@
 // might have arrived a moment later.
 func (a *attempt) otherEndpointHasRoom() bool {
 	x := a.exchange
-	return x.server.board.Room(x.view.Fleet(), x.retryQuery(a.plan))
+	return x.server.board.HasCapacity(x.view.Fleet(), x.retryQuery(a.plan))
 }
 
 // recordHead records what the head of an answer reports about the endpoint.
@@ -178,8 +178,8 @@
 	now := s.cfg.Clock.Now()
 	a.outstanding = h.Outstanding
 	if h.HasLoad && !h.WrongEndpoint {
-		s.board.Load(a.endpoint.ID, h.Outstanding, h.Slots, now)
-		s.board.Waiting(a.endpoint.ID, h.QueueLength, now)
+		s.board.RecordLoad(a.endpoint.ID, h.Outstanding, h.Slots, now)
+		s.board.RecordQueueLength(a.endpoint.ID, h.QueueLength, now)
 	}
 	if !h.WrongEndpoint && (h.Signed || h.NotRun) {
 		a.recordAdvertisement(h, now)
@@ -192,9 +192,9 @@
 	log := func(message string, fields ...any) {
 		s.cfg.Log.Info(message, append(fields, "endpoint", e.ID, "address", e.Address, "zone", e.Zone, "request", a.exchange.req.ID, "status", h.Status)...)
 	}
-	if s.board.State(e, ad, a.startedAt, now) {
+	if s.board.RecordAdvertisement(e, ad, a.startedAt, now) {
 		s.advertisementChanges.Inc()
-		log("Endpoint's statement changed", "born", e.Born, "leaving", ad.Leaving, "has-rate", ad.HasRate, "rate", ad.Rate, "after", now-a.startedAt)
+		log("Endpoint's statement changed", "born", e.Incarnation, "leaving", ad.Leaving, "has-rate", ad.HasRate, "rate", ad.Rate, "after", now-a.startedAt)
 	}
 	if ad.PauseFor > 0 {
 		log("Endpoint asked for a pause", "pause", ad.PauseFor)
@@ -224,7 +224,7 @@
 // mayEscalate reports whether this answer may be dropped for an attempt at a larger model.
 func (a *attempt) mayEscalate() bool {
 	x := a.exchange
-	return !x.written && x.mayRepeat() && x.remaining() > minEscalationTime && x.budget().Has(x.server.cfg.Clock.Now())
+	return !x.written && x.mayRepeat() && x.remaining() > minEscalationTime && x.budget().CanRetry(x.server.cfg.Clock.Now())
 }
 
 // minEscalationTime is the least remaining time in which a larger model is of use.
@@ -237,7 +237,7 @@
 // can be repeated if the connection breaks.
 func (a *attempt) readAnswer(h Head, answer *upstream.Answer) (r result, err error) {
 	x := a.exchange
-	if err = answer.SetPatience(x.eventTimeout()); err != nil {
+	if err = answer.SetReadTimeout(x.eventTimeout()); err != nil {
 		return failed, interrupted(err)
 	}
 	body, err := io.ReadAll(io.LimitReader(answer, maxAnswerBytes))
@@ -253,7 +253,7 @@
 // attempt is made or succeeds.
 func (a *attempt) readFailure(h Head, answer *upstream.Answer) (r result, err error) {
 	x := a.exchange
-	if err = answer.SetPatience(x.eventTimeout()); err != nil {
+	if err = answer.SetReadTimeout(x.eventTimeout()); err != nil {
 		return failed, interrupted(err)
 	}
 	body, err := io.ReadAll(io.LimitReader(answer, maxAnswerBytes))
--- a/relay/pace.go
+++ b/relay/pace.go
@@ -230,7 +230,7 @@
 	defer p.mu.Unlock()
 	mean, ok := p.means[latencyKey{route: r.Name, model: model}]
 	if !ok {
-		return max(r.Aim, minFirstByteTimeout)
+		return max(r.LatencyTarget, minFirstByteTimeout)
 	}
-	return max(clock.Millis(targetRatio*float64(r.Aim)), clock.Millis(timeoutFactor*mean), minFirstByteTimeout)
+	return max(clock.Millis(targetRatio*float64(r.LatencyTarget)), clock.Millis(timeoutFactor*mean), minFirstByteTimeout)
 }
--- a/relay/plan.go
+++ b/relay/plan.go
@@ -56,8 +56,8 @@
 	if !room {
 		return false
 	}
-	answer := cascade.Answer{Confidence: confidence, Remaining: x.startedAt + x.route.Aim - q.Now}
-	return x.server.judge.ShouldEscalate(answer, cascade.LargerModel{FirstByte: expected.First, QueueWait: expected.Wait})
+	answer := cascade.Answer{Confidence: confidence, Remaining: x.startedAt + x.route.LatencyTarget - q.Now}
+	return x.server.judge.ShouldEscalate(answer, cascade.LargerModel{FirstByte: expected.FirstByte, QueueWait: expected.Wait})
 }
 
 func (p plan) escalate() plan { return plan{models: p.models[1:]} }
--- a/relay/plan_test.go
+++ b/relay/plan_test.go
@@ -35,7 +35,7 @@
 			a := smallAnswer(x.tokens)
 			if x.waiting > 0 {
 				e := a.exchange.view.Fleet().Find("i-1")
-				a.exchange.server.board.Begin(e, placement.Query{Model: "large", Parts: []placement.Part{{ID: "other", Tokens: x.waiting}}, AllTold: true, Now: 1000})
+				a.exchange.server.board.Begin(e, placement.Query{Model: "large", Blocks: []placement.Block{{ID: "other", Tokens: x.waiting}}, FullMesh: true, Now: 1000})
 			}
 			is.Equal(a.isPoor(45), x.drops)
 		})
@@ -45,13 +45,13 @@
 // smallAnswer returns an attempt at the smaller of two models whose answer has arrived.
 func smallAnswer(tokens int) *attempt {
 	c := clock.New(func() clock.Millis { return 1000 })
-	route := &catalog.Route{Name: "r", Kind: catalog.Idempotent, Timeout: 8000, Aim: 1500, MaxAttempts: 3, Models: []string{"small", "large"}, Targets: []catalog.Target{{Service: "app", Weight: 1}}}
+	route := &catalog.Route{Name: "r", Kind: catalog.Idempotent, Timeout: 8000, LatencyTarget: 1500, MaxAttempts: 3, Models: []string{"small", "large"}, Targets: []catalog.Target{{Service: "app", Weight: 1}}}
 	endpoint := &fleet.Endpoint{ID: "i-1", Service: "app", Address: "10.0.0.1:1", Version: "v1", Slots: 24}
 	view := viewOf(route, []fleet.Change{{ID: "i-1", Endpoint: endpoint}})
 	server := New(Config{Clock: c, Log: log.New(io.Discard), View: func() *site.View { return view }, Pool: upstream.NewPool(c), RetryRatio: 1, RetrySlack: 100, RetryWindow: 1000})
 	return &attempt{plan: plan{models: []string{"small", "large"}}, exchange: &exchange{
 		server: server, view: view, startedAt: 900, deadline: 8900, route: route, service: "app",
-		req: &Request{ID: "r-1", AnyModel: true, Blocks: []placement.Part{{ID: "own", Tokens: tokens}}},
+		req: &Request{ID: "r-1", AnyModel: true, Blocks: []placement.Block{{ID: "own", Tokens: tokens}}},
 	}}
 }
 
@@ -60,7 +60,7 @@
 func TestFirstByteTimeoutFollowsPredictionError(t *testing.T) {
 	is := is.New(t)
 	p := newLatencyTracker()
-	r := &catalog.Route{Name: "r", Aim: 2000}
+	r := &catalog.Route{Name: "r", LatencyTarget: 2000}
 	p.addFirstByte(r.Name, "m", 400)
 	typical := p.typicalTimeout(r, "m")
 	is.Equal(typical, clock.Millis(1600))
--- a/relay/request.go
+++ b/relay/request.go
@@ -30,7 +30,7 @@
 	// AnyModel is true if the system selects the model; otherwise Model names it.
 	AnyModel bool
 	Model    string
-	Blocks   []placement.Part
+	Blocks   []placement.Block
 	// LastEventID is the ID of the last event that the caller received. Resumes is true if the
 	// request resumes a stream.
 	LastEventID string
@@ -78,7 +78,7 @@
 	// Confidence is the model's rating of its own answer, 0 to 100; -1 if it has none.
 	Confidence int
 	// Advertisement is what the endpoint advertises about itself with the answer.
-	Advertisement placement.Statement
+	Advertisement placement.Advertisement
 	// Header holds the headers that are passed on to the caller.
 	Header http.Header
 }
--- a/relay/run.go
+++ b/relay/run.go
@@ -57,7 +57,7 @@
 			return x.giveUp(failure, x.correctRunState(err))
 		}
 		e, why := x.selectEndpoint(p)
-		if why != placement.Picked {
+		if why != placement.Selected {
 			return x.giveUp(failure, x.correctRunState(x.placementError(p, why)))
 		}
 		x.tried[e.ID] = true
@@ -83,7 +83,7 @@
 		case !x.mayRetry(r):
 			return x.giveUp(failure, x.correctRunState(err))
 		}
-		if !x.budget().Take(x.server.cfg.Clock.Now()) && r != notRun {
+		if !x.budget().TryRetry(x.server.cfg.Clock.Now()) && r != notRun {
 			return x.giveUp(failure, x.correctRunState(err))
 		}
 	}
@@ -111,7 +111,7 @@
 // is selected again only if there is nothing else: it seems to have no load, since no request got
 // an answer there.
 func (x *exchange) selectEndpoint(p plan) (e *fleet.Endpoint, why placement.Reason) {
-	e, why = x.server.board.Pick(x.view.Fleet(), x.query(p))
+	e, why = x.server.board.Select(x.view.Fleet(), x.query(p))
 	if len(x.tried) == 0 {
 		return e, why
 	}
@@ -121,7 +121,7 @@
 		}
 		q := x.retryQuery(p)
 		q.Avoid = avoid
-		e, why = x.server.board.Pick(x.view.Fleet(), q)
+		e, why = x.server.board.Select(x.view.Fleet(), q)
 	}
 	return e, why
 }
@@ -131,8 +131,8 @@
 // is nowhere else to send it.
 func (x *exchange) retryQuery(p plan) placement.Query {
 	q := x.query(p)
-	if q.Patience > 0 {
-		q.Patience = max(x.remaining(), 1)
+	if q.FirstByteBudget > 0 {
+		q.FirstByteBudget = max(x.remaining(), 1)
 	}
 	return q
 }
@@ -145,17 +145,17 @@
 	version := rule.Version(catalog.Fraction(x.session), s.sessions.version(x.session, x.service, now, x.view))
 	return placement.Query{
 		Service: x.service, Version: version, Rule: rule, Zone: s.cfg.Zone, Avoid: x.tried, Model: p.model(),
-		Parts: x.req.Blocks, Bytes: len(x.req.body), Bounds: s.bounds(x.view, x.service), AllTold: x.view.FullMesh(), Patience: x.firstByteTimeout(now), Now: now,
+		Blocks: x.req.Blocks, Bytes: len(x.req.body), Bounds: s.bounds(x.view, x.service), FullMesh: x.view.FullMesh(), FirstByteBudget: x.firstByteTimeout(now), Now: now,
 	}
 }
 
 // firstByteTimeout returns the longest predicted time to the first byte that is acceptable at an
 // endpoint; 0 for no limit, as once part of the answer was sent to the caller.
 func (x *exchange) firstByteTimeout(now clock.Millis) clock.Millis {
-	if x.written || x.route.Aim <= 0 || x.server.cfg.Strategies.Off(decision.LatePrompts) {
+	if x.written || x.route.LatencyTarget <= 0 || x.server.cfg.Strategies.Disabled(decision.LatePrompts) {
 		return 0
 	}
-	return placement.Patience(x.route.Aim, now-x.startedAt)
+	return placement.FirstByteBudget(x.route.LatencyTarget, now-x.startedAt)
 }
 
 // placementError returns the refusal of a request that no endpoint can take.
@@ -163,7 +163,7 @@
 	if why == placement.Full {
 		q := x.query(p)
 		q.Avoid = nil
-		return refusal.New(refusal.Saturated, "all endpoints are full: "+x.server.board.Census(x.view.Fleet(), q).String())
+		return refusal.New(refusal.Saturated, "all endpoints are full: "+x.server.board.CountObstacles(x.view.Fleet(), q).String())
 	}
 	return refusal.New(refusal.NoEndpoint, "no endpoint may get the request")
 }
@@ -252,19 +252,19 @@
 	switch {
 	case callerLeft:
 	case r == done || r == poor:
-		s.board.Outcome(a.endpoint.ID, false, now)
+		s.board.RecordOutcome(a.endpoint.ID, false, now)
 	case a.status == 0 && r == notRun, a.wrongEndpoint:
-		s.board.Lost(a.endpoint.ID, now)
-	case a.silent && !s.board.HeardSince(a.endpoint.ID, a.startedAt):
-		s.board.Lost(a.endpoint.ID, now)
+		s.board.RecordUnreachable(a.endpoint.ID, now)
+	case a.silent && !s.board.ActiveSince(a.endpoint.ID, a.startedAt):
+		s.board.RecordUnreachable(a.endpoint.ID, now)
 	case a.silent:
 		// The endpoint answers other requests, so it is slow but reachable; the next requests get
 		// a longer timeout.
 		s.latency.addFirstByte(x.route.Name, a.plan.model(), now-a.startedAt)
 		s.latency.addError(x.route, a.plan.model(), now-a.startedAt-a.expectedFirstByte)
-		s.board.Outcome(a.endpoint.ID, true, now)
+		s.board.RecordOutcome(a.endpoint.ID, true, now)
 	default:
-		s.board.Outcome(a.endpoint.ID, true, now)
+		s.board.RecordOutcome(a.endpoint.ID, true, now)
 	}
 	if !callerLeft && r != notRun {
 		s.recordOutcome(x, a, r)
--- a/relay/run_test.go
+++ b/relay/run_test.go
@@ -70,13 +70,13 @@
 	var now atomic.Int64
 	now.Store(1000)
 	c := clock.New(func() clock.Millis { return clock.Millis(now.Load()) })
-	route := &catalog.Route{Name: "r", Kind: kind, Timeout: 500, Aim: 100, MaxAttempts: 5, Targets: []catalog.Target{{Service: "app", Weight: 1}}}
+	route := &catalog.Route{Name: "r", Kind: kind, Timeout: 500, LatencyTarget: 100, MaxAttempts: 5, Targets: []catalog.Target{{Service: "app", Weight: 1}}}
 	var changes []fleet.Change
 	for i := range 4 {
 		name := fmt.Sprintf("i-%d", i)
-		e, err := standin.StartEndpoint(name, func(*http.Request) standin.Act {
+		e, err := standin.StartEndpoint(name, func(*http.Request) standin.Reply {
 			now.Store(1501)
-			return standin.Act{Lost: true}
+			return standin.Reply{DropAnswer: true}
 		})
 		is.NoErr(err)
 		defer e.Close()
@@ -109,19 +109,19 @@
 	t.Helper()
 	is := is.New(t)
 	c := clock.Boot()
-	slow, err := standin.StartEndpoint("i-slow", func(*http.Request) standin.Act { return standin.Act{Delay: 900 * time.Millisecond} })
+	slow, err := standin.StartEndpoint("i-slow", func(*http.Request) standin.Reply { return standin.Reply{Delay: 900 * time.Millisecond} })
 	is.NoErr(err)
 	defer slow.Close()
 	other, err := standin.StartEndpoint("i-other", nil)
 	is.NoErr(err)
 	defer other.Close()
-	route := &catalog.Route{Name: "r", Kind: catalog.Idempotent, Timeout: 3000, Aim: 500, MaxAttempts: 3, Targets: []catalog.Target{{Service: "app", Weight: 1}}}
+	route := &catalog.Route{Name: "r", Kind: catalog.Idempotent, Timeout: 3000, LatencyTarget: 500, MaxAttempts: 3, Targets: []catalog.Target{{Service: "app", Weight: 1}}}
 	view := viewOf(route, []fleet.Change{
 		slotsOf("i-slow", slow.Address()),
 		slotsOf("i-other", other.Address()),
 	})
 	server := serverOn(c, view)
-	server.board.Load("i-other", 100, 4, c.Now())
+	server.board.RecordLoad("i-other", 100, 4, c.Now())
 	w := httptest.NewRecorder()
 	x := &exchange{
 		server: server, view: view, w: w, r: httptest.NewRequest(http.MethodGet, "/x", nil), startedAt: c.Now(), deadline: c.Now() + 3000,
@@ -130,7 +130,7 @@
 	go func() {
 		time.Sleep(50 * time.Millisecond)
 		if !otherFull {
-			server.board.Load("i-other", 0, 4, c.Now()+10000) // much later, so that it replaces the earlier report
+			server.board.RecordLoad("i-other", 0, 4, c.Now()+10000) // much later, so that it replaces the earlier report
 		}
 	}()
 	is.NoErr(x.run(context.Background()))
@@ -157,26 +157,26 @@
 func TestSilentEndpointIsNotRetried(t *testing.T) {
 	is := is.New(t)
 	c := clock.Boot()
-	silent, err := standin.StartEndpoint("i-silent", func(*http.Request) standin.Act { return standin.Act{Delay: 20 * time.Second} })
+	silent, err := standin.StartEndpoint("i-silent", func(*http.Request) standin.Reply { return standin.Reply{Delay: 20 * time.Second} })
 	is.NoErr(err)
 	defer silent.Close()
-	busy, err := standin.StartEndpoint("i-busy", func(*http.Request) standin.Act { return standin.Act{Events: 2, BreakAfter: -1} })
+	busy, err := standin.StartEndpoint("i-busy", func(*http.Request) standin.Reply { return standin.Reply{Events: 2, BreakAfter: -1} })
 	is.NoErr(err)
 	defer busy.Close()
-	route := &catalog.Route{Name: "r", Kind: catalog.Streaming, Resumable: true, Timeout: 5000, Aim: 300, MaxAttempts: 3, Targets: []catalog.Target{{Service: "app", Weight: 1}}}
+	route := &catalog.Route{Name: "r", Kind: catalog.Streaming, Resumable: true, Timeout: 5000, LatencyTarget: 300, MaxAttempts: 3, Targets: []catalog.Target{{Service: "app", Weight: 1}}}
 	view := viewOf(route, []fleet.Change{
 		slotsOf("i-silent", silent.Address()),
 		slotsOf("i-busy", busy.Address()),
 	})
 	server := serverOn(c, view)
-	server.board.Waiting("i-busy", 20, c.Now()+1000) // the report stays valid for a while
+	server.board.RecordQueueLength("i-busy", 20, c.Now()+1000) // the report stays valid for a while
 	x := &exchange{
 		server: server, view: view, w: httptest.NewRecorder(), r: httptest.NewRequest(http.MethodGet, "/x", nil), startedAt: c.Now(), deadline: c.Now() + 5000,
-		req: &Request{ID: "r-1", Method: http.MethodGet, Model: "m", Blocks: []placement.Part{{ID: "own", Tokens: 900}}}, route: route, service: "app",
+		req: &Request{ID: "r-1", Method: http.MethodGet, Model: "m", Blocks: []placement.Block{{ID: "own", Tokens: 900}}}, route: route, service: "app",
 	}
 	is.NoErr(x.run(context.Background()))
 	is.Equal(x.endpoint, "i-busy")
 	is.Equal(x.sends, 2)
-	is.True(silent.Seen() == 1)
+	is.True(silent.Received() == 1)
 	is.True(c.Since(x.startedAt) < clock.Second) // it does not wait until the other endpoint is idle
 }
--- a/relay/server.go
+++ b/relay/server.go
@@ -48,13 +48,13 @@
 	ColdSlack          float64
 	SessionIdleTimeout clock.Millis
 	// Strategies holds the strategy for each kind of decision.
-	Strategies decision.Ways
+	Strategies decision.Strategies
 }
 
 // Server answers requests of callers.
 type Server struct {
 	cfg      Config
-	board    *placement.Board
+	board    *placement.Selector
 	sessions *sessions
 	counts   *versionCounts
 	meter    *meter.Meter
@@ -84,7 +84,7 @@
 	set := metrics.NewSet()
 	return &Server{
 		cfg: cfg, startedAt: cfg.Clock.Now(), meter: meter.New(set), metrics: set, advertisementChanges: set.NewCounter("parsleydeal_endpoint_statements_total"),
-		limitedFirst: set.NewCounter(`parsleydeal_limited_sends_total{attempt="first"}`), limitedFurther: set.NewCounter(`parsleydeal_limited_sends_total{attempt="further"}`), board: placement.NewBoardWith(cfg.Strategies), sessions: newSessions(cfg.SessionIdleTimeout), counts: newVersionCounts(),
+		limitedFirst: set.NewCounter(`parsleydeal_limited_sends_total{attempt="first"}`), limitedFurther: set.NewCounter(`parsleydeal_limited_sends_total{attempt="further"}`), board: placement.NewSelectorWith(cfg.Strategies), sessions: newSessions(cfg.SessionIdleTimeout), counts: newVersionCounts(),
 		snapshotRequests: make(chan string, maxSnapshotQueue), latency: newLatencyTracker(), judge: cascade.NewEscalator(cfg.Strategies), budgets: make(map[string]*limit.Share),
 	}
 }
@@ -108,7 +108,7 @@
 // periodically.
 func (s *Server) Sweep() {
 	s.sessions.sweep(s.cfg.Clock.Now())
-	s.board.Keep(s.cfg.View().Fleet(), s.cfg.Clock.Now())
+	s.board.Prune(s.cfg.View().Fleet(), s.cfg.Clock.Now())
 	s.cfg.Pool.Sweep()
 }
 
@@ -241,9 +241,9 @@
 	switch {
 	case x.route == nil:
 		return ""
-	case x.route.Aim > 0 && first > x.route.Aim:
+	case x.route.LatencyTarget > 0 && first > x.route.LatencyTarget:
 		return "first-byte"
-	case x.route.Gap > 0 && x.longestPause > x.route.Gap:
+	case x.route.TargetGap > 0 && x.longestPause > x.route.TargetGap:
 		return "pause"
 	}
 	return ""
--- a/relay/share.go
+++ b/relay/share.go
@@ -61,7 +61,7 @@
 			lastFullAt = budget.updatedAt
 		}
 		to := s.cfg.View().Neighbours()
-		r := &wire.EntryReport{Process: name, Work: workToWire(s.board.Tell(budget.updatedAt, full)), Partial: !full}
+		r := &wire.EntryReport{Process: name, Work: workToWire(s.board.Report(budget.updatedAt, full)), Partial: !full}
 		// An empty report follows the last one with work. Without it the receivers would assume
 		// that the work goes on.
 		if len(to) == 0 || len(r.GetWork()) == 0 && (!full || !hadWork) {
@@ -101,15 +101,15 @@
 	if s.receiveSnapshot(r) {
 		return
 	}
-	s.board.Hear(r.GetProcess(), workFromWire(r.GetWork()), !r.GetPartial(), s.cfg.Clock.Now())
+	s.board.Receive(r.GetProcess(), workFromWire(r.GetWork()), !r.GetPartial(), s.cfg.Clock.Now())
 }
 
-func workFromWire(work []*wire.EndpointWork) (reports []placement.Told) {
+func workFromWire(work []*wire.EndpointWork) (reports []placement.EndpointReport) {
 	for _, w := range work {
-		e := placement.Told{Endpoint: w.GetEndpoint(), Pending: float64(w.GetReadingMillis()), Unanswered: int(w.GetUnanswered()), Parts: w.GetParts(), Waiting: int(w.GetWaiting()), WordAge: clock.Millis(w.GetWordAgeMillis())}
+		e := placement.EndpointReport{Endpoint: w.GetEndpoint(), PendingMillis: float64(w.GetReadingMillis()), Unanswered: int(w.GetUnanswered()), Blocks: w.GetParts(), QueueLength: int(w.GetWaiting()), QueueLengthAge: clock.Millis(w.GetWordAgeMillis())}
 		if ad := w.GetStatement(); validAdvertisement(ad) {
-			e.Statement = placement.Statement{Rate: ad.GetRate(), HasRate: ad.Rate != nil, Leaving: ad.GetLeaving()}
-			e.StatementAge, e.Born = clock.Millis(ad.GetAgeMillis()), ad.GetBorn()
+			e.Advertisement = placement.Advertisement{Rate: ad.GetRate(), HasRate: ad.Rate != nil, Leaving: ad.GetLeaving()}
+			e.AdvertisementAge, e.Incarnation = clock.Millis(ad.GetAgeMillis()), ad.GetBorn()
 		}
 		reports = append(reports, e)
 	}
@@ -122,13 +122,13 @@
 	return ad.GetAgeMillis() > 0 && ad.GetRate() >= 0 && !math.IsInf(ad.GetRate(), 0)
 }
 
-func workToWire(reports []placement.Told) (out []*wire.EndpointWork) {
+func workToWire(reports []placement.EndpointReport) (out []*wire.EndpointWork) {
 	for _, e := range reports {
-		w := &wire.EndpointWork{Endpoint: e.Endpoint, ReadingMillis: int32(e.Pending), Unanswered: int32(e.Unanswered), Parts: e.Parts, Waiting: int32(e.Waiting), WordAgeMillis: int32(e.WordAge)}
-		if e.StatementAge > 0 {
-			w.Statement = &wire.EndpointStatement{Born: e.Born, AgeMillis: int32(e.StatementAge), Leaving: e.Statement.Leaving}
-			if e.Statement.HasRate {
-				w.Statement.Rate = &e.Statement.Rate
+		w := &wire.EndpointWork{Endpoint: e.Endpoint, ReadingMillis: int32(e.PendingMillis), Unanswered: int32(e.Unanswered), Parts: e.Blocks, Waiting: int32(e.QueueLength), WordAgeMillis: int32(e.QueueLengthAge)}
+		if e.AdvertisementAge > 0 {
+			w.Statement = &wire.EndpointStatement{Born: e.Incarnation, AgeMillis: int32(e.AdvertisementAge), Leaving: e.Advertisement.Leaving}
+			if e.Advertisement.HasRate {
+				w.Statement.Rate = &e.Advertisement.Rate
 			}
 		}
 		out = append(out, w)
--- a/relay/snapshot.go
+++ b/relay/snapshot.go
@@ -33,7 +33,7 @@
 // processed again whose blocks the neighbours know to be cached. address is where this entry
 // receives reports.
 func (s *Server) RequestSnapshot(ctx context.Context, name, address string, send func(r *wire.EntryReport, to []string) error) {
-	if s.cfg.Strategies.Of(decision.Start) != decision.Snapshot {
+	if s.cfg.Strategies.For(decision.Start) != decision.Snapshot {
 		return
 	}
 	r := &wire.EntryReport{Process: name, Address: address, AskParts: true, Partial: true}
@@ -93,7 +93,7 @@
 		return false
 	}
 	if s.awaitingSnapshot.CompareAndSwap(true, false) {
-		s.board.Adopt(workFromWire(r.GetWork()), speedsFromWire(r.GetSpeeds()), s.cfg.Clock.Now())
+		s.board.ApplySnapshot(workFromWire(r.GetWork()), speedsFromWire(r.GetSpeeds()), s.cfg.Clock.Now())
 		s.cfg.Log.Info("Snapshot of endpoints was taken over", "from", r.GetProcess(), "endpoints", len(r.GetWork()), "models", len(r.GetSpeeds()))
 	}
 	return true
@@ -101,7 +101,7 @@
 
 func speedsToWire(speeds []placement.ModelSpeed) (out []*wire.ModelSpeed) {
 	for _, s := range speeds {
-		out = append(out, &wire.ModelSpeed{Model: s.Model, TokenMillis: s.Token, Measured: int32(s.Measured), BeyondMillis: s.Beyond})
+		out = append(out, &wire.ModelSpeed{Model: s.Model, TokenMillis: s.MillisPerToken, Measured: int32(s.Samples), BeyondMillis: s.ExcessMillis})
 	}
 	return out
 }
@@ -112,7 +112,7 @@
 	for _, s := range speeds {
 		beyond := math.Abs(s.GetBeyondMillis()) < maxBeyondMillis
 		if beyond && s.GetTokenMillis() > 0 && s.GetTokenMillis() < maxTokenMillis && s.GetMeasured() > 0 {
-			out = append(out, placement.ModelSpeed{Model: s.GetModel(), Token: s.GetTokenMillis(), Measured: int(s.GetMeasured()), Beyond: s.GetBeyondMillis()})
+			out = append(out, placement.ModelSpeed{Model: s.GetModel(), MillisPerToken: s.GetTokenMillis(), Samples: int(s.GetMeasured()), ExcessMillis: s.GetBeyondMillis()})
 		}
 	}
 	return out
--- a/relay/stream.go
+++ b/relay/stream.go
@@ -35,7 +35,7 @@
 		x.writeHead(h)
 	}
 	for {
-		if err = answer.SetPatience(x.eventTimeout()); err != nil {
+		if err = answer.SetReadTimeout(x.eventTimeout()); err != nil {
 			return broken, interrupted(err)
 		}
 		e, err := events.next()
@@ -51,7 +51,7 @@
 			a.firstEventAt = a.lastEventAt
 		}
 		a.events++
-		x.server.board.Heard(a.endpoint.ID, a.lastEventAt)
+		x.server.board.RecordActivity(a.endpoint.ID, a.lastEventAt)
 		if err = x.writeEvent(e); err != nil {
 			return ended, err
 		}
@@ -63,7 +63,7 @@
 	if !x.mayRepeat() {
 		return max(x.remaining(), 1)
 	}
-	return max(min(max(eventTimeoutFactor*x.route.Gap, minEventTimeout), x.remaining()), 1)
+	return max(min(max(eventTimeoutFactor*x.route.TargetGap, minEventTimeout), x.remaining()), 1)
 }
 
 // writeHead sends the head of the answer to the caller. The length is omitted because part of the
--- a/settings/options.go
+++ b/settings/options.go
@@ -271,12 +271,12 @@
 func ways() string {
 	var several, switches []string
 	for _, d := range decision.All {
-		if slices.Contains(d.Ways, decision.Off) {
+		if slices.Contains(d.Strategies, decision.Off) {
 			switches = append(switches, string(d.Name))
 			continue
 		}
 		var names []string
-		for _, w := range d.Ways {
+		for _, w := range d.Strategies {
 			names = append(names, string(w))
 		}
 		several = append(several, string(d.Name)+" "+strings.Join(names, " or "))
--- a/site/sharer.go
+++ b/site/sharer.go
@@ -79,7 +79,7 @@
 // limit.
 func (s *State) shareOf(all []sharer, zone string, inUse map[string]bool) placement.Share {
 	isLocal := func(peerZone string) bool { return peerZone == zone || peerZone != "" && !inUse[peerZone] }
-	local, remote := placement.Share{Part: localFraction}, placement.Share{Part: 1 - localFraction}
+	local, remote := placement.Share{Fraction: localFraction}, placement.Share{Fraction: 1 - localFraction}
 	for _, x := range all {
 		if isLocal(x.zone) || x.zone == "" {
 			addEntry(&local, x.name < s.self.Name)
@@ -91,11 +91,11 @@
 	share := remote
 	switch {
 	case local.Entries == 0:
-		share.Part = 1
+		share.Fraction = 1
 	case isLocal(s.self.Zone):
 		share = local
 		if remote.Entries == 0 {
-			share.Part = 1
+			share.Fraction = 1
 		}
 	}
 	if s.leaving {
--- a/site/state.go
+++ b/site/state.go
@@ -241,7 +241,7 @@
 	if !e.Full {
 		return effects
 	}
-	for _, zone := range s.fleet.Zones() {
+	for _, zone := range s.fleet.ZonesOut() {
 		if !listed[zone] && s.fleet.SetZone(zone, false, s.now) {
 			effects = append(effects, LogLine{Message: "Zone changed", Fields: []any{"zone", zone, "out", false}})
 		}
--- a/site/state_test.go
+++ b/site/state_test.go
@@ -135,7 +135,7 @@
 			}
 			switch key {
 			case "born":
-				e.Born = n
+				e.Incarnation = n
 			case "sequence":
 				e.Sequence = n
 			case "cold-until":
@@ -303,7 +303,7 @@
 				Reduce(s, ReportReceived{Now: 2, Report: &wire.EntryReport{Process: other, Name: other, Zone: zones[other], Address: other}})
 			}
 			Reduce(s, EndpointsRead{Now: 3, Full: true, Changes: []fleet.Change{{ID: "i", Endpoint: &fleet.Endpoint{ID: "i", Zone: "x"}}}})
-			sum += s.View().Shares()["x"].In(total, "i")
+			sum += s.View().Shares()["x"].Quota(total, "i")
 		}
 		if sum > int(total) {
 			t.Fatalf("the shares sum to %d, the limit is %g", sum, total)
