--- a/bill/event.go
+++ b/bill/event.go
@@ -46,7 +46,7 @@
 // Placed brings the members anew.
 type Placed struct {
 	Now   clock.Millis
-	Place *batch.Place
+	Place *batch.Assignment
 }
 
 // Tick tells the time.
--- a/bill/ledger.go
+++ b/bill/ledger.go
@@ -63,7 +63,7 @@
 type Ledger struct {
 	zone  string
 	bound int
-	place *batch.Place
+	place *batch.Assignment
 	// reserved counts places of requests under way.
 	reserved int
 	// entries holds bills by request, own ones at most bound less reserved, and
@@ -207,7 +207,7 @@
 	zones, not := l.avoid(x)
 	choose := l.place.Holder
 	if len(x.asked) > 0 {
-		choose = l.place.Spare
+		choose = l.place.FallbackHolder
 	}
 	m, ok := choose(x.bill.GetRequest(), zones, not)
 	if !ok {
--- a/bill/ledger_test.go
+++ b/bill/ledger_test.go
@@ -56,13 +56,13 @@
 }
 
 // placeOf reads lines "vm zone".
-func placeOf(input string) *batch.Place {
+func placeOf(input string) *batch.Assignment {
 	var members []batch.Member
 	for line := range strings.Lines(input) {
 		f := strings.Fields(line)
 		members = append(members, batch.Member{ID: f[0], Zone: f[1], Entry: true})
 	}
-	return batch.NewPlace(batch.Member{ID: "self", Zone: "zone-a"}, members)
+	return batch.NewAssignment(batch.Member{ID: "self", Zone: "zone-a"}, members)
 }
 
 func effectsOf(effects []Effect) string {
--- a/claim/book.go
+++ b/claim/book.go
@@ -38,7 +38,7 @@
 // other process start's.
 func NewBook(store provider.Log, stream, prefix string, c clock.Clock) *Book {
 	b := &Book{store: store, stream: stream, waiters: make(map[string]chan int64)}
-	b.writer = batch.NewWriter(store, stream, prefix, batch.ClaimRate/Streams, c, b.done)
+	b.writer = batch.NewWriter(store, stream, prefix, batch.ClaimAppendsPerSecond/Streams, c, b.done)
 	return b
 }
 
--- a/endpoint/attempt.go
+++ b/endpoint/attempt.go
@@ -27,7 +27,7 @@
 	// version is set while the attempt counts as busy with it.
 	version string
 	// kept takes the pieces of a run that goes on without its entry.
-	kept *answer.Kept
+	kept *answer.Retained
 	// remembered is true once the memory of attempts holds this one.
 	remembered bool
 	// cut is true once the entry's connection is lost.
--- a/endpoint/endpoint.go
+++ b/endpoint/endpoint.go
@@ -33,8 +33,8 @@
 	engine  *engine.Engine
 	plain   *http.Client
 	gate    *gate.Gate
-	memory  *answer.Memory
-	keeping *answer.Keeping
+	memory  *answer.AttemptTracker
+	keeping *answer.Store
 	// status is what the engine last said of itself; nil before it spoke.
 	status atomic.Pointer[engine.Load]
 	// busy counts the attempts held by version.
@@ -62,8 +62,8 @@
 		engine:  engine.New(n.Settings().Endpoint.Engine, client),
 		plain:   client,
 		gate:    gate.New(gate.Limits{Cold: 1, Full: 1}),
-		memory:  answer.NewMemory(rememberedAttempts),
-		keeping: answer.NewKeeping(answer.KeepLimits{Answers: keptAnswers, Bytes: keptBytes, One: keptBytesOfOne, For: keptFor}),
+		memory:  answer.NewAttemptTracker(rememberedAttempts),
+		keeping: answer.NewStore(answer.StoreLimits{MaxAnswers: keptAnswers, MaxBytes: keptBytes, MaxAnswerBytes: keptBytesOfOne, Retention: keptFor}),
 	}
 	e.aborted, e.abort = context.WithCancel(context.Background())
 	e.orphan = n.Billing().Orphan
--- a/endpoint/kept.go
+++ b/endpoint/kept.go
@@ -14,7 +14,7 @@
 func (e *Endpoint) Refuse(_ context.Context, in *wire.RefuseRequest) (out *wire.RefuseReply, err error) {
 	epoch := e.load().GetEpoch()
 	out = &wire.RefuseReply{Run: wire.RunState_RUN_UNKNOWN, Epoch: epoch}
-	run, running := e.memory.Bar(
+	run, running := e.memory.Revoke(
 		answer.Attempt{Request: in.GetRequest(), Number: in.GetAttempt()},
 		answer.Claim{Stream: in.GetClaimStream(), Offset: in.GetClaim()},
 	)
@@ -39,7 +39,7 @@
 	defer e.heartbeats.start(b)()
 	kept, ok := e.keeping.Find(owner)
 	if ok {
-		if err = kept.From(stream.Context(), in.GetAfter(), b.piece); err == nil || stream.Context().Err() != nil {
+		if err = kept.Replay(stream.Context(), in.GetAfter(), b.piece); err == nil || stream.Context().Err() != nil {
 			return err
 		}
 	}
--- a/node/billing.go
+++ b/node/billing.go
@@ -101,12 +101,12 @@
 func (b *Billing) place() {
 	p := b.n.place()
 	b.n.placed.Store(p)
-	b.writer.Share(p.Rate())
+	b.writer.SetRate(p.AppendRate())
 	b.post(bill.Placed{Now: b.n.cfg.Clock.Now(), Place: p})
 }
 
 // place builds the picture of who appends and who holds.
-func (n *Node) place() *batch.Place {
+func (n *Node) place() *batch.Assignment {
 	s := n.cfg.Settings
 	self := batch.Member{ID: s.VM, Zone: s.Zone, Region: s.Region}
 	members := n.View().Members()
@@ -119,7 +119,7 @@
 		}
 		live = append(live, batch.Member{ID: vm.ID, Zone: vm.Zone, Region: vm.Region, Address: vm.Address, Entry: vm.Role == provider.EntryRole})
 	}
-	return batch.NewPlace(self, live)
+	return batch.NewAssignment(self, live)
 }
 
 // Reserve takes a place for a request's bill before its dispatch. The refusal
--- a/node/claim.go
+++ b/node/claim.go
@@ -62,7 +62,7 @@
 }
 
 // lastPlace returns the picture of who appends as of the last round of billing.
-func (n *Node) lastPlace() *batch.Place {
+func (n *Node) lastPlace() *batch.Assignment {
 	if p := n.placed.Load(); p != nil {
 		return p
 	}
--- a/node/node.go
+++ b/node/node.go
@@ -73,7 +73,7 @@
 	metrics *metrics.Set
 	reports atomic.Pointer[ReportFunc]
 	billing *Billing
-	placed  atomic.Pointer[batch.Place]
+	placed  atomic.Pointer[batch.Assignment]
 	claims  claims
 }
 
