--- a/engine/cache.go
+++ b/engine/cache.go
@@ -7,30 +7,30 @@
 	"net/url"
 )
 
-// ErrCache marks a cache that could not be exported or imported.
+// ErrCache means that a KV cache could not be exported or imported.
 var ErrCache = Errors.NewType("cache")
 
-// Export returns the KV cache that the engine has of a session on a version, in
-// the engine's own form. The caller closes it.
+// Export returns the engine's KV cache of a session on a version, in the engine's own format.
+// The caller must close the body.
 func (e *Engine) Export(ctx context.Context, session, version string) (body io.ReadCloser, err error) {
-	resp, err := e.cache(ctx, http.MethodGet, session, version, nil)
+	resp, err := e.requestCache(ctx, http.MethodGet, session, version, nil)
 	if err != nil {
 		return nil, err
 	}
 	return resp.Body, nil
 }
 
-// Import gives the engine a session's KV cache. An engine takes it only when the
-// body ends in order.
+// Import sends a session's KV cache to the engine. An engine accepts it only if the body ends
+// without an error.
 func (e *Engine) Import(ctx context.Context, session, version string, body io.Reader) (err error) {
-	resp, err := e.cache(ctx, http.MethodPut, session, version, body)
+	resp, err := e.requestCache(ctx, http.MethodPut, session, version, body)
 	if err != nil {
 		return err
 	}
 	return resp.Body.Close()
 }
 
-func (e *Engine) cache(ctx context.Context, method, session, version string, body io.Reader) (resp *http.Response, err error) {
+func (e *Engine) requestCache(ctx context.Context, method, session, version string, body io.Reader) (resp *http.Response, err error) {
 	defer func() {
 		if err != nil {
 			err = ErrCache.Wrap(err, "%s cache", method)
--- a/engine/chunk.go
+++ b/engine/chunk.go
@@ -8,18 +8,18 @@
 	"io"
 )
 
-// Chunk is one part of an engine's stream.
+// Chunk is one event of an engine's stream.
 type Chunk struct {
 	Text string
-	// Raw is the delta as the engine wrote it, when it holds more than text.
+	// Raw is the delta as the engine sent it, set only if it has more than text and role.
 	Raw []byte
-	// FinishReason is empty before the end.
+	// FinishReason is empty until the engine sends one.
 	FinishReason string
-	// Usage is nil before the end.
+	// Usage is nil until the engine sends it.
 	Usage *Usage
 }
 
-// Usage counts the tokens of an answer.
+// Usage counts the tokens of a request and its answer.
 type Usage struct {
 	PromptTokens     int64 `json:"prompt_tokens"`
 	CompletionTokens int64 `json:"completion_tokens"`
@@ -38,9 +38,8 @@
 	FinishReason string          `json:"finish_reason"`
 }
 
-// reset empties a chunk for the next one and keeps its memory. The decoder leaves
-// what the next chunk does not name as it is: a text or a finish reason would show
-// again.
+// reset clears a chunk for the next one and reuses its memory. The JSON decoder leaves fields that
+// the next chunk lacks unchanged, so an old text or finish reason would appear again.
 func (r *rawChunk) reset() {
 	for i := range r.Choices {
 		r.Choices[i] = rawChoice{Delta: r.Choices[i].Delta[:0]}
@@ -48,6 +47,7 @@
 	r.Usage = nil
 }
 
+// readStream passes each chunk of an event stream to emit, until the end mark.
 func readStream(r io.Reader, emit func(Chunk) error) (err error) {
 	sc := bufio.NewScanner(r)
 	sc.Buffer(make([]byte, 0, 4096), maxLineBytes)
@@ -86,12 +86,12 @@
 	}
 	choice := r.Choices[0]
 	c.FinishReason = choice.FinishReason
-	err = c.delta(choice.Delta)
+	err = c.parseDelta(choice.Delta)
 	return c, err
 }
 
-// delta reads a delta. Most hold a text alone, which is read without a map.
-func (c *Chunk) delta(raw json.RawMessage) (err error) {
+// parseDelta decodes a delta. Most have only content, which is decoded without a map.
+func (c *Chunk) parseDelta(raw json.RawMessage) (err error) {
 	if len(raw) == 0 {
 		return nil
 	}
@@ -109,14 +109,14 @@
 			return err
 		}
 	}
-	if opaque(fields) {
+	if hasOtherFields(fields) {
 		c.Raw = bytes.Clone(raw)
 	}
 	return nil
 }
 
-// opaque reports whether a delta holds more than text and the constant role.
-func opaque(fields map[string]json.RawMessage) bool {
+// hasOtherFields reports whether a delta has more than content and the role, which never changes.
+func hasOtherFields(fields map[string]json.RawMessage) bool {
 	for name, value := range fields {
 		if name != "content" && name != "role" && string(value) != "null" {
 			return true
--- a/engine/chunk_test.go
+++ b/engine/chunk_test.go
@@ -8,8 +8,8 @@
 	"github.com/cockroachdb/datadriven"
 )
 
-// Each script is an engine's stream as it comes over HTTP, and what the gate
-// makes of it. A chunk may take nothing over from the chunk before.
+// Each script is an engine's event stream as received over HTTP, followed by the decoded chunks. No
+// field of a chunk may reappear in the next one, as the decoder reuses memory.
 func TestChunks(t *testing.T) {
 	datadriven.RunTest(t, "testdata/chunks", func(_ *testing.T, d *datadriven.TestData) string {
 		var out strings.Builder
--- a/engine/engine.go
+++ b/engine/engine.go
@@ -1,5 +1,5 @@
-// Package engine is the client of a model engine that speaks chat completions
-// over HTTP, on the endpoint's own VM.
+// Package engine is a client for a model engine that serves chat completions over HTTP on the
+// endpoint's own VM.
 package engine
 
 import (
@@ -21,17 +21,16 @@
 
 // Kinds of errors.
 var (
-	// ErrNotStarted marks an engine that took no connection, so that the request
-	// provably did not run.
+	// ErrNotStarted means that the engine accepted no connection, so the request did not run.
 	ErrNotStarted = Errors.NewType("not-started")
-	// ErrBusy marks a request that the engine refused to start for now.
+	// ErrBusy means that the engine temporarily refused to start the request.
 	ErrBusy = Errors.NewType("busy")
-	// ErrRejected marks a request that the engine refused for its content.
+	// ErrRejected means that the engine refused the request because of its content.
 	ErrRejected = Errors.NewType("rejected")
-	// ErrBroken marks a stream that ended before its end, or an answer that leaves
-	// open whether the request ran.
+	// ErrBroken means that a stream was truncated or malformed, or that a response leaves open
+	// whether the request ran.
 	ErrBroken = Errors.NewType("broken")
-	// ErrFenced marks an order that carried an old fencing number.
+	// ErrFenced means that an order had an outdated fencing number.
 	ErrFenced = Errors.NewType("fenced")
 )
 
@@ -40,35 +39,36 @@
 	maxErrorBytes = 2 << 10
 )
 
-// Engine is one engine.
+// Engine is a client for one engine.
 type Engine struct {
 	base   string
 	client *http.Client
 }
 
-// New makes a client of the engine at a base URL.
+// New returns a client for the engine at a base URL.
 func New(base string, client *http.Client) *Engine {
 	return &Engine{base: base, client: client}
 }
 
-// ChatRequest is one request as the engine gets it.
+// ChatRequest is a request as sent to the engine.
 type ChatRequest struct {
 	RequestID string
 	Body      []byte
 	Priority  int32
-	// Session names the session whose KV cache the engine may use; empty outside
-	// a pool whose engines move caches.
+	// Session is the session whose KV cache the engine may use. It is empty unless the engines of
+	// the pool transfer caches.
 	Session string
-	// ResumeAfter and ResumeText ask the engine to go on after an answer's first
-	// tokens; only engines that resume get them.
+	// ResumeAfter and ResumeText are the number and text of an answer's first tokens, after which
+	// the engine resumes. Set them only for engines that can resume; an empty ResumeText means a
+	// request from the start.
 	ResumeAfter int32
 	ResumeText  string
 }
 
-// Chat runs a request and hands each chunk to emit in order. It returns nil
-// only when the engine said that the stream is whole.
-func (e *Engine) Chat(ctx context.Context, o ChatRequest, emit func(Chunk) error) (err error) {
-	body, err := o.body()
+// Chat runs a request and passes each chunk to emit in order. It returns nil only if the engine
+// sent the end mark of the stream. An error of emit is returned as it is.
+func (e *Engine) Chat(ctx context.Context, r ChatRequest, emit func(Chunk) error) (err error) {
+	body, err := r.body()
 	if err != nil {
 		return ErrRejected.Wrap(err, "make request")
 	}
@@ -77,10 +77,10 @@
 		return ErrRejected.Wrap(err, "make request")
 	}
 	req.Header.Set("Content-Type", "application/json")
-	req.Header.Set("X-Request-Id", o.RequestID)
-	req.Header.Set("X-Priority", strconv.Itoa(int(o.Priority)))
-	if o.Session != "" {
-		req.Header.Set("X-Session", o.Session)
+	req.Header.Set("X-Request-Id", r.RequestID)
+	req.Header.Set("X-Priority", strconv.Itoa(int(r.Priority)))
+	if r.Session != "" {
+		req.Header.Set("X-Session", r.Session)
 	}
 	resp, err := e.client.Do(req)
 	if err != nil {
@@ -93,26 +93,26 @@
 	return readStream(resp.Body, emit)
 }
 
-// body adds what a resumed request must follow.
-func (o ChatRequest) body() (body []byte, err error) {
-	if o.ResumeText == "" {
-		return o.Body, nil
+// body returns the request body, with the text to resume after if there is one.
+func (r ChatRequest) body() (body []byte, err error) {
+	if r.ResumeText == "" {
+		return r.Body, nil
 	}
 	var fields map[string]json.RawMessage
-	if err = json.Unmarshal(o.Body, &fields); err != nil {
+	if err = json.Unmarshal(r.Body, &fields); err != nil {
 		return nil, err
 	}
-	text, err := json.Marshal(o.ResumeText)
+	text, err := json.Marshal(r.ResumeText)
 	if err != nil {
 		return nil, err
 	}
 	fields["resume_text"] = text
-	fields["resume_after"] = strconv.AppendInt(nil, int64(o.ResumeAfter), 10)
+	fields["resume_after"] = strconv.AppendInt(nil, int64(r.ResumeAfter), 10)
 	return json.Marshal(fields)
 }
 
-// sendError names a failed exchange. Only a failed dial proves that the engine
-// got nothing.
+// sendError classifies a failed exchange. Only a failed dial proves that the engine did not receive
+// the request.
 func sendError(err error) error {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
@@ -121,8 +121,8 @@
 	return ErrBroken.Wrap(err, "send request")
 }
 
-// statusError names an answer without a stream. The engine's own refusals prove
-// that the request did not run; a fault inside it does not.
+// statusError classifies a response without a stream. Status 503 and any 4xx prove that the request
+// did not run; other server errors do not.
 func statusError(resp *http.Response) error {
 	text, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorBytes))
 	switch {
@@ -134,17 +134,17 @@
 	return ErrBroken.New("engine answered status %d", resp.StatusCode)
 }
 
-// Load is what an engine reports of itself.
+// Load is the state that an engine reports.
 type Load struct {
 	Running    int    `json:"running"`
 	Queued     int    `json:"queued"`
 	Generation uint64 `json:"generation"`
-	// Versions are those that the engine has loaded; nil when it does not tell.
+	// Versions are the loaded versions, or nil if the engine does not report them.
 	Versions []string `json:"versions"`
 	Role     string   `json:"role"`
 }
 
-// Load asks the engine for its load.
+// Load queries the engine's load.
 func (e *Engine) Load(ctx context.Context) (l Load, err error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, e.base+"/load", nil)
 	if err != nil {
--- a/engine/order.go
+++ b/engine/order.go
@@ -7,16 +7,17 @@
 	"net/http"
 )
 
-// Command is an order to an engine to change what it has loaded or its role.
+// Command is an order to an engine to load or unload a version or to change its role.
 type Command struct {
 	Kind    string `json:"kind"`
 	Version string `json:"version,omitempty"`
 	Role    string `json:"role,omitempty"`
-	// Fence is the fencing number; engines that check it refuse older ones.
+	// Fence is the fencing number. Engines that check it refuse lower numbers than the highest one
+	// they have seen.
 	Fence int64 `json:"fence"`
 }
 
-// SendOrder gives the engine an order. ErrFenced, ErrRejected and ErrNotStarted prove
+// SendOrder sends an order to the engine. ErrFenced, ErrRejected, ErrBusy and ErrNotStarted prove
 // that it had no effect; any other error leaves that open.
 func (e *Engine) SendOrder(ctx context.Context, c Command) (err error) {
 	body, err := json.Marshal(c)
@@ -28,8 +29,7 @@
 		return ErrRejected.Wrap(err, "make order")
 	}
 	req.Header.Set("Content-Type", "application/json")
-	// The order is given once: without GetBody, net/http does not send it again on
-	// another connection.
+	// Without GetBody, net/http does not send the order a second time on another connection.
 	req.GetBody = nil
 	resp, err := e.client.Do(req)
 	if err != nil {
