--- a/answer/copy_test.go
+++ b/answer/copy_test.go
@@ -7,13 +7,12 @@
 	"github.com/parsleydeal/parsleydeal/peer/wire"
 )
 
-// An endpoint reuses its buffers for the next answer. What is kept of this one
-// must not change with them, nor hold on to them: its memory grew by several KB
-// for each kept answer.
+// An endpoint reuses its buffers for the next answer. A retained answer must neither change with
+// them nor reference them, which would cost several KB of memory per answer.
 func TestRetainedPiecesAreCopied(t *testing.T) {
 	is := is.New(t)
-	k := NewStore(StoreLimits{MaxAnswers: 1, MaxBytes: 1 << 20, MaxAnswerBytes: 1 << 20})
-	a := k.Start(Owner{Request: "r", Organisation: "desk"})
+	s := NewStore(StoreLimits{MaxAnswers: 1, MaxBytes: 1 << 20, MaxAnswerBytes: 1 << 20})
+	a := s.Start(Owner{Request: "r", Organisation: "desk"})
 	data, usage := []byte("one"), &wire.Usage{OutputTokens: 1}
 	p := &wire.Piece{Request: "r", Attempt: 1, Data: data}
 	a.Add(p)
--- a/answer/keeping.go
+++ b/answer/keeping.go
@@ -8,18 +8,18 @@
 	"github.com/parsleydeal/parsleydeal/peer/wire"
 )
 
-// StoreLimits bound what is kept.
+// StoreLimits bounds the retained answers.
 type StoreLimits struct {
-	// MaxAnswers and Bytes bound all answers together, One the bytes of a single
-	// one. Beyond them the oldest finished answer falls out first.
+	// MaxAnswers and MaxBytes bound all answers together; beyond them the oldest finished answer is
+	// evicted first. An answer of more than MaxAnswerBytes is dropped.
 	MaxAnswers     int
 	MaxBytes       int
 	MaxAnswerBytes int
-	// Retention is how long a finished answer is kept.
+	// Retention is how long a finished answer is retained, in milliseconds.
 	Retention clock.Millis
 }
 
-// Owner says whose answer it is and under which key it can be asked for again.
+// Owner identifies the request and organisation of an answer and the key to find it by.
 type Owner struct {
 	Request      string
 	Organisation string
@@ -32,173 +32,172 @@
 	key          string
 }
 
-// Store keeps answers while they are made and for a time after, so that a
-// caller whose entry vanished gets the whole answer on its retry.
+// Store retains answers while they are produced and for some time afterwards, so that a caller whose
+// entry failed gets the complete answer on its retry. It is safe for concurrent use.
 type Store struct {
 	mu     sync.Mutex
 	limits StoreLimits
-	// byRequest and byKey hold the same answers; order lists them by start and
-	// has at most limits.Answers.
+	// byRequest and byKey index the answers of order, which is sorted by start and has at most
+	// limits.MaxAnswers.
 	byRequest map[string]*Retained
 	byKey     map[ownerKey]*Retained
 	order     []*Retained
 	bytes     int
 }
 
-// Retained is one answer being kept.
+// Retained is one answer of a Store. It is safe for concurrent use.
 type Retained struct {
-	keeping *Store
-	owner   Owner
-	pieces  pack
-	bytes   int
-	// ended is when the last piece came; it counts once done is true.
-	ended clock.Millis
-	done  bool
-	// lost is true once the answer is not kept any more.
-	lost bool
-	// grown is closed and replaced when a piece is added or the answer ends.
-	grown chan struct{}
-}
-
-// NewStore makes an empty keeping.
+	store  *Store
+	owner  Owner
+	pieces packedPieces
+	bytes  int
+	// endedAt is when the answer ended; it is valid once done is true.
+	endedAt clock.Millis
+	done    bool
+	// evicted is true once the answer is no longer retained.
+	evicted bool
+	// changed is closed and replaced when a piece is added or the answer ends or is dropped.
+	changed chan struct{}
+}
+
+// NewStore returns an empty store.
 func NewStore(l StoreLimits) *Store {
 	return &Store{limits: l, byRequest: make(map[string]*Retained), byKey: make(map[ownerKey]*Retained)}
 }
 
-// Start begins to keep an answer.
-func (k *Store) Start(o Owner) *Retained {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	a := &Retained{keeping: k, owner: o, grown: make(chan struct{})}
-	k.byRequest[o.Request] = a
+// Start adds an answer that has no pieces yet. It may evict older ones.
+func (s *Store) Start(o Owner) *Retained {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	a := &Retained{store: s, owner: o, changed: make(chan struct{})}
+	s.byRequest[o.Request] = a
 	if o.Key != "" {
-		k.byKey[ownerKey{o.Organisation, o.Key}] = a
+		s.byKey[ownerKey{o.Organisation, o.Key}] = a
 	}
-	k.order = append(k.order, a)
-	k.trim()
+	s.order = append(s.order, a)
+	s.trim()
 	return a
 }
 
-// Find returns the answer of a request, or of an organisation's key. An answer
-// is found only by the organisation it belongs to.
-func (k *Store) Find(o Owner) (a *Retained, ok bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	a, ok = k.byRequest[o.Request]
+// Find returns the answer of a request, or else of an organisation's key. Answers of other
+// organisations are not found.
+func (s *Store) Find(o Owner) (a *Retained, ok bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	a, ok = s.byRequest[o.Request]
 	if !ok && o.Key != "" {
-		a, ok = k.byKey[ownerKey{o.Organisation, o.Key}]
+		a, ok = s.byKey[ownerKey{o.Organisation, o.Key}]
 	}
-	if !ok || a.lost || a.owner.Organisation != o.Organisation {
+	if !ok || a.evicted || a.owner.Organisation != o.Organisation {
 		return nil, false
 	}
 	return a, true
 }
 
-// Expire drops answers that have been kept long enough.
-func (k *Store) Expire(now clock.Millis) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	for i := 0; i < len(k.order); {
-		a := k.order[i]
-		if a.done && now-a.ended > k.limits.Retention {
-			k.drop(i)
+// Expire drops finished answers that are older than the retention.
+func (s *Store) Expire(now clock.Millis) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for i := 0; i < len(s.order); {
+		a := s.order[i]
+		if a.done && now-a.endedAt > s.limits.Retention {
+			s.drop(i)
 			continue
 		}
 		i++
 	}
 }
 
-// Size returns how many answers are kept and their bytes.
-func (k *Store) Size() (answers, bytes int) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return len(k.order), k.bytes
+// Size returns the number of retained answers and their approximate bytes.
+func (s *Store) Size() (answers, bytes int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return len(s.order), s.bytes
 }
 
-// trim drops the oldest finished answers, and unfinished ones only when there is
-// no other, until the bounds hold.
-func (k *Store) trim() {
-	for len(k.order) > k.limits.MaxAnswers || k.bytes > k.limits.MaxBytes {
+// trim drops the oldest finished answers until the limits hold, and the oldest unfinished one if no
+// answer is finished.
+func (s *Store) trim() {
+	for len(s.order) > s.limits.MaxAnswers || s.bytes > s.limits.MaxBytes {
 		oldest := 0
-		for i, a := range k.order {
+		for i, a := range s.order {
 			if a.done {
 				oldest = i
 				break
 			}
 		}
-		k.drop(oldest)
+		s.drop(oldest)
 	}
 }
 
-func (k *Store) drop(i int) {
-	a := k.order[i]
-	k.order = append(k.order[:i], k.order[i+1:]...)
-	k.bytes -= a.bytes
-	a.lost = true
-	a.pieces = pack{}
-	a.wake()
-	if k.byRequest[a.owner.Request] == a {
-		delete(k.byRequest, a.owner.Request)
+func (s *Store) drop(i int) {
+	a := s.order[i]
+	s.order = append(s.order[:i], s.order[i+1:]...)
+	s.bytes -= a.bytes
+	a.evicted = true
+	a.pieces = packedPieces{}
+	a.notify()
+	if s.byRequest[a.owner.Request] == a {
+		delete(s.byRequest, a.owner.Request)
 	}
-	name := ownerKey{a.owner.Organisation, a.owner.Key}
-	if k.byKey[name] == a {
-		delete(k.byKey, name)
+	id := ownerKey{a.owner.Organisation, a.owner.Key}
+	if s.byKey[id] == a {
+		delete(s.byKey, id)
 	}
 }
 
-// Add keeps a copy of the next piece.
+// Add appends a copy of the next piece. It does nothing once the answer is dropped.
 func (a *Retained) Add(p *wire.Piece) {
-	k := a.keeping
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if a.lost {
+	s := a.store
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if a.evicted {
 		return
 	}
 	n := a.pieces.add(p)
 	a.bytes += n
-	k.bytes += n
-	a.wake()
-	if a.bytes > k.limits.MaxAnswerBytes {
-		k.dropAnswer(a)
+	s.bytes += n
+	a.notify()
+	if a.bytes > s.limits.MaxAnswerBytes {
+		s.dropAnswer(a)
 		return
 	}
-	k.trim()
+	s.trim()
 }
 
-func (k *Store) dropAnswer(a *Retained) {
-	for i, o := range k.order {
+func (s *Store) dropAnswer(a *Retained) {
+	for i, o := range s.order {
 		if o == a {
-			k.drop(i)
+			s.drop(i)
 			return
 		}
 	}
 }
 
-// End tells that the answer has all its pieces.
+// End marks the answer as finished: it has all its pieces.
 func (a *Retained) End(now clock.Millis) {
-	k := a.keeping
-	k.mu.Lock()
-	defer k.mu.Unlock()
+	s := a.store
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	a.done = true
-	a.ended = now
-	a.wake()
+	a.endedAt = now
+	a.notify()
 }
 
-// Drop forgets an answer that will not be whole; whoever follows it hears that
-// it is not kept.
+// Drop removes an answer that will not be complete. Replay then fails with ErrNotKept.
 func (a *Retained) Drop() {
-	a.keeping.mu.Lock()
-	defer a.keeping.mu.Unlock()
-	a.keeping.dropAnswer(a)
+	a.store.mu.Lock()
+	defer a.store.mu.Unlock()
+	a.store.dropAnswer(a)
 }
 
-func (a *Retained) wake() {
-	close(a.grown)
-	a.grown = make(chan struct{})
+func (a *Retained) notify() {
+	close(a.changed)
+	a.changed = make(chan struct{})
 }
 
-// Replay hands on the pieces from a number on, waiting for those to come until the
-// answer ends. It fails when the answer falls out before its end.
+// Replay passes the pieces from a number on to emit and waits for further ones until the last piece.
+// It fails with ErrNotKept if the answer is dropped before, or ended without a last piece.
 func (a *Retained) Replay(ctx context.Context, number uint32, emit func(*wire.Piece) error) (err error) {
 	for {
 		p, grown, err := a.piece(number)
@@ -221,9 +220,9 @@
 }
 
 func (a *Retained) piece(number uint32) (p *wire.Piece, grown chan struct{}, err error) {
-	a.keeping.mu.Lock()
-	defer a.keeping.mu.Unlock()
-	if a.lost {
+	a.store.mu.Lock()
+	defer a.store.mu.Unlock()
+	if a.evicted {
 		return nil, nil, ErrNotKept.New("the answer is no longer kept")
 	}
 	if int(number) < a.pieces.size() {
@@ -232,5 +231,5 @@
 	if a.done {
 		return nil, nil, ErrNotKept.New("the answer ended at piece %d", a.pieces.size())
 	}
-	return nil, a.grown, nil
+	return nil, a.changed, nil
 }
--- a/answer/memory.go
+++ b/answer/memory.go
@@ -6,195 +6,193 @@
 	"github.com/parsleydeal/parsleydeal/refusal"
 )
 
-// Attempt names one attempt of a request.
+// Attempt identifies one attempt of a request.
 type Attempt struct {
 	Request string
 	Number  uint32
 }
 
-// Claim is where an attempt's claim stands on the log; the zero value is an
-// attempt without one.
+// Claim is the position of an attempt's claim on the log. The zero value means that the attempt has
+// no claim.
 type Claim struct {
 	Stream string
 	Offset int64
 }
 
-// fate is what is known of an attempt.
-type fate int
+// attemptState is the last recorded state of an attempt. The zero value means that it is unknown.
+type attemptState int
 
 const (
-	// waiting attempts have arrived and were not dispatched.
-	waiting fate = iota + 1
-	// dispatched attempts are under way at the engine.
+	// waiting attempts have arrived and are not dispatched yet.
+	waiting attemptState = iota + 1
+	// dispatched attempts are running at the engine.
 	dispatched
 	// ended attempts ran.
 	ended
-	// barred attempts did not run and never will (a tombstone).
-	barred
-	// reopened attempts may be repeated and gave no whole answer; they may come
-	// again.
+	// revoked attempts did not run and will never run (a tombstone).
+	revoked
+	// reopened attempts are repeatable and gave no complete answer; they may arrive again.
 	reopened
 )
 
-// AttemptTracker knows what became of the attempts that may run at most once, so that a
-// refusal which says "not run" is true: an attempt that was said not to have run
-// is barred, also when it arrives later.
+// AttemptTracker records the state of attempts that may run at most once, so that a refusal with
+// "not-run" is true: an attempt that was reported as not run is revoked, even if it arrives later.
+// It is safe for concurrent use.
 type AttemptTracker struct {
 	mu sync.Mutex
-	// bound is the most attempts remembered. Beyond it the oldest that is not
-	// under way falls out, and with it all knowledge of claims up to its own.
-	bound int
-	fates map[Attempt]fate
-	// claims holds the claim of each remembered attempt.
+	// maxAttempts bounds the tracked attempts. Beyond it the oldest one that is neither waiting nor
+	// dispatched is evicted, and with it the knowledge of all claims of its stream up to its own.
+	maxAttempts int
+	states      map[Attempt]attemptState
+	// claims has the claim of each tracked attempt.
 	claims map[Attempt]Claim
 	order  []Attempt
-	// forgotten is, by stream, the highest claim that fell out. An attempt with a
-	// claim at or below it can be neither barred nor run here. There are as many
-	// entries as streams of claims.
-	forgotten map[string]int64
-	// overflown is true once forgotten was full; then nothing is known of any
-	// attempt that is not remembered.
-	overflown bool
+	// evictedOffsets is the highest offset of an evicted claim by stream. An untracked attempt with
+	// a claim at or below it can be neither revoked nor run here. It has at most maxStreams entries.
+	evictedOffsets map[string]int64
+	// tooManyStreams is true once evictedOffsets was full; from then on the state of every
+	// untracked attempt is unknown.
+	tooManyStreams bool
 }
 
-// maxStreams bounds the streams of claims that are told apart.
+// maxStreams bounds the streams of claims in evictedOffsets.
 const maxStreams = 1024
 
-// NewAttemptTracker makes a memory of at most so many attempts.
-func NewAttemptTracker(bound int) *AttemptTracker {
-	return &AttemptTracker{bound: bound, fates: make(map[Attempt]fate), claims: make(map[Attempt]Claim), forgotten: make(map[string]int64)}
+// NewAttemptTracker returns an empty tracker. It evicts attempts beyond maxAttempts, but none that
+// are waiting or dispatched.
+func NewAttemptTracker(maxAttempts int) *AttemptTracker {
+	return &AttemptTracker{maxAttempts: maxAttempts, states: make(map[Attempt]attemptState), claims: make(map[Attempt]Claim), evictedOffsets: make(map[string]int64)}
 }
 
-// Arrive notes an attempt that came in. It returns the run state to refuse with
-// when the attempt may not go on: barred attempts did not run, known ones are
-// not run twice.
-func (m *AttemptTracker) Arrive(a Attempt, c Claim) (run refusal.Run, ok bool) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	switch m.fates[a] {
-	case barred:
+// Arrive records an incoming attempt. If ok is false the attempt must be refused with the returned
+// run state: revoked attempts did not run, and tracked ones are not run twice.
+func (t *AttemptTracker) Arrive(a Attempt, c Claim) (run refusal.Run, ok bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	switch t.states[a] {
+	case revoked:
 		return refusal.NotRun, false
 	case waiting, dispatched, ended:
 		return refusal.Ran, false
 	case reopened:
-		m.fates[a] = waiting
+		t.states[a] = waiting
 		return refusal.NotRun, true
 	}
-	if c.Stream != "" && m.lost(c) {
+	if c.Stream != "" && t.maybeEvicted(c) {
 		return refusal.Unknown, false
 	}
-	m.set(a, c, waiting)
+	t.add(a, c, waiting)
 	return refusal.NotRun, true
 }
 
-// Dispatch marks a waiting attempt as run. It reports false when the attempt
-// was barred while it waited: the two cannot both happen.
-func (m *AttemptTracker) Dispatch(a Attempt) (ok bool) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if m.fates[a] != waiting {
+// Dispatch marks a waiting attempt as running. It reports false if the attempt was revoked while
+// it waited, so that an attempt is never both revoked and run.
+func (t *AttemptTracker) Dispatch(a Attempt) (ok bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.states[a] != waiting {
 		return false
 	}
-	m.fates[a] = dispatched
+	t.states[a] = dispatched
 	return true
 }
 
-// End notes that an attempt is over. One that was not dispatched is barred: its
-// refusal has said that it did not run.
-func (m *AttemptTracker) End(a Attempt) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	switch m.fates[a] {
+// End records the end of an attempt. One that was not dispatched is revoked, as its refusal
+// reported that it did not run.
+func (t *AttemptTracker) End(a Attempt) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	switch t.states[a] {
 	case waiting:
-		m.fates[a] = barred
+		t.states[a] = revoked
 	case dispatched:
-		m.fates[a] = ended
+		t.states[a] = ended
 	}
 }
 
-// Reopen notes that an attempt which may be repeated is over without a whole
-// answer. A caller that asks again with its key makes the same attempt; were it
-// barred, that key would be refused here until the memory is full.
-func (m *AttemptTracker) Reopen(a Attempt) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	switch m.fates[a] {
+// Reopen records that a repeatable attempt ended without a complete answer. A caller that retries
+// with its key makes the same attempt; if that were revoked, the key would be refused here until
+// the attempt is evicted.
+func (t *AttemptTracker) Reopen(a Attempt) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	switch t.states[a] {
 	case waiting, dispatched:
-		m.fates[a] = reopened
+		t.states[a] = reopened
 	}
 }
 
-// Revoke refuses an attempt for ever and returns what can be said of it: not-run
-// when it did not run and never will here. Of an unknown attempt without a claim
-// nothing can be said: its bar may fall out before it arrives.
-func (m *AttemptTracker) Revoke(a Attempt, c Claim) (run refusal.Run, running bool) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	switch m.fates[a] {
+// Revoke bars an attempt from running and returns its run state: not-run if it did not run and
+// never will here. The state of an untracked attempt without a claim stays unknown, because its
+// revocation may be evicted before it arrives. Running is true while the attempt runs.
+func (t *AttemptTracker) Revoke(a Attempt, c Claim) (run refusal.Run, running bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	switch t.states[a] {
 	case dispatched:
 		return refusal.Ran, true
 	case ended:
 		return refusal.Ran, false
-	case waiting, barred, reopened:
-		m.fates[a] = barred
+	case waiting, revoked, reopened:
+		t.states[a] = revoked
 		return refusal.NotRun, false
 	}
-	if m.lost(c) {
+	if t.maybeEvicted(c) {
 		return refusal.Unknown, false
 	}
-	m.set(a, c, barred)
+	t.add(a, c, revoked)
 	if c.Stream == "" {
 		return refusal.Unknown, false
 	}
 	return refusal.NotRun, false
 }
 
-// lost reports whether an unknown attempt may be one that fell out.
-func (m *AttemptTracker) lost(c Claim) bool {
-	last, some := m.forgotten[c.Stream]
-	return m.overflown || some && c.Offset <= last
+// maybeEvicted reports whether an untracked attempt may have been evicted.
+func (t *AttemptTracker) maybeEvicted(c Claim) bool {
+	last, found := t.evictedOffsets[c.Stream]
+	return t.tooManyStreams || found && c.Offset <= last
 }
 
-func (m *AttemptTracker) set(a Attempt, c Claim, f fate) {
-	m.fates[a] = f
-	m.claims[a] = c
-	m.order = append(m.order, a)
-	if len(m.order) > m.bound {
-		m.forget()
+func (t *AttemptTracker) add(a Attempt, c Claim, f attemptState) {
+	t.states[a] = f
+	t.claims[a] = c
+	t.order = append(t.order, a)
+	if len(t.order) > t.maxAttempts {
+		t.evictOldest()
 	}
 }
 
-// forget drops the oldest attempt that is not under way.
-func (m *AttemptTracker) forget() {
-	for i, a := range m.order {
-		if f := m.fates[a]; f == waiting || f == dispatched {
+// evictOldest drops the oldest attempt that is neither waiting nor dispatched, if there is one.
+func (t *AttemptTracker) evictOldest() {
+	for i, a := range t.order {
+		if f := t.states[a]; f == waiting || f == dispatched {
 			continue
 		}
-		c := m.claims[a]
-		if last, some := m.forgotten[c.Stream]; !some || c.Offset > last {
-			m.remember(c)
+		c := t.claims[a]
+		if last, found := t.evictedOffsets[c.Stream]; !found || c.Offset > last {
+			t.recordEviction(c)
 		}
-		delete(m.fates, a)
-		delete(m.claims, a)
-		m.dropOrder(i)
+		delete(t.states, a)
+		delete(t.claims, a)
+		t.removeFromOrder(i)
 		return
 	}
 }
 
-// dropOrder drops an entry of the order; the first, which is the usual one,
-// without moving the rest.
-func (m *AttemptTracker) dropOrder(i int) {
+// removeFromOrder removes an entry of order. The first one, which is the most common case, is
+// removed without moving the rest.
+func (t *AttemptTracker) removeFromOrder(i int) {
 	if i == 0 {
-		m.order = m.order[1:]
+		t.order = t.order[1:]
 		return
 	}
-	m.order = append(m.order[:i], m.order[i+1:]...)
+	t.order = append(t.order[:i], t.order[i+1:]...)
 }
 
-func (m *AttemptTracker) remember(c Claim) {
-	if _, some := m.forgotten[c.Stream]; !some && len(m.forgotten) == maxStreams {
-		m.overflown = true
+func (t *AttemptTracker) recordEviction(c Claim) {
+	if _, found := t.evictedOffsets[c.Stream]; !found && len(t.evictedOffsets) == maxStreams {
+		t.tooManyStreams = true
 		return
 	}
-	m.forgotten[c.Stream] = c.Offset
+	t.evictedOffsets[c.Stream] = c.Offset
 }
--- a/answer/memory_test.go
+++ b/answer/memory_test.go
@@ -8,17 +8,16 @@
 	"pgregory.net/rapid"
 )
 
-// A caller is told "not run" and calls again with its key; then the first
-// attempt arrives after all, delayed on its way, and a renewal fee is charged
-// twice. Whatever comes in whatever order, with however little memory: an attempt
-// that was said not to have run never runs, and none runs twice.
+// A caller gets "not-run" and retries with its key; then the delayed first attempt arrives and a
+// renewal fee is charged twice. For any order of events and any bound of the tracker, an attempt
+// that was reported as not run never runs, and none runs twice.
 func TestAttemptReportedNotRunNeverRuns(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := NewAttemptTracker(rapid.IntRange(1, 4).Draw(t, "bound"))
+		tracker := NewAttemptTracker(rapid.IntRange(1, 4).Draw(t, "bound"))
 		const attempts = 12
-		said := make(map[Attempt]bool)
+		reportedNotRun := make(map[Attempt]bool)
 		ran := make(map[Attempt]int)
-		under := make(map[Attempt]bool)
+		admitted := make(map[Attempt]bool)
 		draw := func(t *rapid.T) (Attempt, Claim) {
 			n := rapid.IntRange(1, attempts).Draw(t, "attempt")
 			streams := []string{"claims-0", "claims-1"}
@@ -27,32 +26,32 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"arrive": func(t *rapid.T) {
 				a, c := draw(t)
-				run, ok := m.Arrive(a, c)
+				run, ok := tracker.Arrive(a, c)
 				if ok {
-					under[a] = true
+					admitted[a] = true
 				} else if run == refusal.NotRun {
-					said[a] = true
+					reportedNotRun[a] = true
 				}
 			},
 			"dispatch": func(t *rapid.T) {
 				a, _ := draw(t)
-				if under[a] && m.Dispatch(a) {
+				if admitted[a] && tracker.Dispatch(a) {
 					ran[a]++
 				}
 			},
 			"end": func(t *rapid.T) {
 				a, _ := draw(t)
-				if !under[a] {
+				if !admitted[a] {
 					t.Skip()
 				}
-				delete(under, a)
-				said[a] = said[a] || ran[a] == 0
-				m.End(a)
+				delete(admitted, a)
+				reportedNotRun[a] = reportedNotRun[a] || ran[a] == 0
+				tracker.End(a)
 			},
 			"refuse": func(t *rapid.T) {
 				a, c := draw(t)
-				if run, _ := m.Revoke(a, c); run == refusal.NotRun {
-					said[a] = true
+				if run, _ := tracker.Revoke(a, c); run == refusal.NotRun {
+					reportedNotRun[a] = true
 				}
 			},
 			"": func(t *rapid.T) {
@@ -60,8 +59,8 @@
 					if n > 1 {
 						t.Fatalf("attempt %v ran %d times", a, n)
 					}
-					if said[a] {
-						t.Fatalf("attempt %v was said not to have run, and ran", a)
+					if reportedNotRun[a] {
+						t.Fatalf("attempt %v was reported as not run, but ran", a)
 					}
 				}
 			},
@@ -69,14 +68,14 @@
 	})
 }
 
-// BenchmarkAttemptTracker measures the time and bytes that a remembered attempt takes.
+// BenchmarkAttemptTracker measures the time and memory per tracked attempt.
 func BenchmarkAttemptTracker(b *testing.B) {
-	m := NewAttemptTracker(16384)
+	tracker := NewAttemptTracker(16384)
 	b.ReportAllocs()
 	for i := range b.N {
 		a := Attempt{Request: fmt.Sprintf("request-%026d", i), Number: 1}
-		m.Arrive(a, Claim{Stream: "claims-1", Offset: int64(i)})
-		m.Dispatch(a)
-		m.End(a)
+		tracker.Arrive(a, Claim{Stream: "claims-1", Offset: int64(i)})
+		tracker.Dispatch(a)
+		tracker.End(a)
 	}
 }
--- a/answer/pack.go
+++ b/answer/pack.go
@@ -6,64 +6,64 @@
 )
 
 const (
-	// packedOverhead is what a piece of text alone takes beside its bytes.
-	packedOverhead = 5
-	// pieceOverhead is about what any other piece takes beside text and data.
-	pieceOverhead = 320
-	// answerOverhead is about what an answer takes beside its pieces.
-	answerOverhead = 600
-	// maxPackedTokens is the most tokens that a packed piece can count.
+	// packedOverheadBytes is the memory of a packed piece in addition to its text.
+	packedOverheadBytes = 5
+	// pieceOverheadBytes is the approximate memory of any other piece in addition to text and data.
+	pieceOverheadBytes = 320
+	// answerOverheadBytes is the approximate memory of an answer in addition to its pieces.
+	answerOverheadBytes = 600
+	// maxPackedTokens is the largest token count of a packed piece, as it is stored in a byte.
 	maxPackedTokens = 255
 )
 
-// pack holds the pieces of one attempt. Nearly all of them add a word of text to
-// an answer; as messages they would take 260 bytes each, and the answers that an
-// endpoint keeps would fill its memory within minutes.
-type pack struct {
+// packedPieces stores the pieces of one attempt. Nearly all of them add only a word of text; as
+// messages they would take 260 bytes each, and the retained answers of an endpoint would fill its
+// memory within minutes.
+type packedPieces struct {
 	request string
 	attempt uint32
-	// text holds the words of all packed pieces; ends and tokens are by piece
-	// number and tell where each ends and what it counts.
+	// text is the text of all packed pieces. ends and tokens have, by piece number, the end of its
+	// text and its token count.
 	text   []byte
 	ends   []uint32
 	tokens []uint8
-	// whole holds the pieces that have more than text, by number.
-	whole map[uint32]*wire.Piece
+	// unpacked has the pieces that cannot be packed, by number.
+	unpacked map[uint32]*wire.Piece
 }
 
-// add keeps a copy of the next piece and returns about how many bytes it takes.
-func (k *pack) add(p *wire.Piece) (size int) {
-	number := uint32(len(k.ends))
+// add appends a copy of the next piece and returns its approximate size in bytes.
+func (pp *packedPieces) add(p *wire.Piece) (size int) {
+	number := uint32(len(pp.ends))
 	if number == 0 {
-		k.request, k.attempt = p.GetRequest(), p.GetAttempt()
-		k.whole = make(map[uint32]*wire.Piece)
+		pp.request, pp.attempt = p.GetRequest(), p.GetAttempt()
+		pp.unpacked = make(map[uint32]*wire.Piece)
 	}
-	plain := k.plain(p, number)
+	plain := pp.packable(p, number)
 	tokens := uint8(0)
 	if plain {
-		k.text = append(k.text, p.GetText()...)
+		pp.text = append(pp.text, p.GetText()...)
 		tokens = uint8(p.GetTokens())
 	} else {
-		// A copy, since the last piece points into its attempt: kept as it is, it
-		// would keep the attempt and its stream's buffers, several KB an answer.
-		k.whole[number] = proto.Clone(p).(*wire.Piece)
+		// The last piece points into its attempt. Without a copy it would retain the attempt and
+		// the buffers of its stream, several KB per answer.
+		pp.unpacked[number] = proto.Clone(p).(*wire.Piece)
 	}
-	k.ends = append(k.ends, uint32(len(k.text)))
-	k.tokens = append(k.tokens, tokens)
-	size = len(p.GetText()) + len(p.GetData()) + pieceOverhead
+	pp.ends = append(pp.ends, uint32(len(pp.text)))
+	pp.tokens = append(pp.tokens, tokens)
+	size = len(p.GetText()) + len(p.GetData()) + pieceOverheadBytes
 	if plain {
-		size = len(p.GetText()) + packedOverhead
+		size = len(p.GetText()) + packedOverheadBytes
 	}
 	if number == 0 {
-		size += answerOverhead
+		size += answerOverheadBytes
 	}
 	return size
 }
 
-// plain reports whether a piece can be made again from its text and tokens.
-func (k *pack) plain(p *wire.Piece, number uint32) bool {
+// packable reports whether a piece can be restored from its number, text and tokens.
+func (pp *packedPieces) packable(p *wire.Piece, number uint32) bool {
 	switch {
-	case p.GetRequest() != k.request, p.GetAttempt() != k.attempt, p.GetNumber() != number:
+	case p.GetRequest() != pp.request, p.GetAttempt() != pp.attempt, p.GetNumber() != number:
 	case p.GetTokens() < 0, p.GetTokens() > maxPackedTokens:
 	case p.GetStatus() != 0, len(p.GetHeaders()) > 0, len(p.GetData()) > 0:
 	case p.GetLast(), p.GetAlive(), p.GetFinishReason() != "":
@@ -75,20 +75,20 @@
 	return false
 }
 
-// size returns how many pieces are held.
-func (k *pack) size() int { return len(k.ends) }
+// size returns the number of pieces.
+func (pp *packedPieces) size() int { return len(pp.ends) }
 
 // piece returns a piece by its number, which must be below size.
-func (k *pack) piece(number uint32) *wire.Piece {
-	if p := k.whole[number]; p != nil {
+func (pp *packedPieces) piece(number uint32) *wire.Piece {
+	if p := pp.unpacked[number]; p != nil {
 		return p
 	}
 	from := uint32(0)
 	if number > 0 {
-		from = k.ends[number-1]
+		from = pp.ends[number-1]
 	}
 	return &wire.Piece{
-		Request: k.request, Attempt: k.attempt, Number: number,
-		Text: string(k.text[from:k.ends[number]]), Tokens: int32(k.tokens[number]),
+		Request: pp.request, Attempt: pp.attempt, Number: number,
+		Text: string(pp.text[from:pp.ends[number]]), Tokens: int32(pp.tokens[number]),
 	}
 }
--- a/answer/pack_test.go
+++ b/answer/pack_test.go
@@ -9,14 +9,13 @@
 	"pgregory.net/rapid"
 )
 
-// A caller comes back for its answer and gets it from what was packed. Whatever
-// mixture of words, tool calls, statuses and a last piece it was made of, each
-// piece must come back as it was, or the caller gets another answer than the
-// first time.
+// A caller retries and gets its answer from the packed pieces. For any mix of words, tool calls,
+// statuses and last pieces, each piece must be restored unchanged, or the caller gets a different
+// answer on the retry.
 func TestPackedPiecesRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var k pack
-		var all []*wire.Piece
+		var pp packedPieces
+		var pieces []*wire.Piece
 		n := rapid.IntRange(1, 40).Draw(t, "pieces")
 		for i := range n {
 			p := &wire.Piece{Request: "r", Attempt: 3, Number: uint32(i), Text: rapid.String().Draw(t, "text"), Tokens: rapid.Int32Range(-1, 300).Draw(t, "tokens")}
@@ -30,19 +29,19 @@
 				p.Last = true
 				p.Step = &wire.Step{Attempt: 3, Cost: 7}
 			}
-			all = append(all, p)
-			k.add(proto.Clone(p).(*wire.Piece))
+			pieces = append(pieces, p)
+			pp.add(proto.Clone(p).(*wire.Piece))
 		}
-		for i, p := range all {
-			if got := k.piece(uint32(i)); !proto.Equal(got, p) {
-				t.Fatalf("piece %d is %v, was %v", i, got, p)
+		for i, p := range pieces {
+			if got := pp.piece(uint32(i)); !proto.Equal(got, p) {
+				t.Fatalf("piece %d is %v, want %v", i, got, p)
 			}
 		}
 	})
 }
 
-// A field is added to the messages and pack does not know of it. Pieces that
-// carry it must not be packed, or it would be lost from kept answers.
+// A field is added to wire.Piece and packable does not check it. Pieces that have the field must not
+// be packed, or retained answers would lose it.
 func TestPiecesWithOtherFieldsAreNotPacked(t *testing.T) {
 	packed := map[protoreflect.Name]bool{"request": true, "attempt": true, "number": true, "text": true, "tokens": true}
 	fields := (&wire.Piece{}).ProtoReflect().Descriptor().Fields()
@@ -71,7 +70,7 @@
 		default:
 			m.Set(f, protoreflect.ValueOfInt32(1))
 		}
-		if (&pack{}).plain(p, 0) {
+		if (&packedPieces{}).packable(p, 0) {
 			t.Errorf("a piece with %s is packed", f.Name())
 		}
 	}
--- a/answer/progress.go
+++ b/answer/progress.go
@@ -7,45 +7,46 @@
 	"github.com/parsleydeal/parsleydeal/refusal"
 )
 
-// RetryMode says how a request goes on after an attempt failed.
+// RetryMode is how a request continues after a failed attempt.
 type RetryMode int
 
-// The ways.
+// The retry modes.
 const (
-	// GiveUp tells the caller what happened.
+	// GiveUp refuses the request with the cause of the failure.
 	GiveUp RetryMode = iota
-	// Restart runs the request from the start; what was taken is dropped.
+	// Restart runs the request from the start and discards the pieces accepted so far.
 	Restart
-	// Resume runs the request elsewhere after the last token taken.
+	// Resume continues the request on another endpoint after the last accepted token.
 	Resume
 )
 
-// RetryRules say what a request allows.
+// RetryRules are the conditions for retrying a request.
 type RetryRules struct {
 	// Repeatable requests may run more than once.
 	Repeatable bool
-	// CanResume is true when engines of the request's version can resume.
+	// CanResume is true if the engines of the request's version can resume.
 	CanResume bool
-	// PartSent is true once the caller has been sent a part of the answer.
+	// PartSent is true once a part of the answer was sent to the caller.
 	PartSent bool
-	// BodyConsumed is true when the request's body cannot be sent again.
+	// BodyConsumed is true if the request's body cannot be sent again.
 	BodyConsumed bool
 }
 
-// Progress is what a request has taken over all its attempts.
+// Progress is the output that a request has accepted over all its attempts. The zero value is
+// ready to use. It is not safe for concurrent use.
 type Progress struct {
-	// text and tokens are what a resumed attempt must follow.
+	// text and tokens are the text and token count after which a resumed attempt continues.
 	text   strings.Builder
 	tokens int32
-	// opaque is true once a piece came that text alone cannot stand for, such as
-	// a tool call. Such an answer cannot be resumed.
+	// opaque is true once a piece was accepted that has more than text, such as a tool call. Such
+	// an answer cannot be resumed.
 	opaque bool
-	// run is the worst that any attempt is known to have done; a later attempt
-	// that did not run does not undo it.
-	run refusal.Run
+	// worstRun is the most severe run state of all attempts. A later attempt that did not run does
+	// not lower it.
+	worstRun refusal.Run
 }
 
-// Add notes a piece that was taken.
+// Add records an accepted piece. The last piece of an answer is ignored.
 func (p *Progress) Add(piece *wire.Piece) {
 	if piece.GetLast() {
 		return
@@ -55,7 +56,7 @@
 	p.opaque = p.opaque || len(piece.GetData()) > 0 || piece.GetStatus() != 0
 }
 
-// Reset drops what was taken, for an answer that starts again.
+// Reset discards the accepted output of an answer that starts again. The run state remains.
 func (p *Progress) Reset() {
 	p.text.Reset()
 	p.tokens = 0
@@ -65,19 +66,19 @@
 // Text returns the text to resume after.
 func (p *Progress) Text() string { return p.text.String() }
 
-// Tokens returns how many tokens Text holds, as far as they were counted.
+// Tokens returns the number of tokens of Text, as far as the pieces counted them.
 func (p *Progress) Tokens() int32 { return p.tokens }
 
-// HasOutput reports whether any part of the answer was taken.
+// HasOutput reports whether any part of the answer was accepted.
 func (p *Progress) HasOutput() bool { return p.opaque || p.text.Len() > 0 }
 
-// Next decides how a request goes on after a failed attempt.
+// Next records a failed attempt and returns how the request continues.
 func (p *Progress) Next(cause *refusal.Refusal, r RetryRules) RetryMode {
-	p.note(cause.Run())
+	p.recordRun(cause.Run())
 	if p.HasOutput() {
-		p.note(refusal.Ran)
+		p.recordRun(refusal.Ran)
 	}
-	if r.BodyConsumed || final(cause.Code()) {
+	if r.BodyConsumed || isFinal(cause.Code()) {
 		return GiveUp
 	}
 	if cause.Run() != refusal.NotRun && !r.Repeatable {
@@ -95,33 +96,33 @@
 	return Restart
 }
 
-// CombinedRefusal returns a refusal for the caller that holds for all attempts together:
-// the last one may not have run while an earlier one did.
+// CombinedRefusal returns the refusal for the caller, with the most severe run state of all
+// attempts: the last one may not have run although an earlier one did.
 func (p *Progress) CombinedRefusal(cause *refusal.Refusal) *refusal.Refusal {
-	if worse(p.run, cause.Run()) {
-		return cause.WithRun(p.run)
+	if moreSevere(p.worstRun, cause.Run()) {
+		return cause.WithRun(p.worstRun)
 	}
 	return cause
 }
 
-// RecordRan notes that an attempt gave a whole answer which is not the caller's: a
-// cascade's first one that was too poor. Were it not noted, a refusal after it
-// would say that the request did not run.
-func (p *Progress) RecordRan() { p.note(refusal.Ran) }
+// RecordRan records that an attempt gave a complete answer that is not sent to the caller, as the
+// first one of a cascade was rated too poor. Without the record, a later refusal would report that
+// the request did not run.
+func (p *Progress) RecordRan() { p.recordRun(refusal.Ran) }
 
-func (p *Progress) note(run refusal.Run) {
-	if p.run == "" || worse(run, p.run) {
-		p.run = run
+func (p *Progress) recordRun(run refusal.Run) {
+	if p.worstRun == "" || moreSevere(run, p.worstRun) {
+		p.worstRun = run
 	}
 }
 
-var rank = map[refusal.Run]int{refusal.NotRun: 1, refusal.Unknown: 2, refusal.Ran: 3}
+var severity = map[refusal.Run]int{refusal.NotRun: 1, refusal.Unknown: 2, refusal.Ran: 3}
 
-func worse(a, b refusal.Run) bool { return rank[a] > rank[b] }
+func moreSevere(a, b refusal.Run) bool { return severity[a] > severity[b] }
 
-// final reports causes that another endpoint would only repeat, and those where
-// nobody waits any more.
-func final(c refusal.Code) bool {
+// isFinal reports whether a retry is useless: another endpoint would refuse for the same reason, or
+// the caller no longer waits.
+func isFinal(c refusal.Code) bool {
 	switch c {
 	case refusal.Cancelled, refusal.DeadlinePassed, refusal.Malformed, refusal.TooLarge, refusal.NotAllowed,
 		refusal.AlreadyRan, refusal.AlreadyRunning, refusal.LogDown, refusal.BillingFull, refusal.Unauthorised,
--- a/answer/sequence.go
+++ b/answer/sequence.go
@@ -1,5 +1,6 @@
-// Package answer keeps answers whole: pieces in order, answers resumed after an
-// endpoint is lost, and answers kept until they are delivered.
+// Package answer ensures that answers are complete: it checks the order of pieces, decides how a
+// request continues after a failed attempt, retains answers until they are delivered and tracks
+// attempts that may run at most once.
 package answer
 
 import (
@@ -12,39 +13,38 @@
 
 // Kinds of errors.
 var (
-	// ErrGap marks an attempt of which a piece is missing.
+	// ErrGap means that a piece of an attempt is missing.
 	ErrGap = Errors.NewType("gap")
-	// ErrNotKept marks an answer that is not kept, or no longer.
+	// ErrNotKept means that an answer is not retained, or no longer.
 	ErrNotKept = Errors.NewType("not-kept")
 )
 
-// Sequence judges the pieces of one attempt as they come.
+// Sequence checks the pieces of one attempt as they arrive. It is not safe for concurrent use.
 type Sequence struct {
 	request string
 	attempt uint32
-	// next is the number of the piece that is due; all below it were taken.
+	// next is the number of the next piece; all pieces below it were accepted.
 	next   uint32
 	tokens int32
 }
 
-// NewSequence starts at piece 0 of an attempt.
+// NewSequence returns a sequence that expects piece 0 of an attempt.
 func NewSequence(request string, attempt uint32) *Sequence {
 	return &Sequence{request: request, attempt: attempt}
 }
 
-// Next returns the number of the piece that is due.
+// Next returns the number of the next piece.
 func (s *Sequence) Next() uint32 { return s.next }
 
-// Matches reports whether a piece belongs to this attempt. A piece of another
-// attempt is late or crossed: taking it would put a stranger's text into the
-// answer.
+// Matches reports whether a piece belongs to this attempt. A piece of another attempt is late or
+// misdirected and must not become part of the answer.
 func (s *Sequence) Matches(p *wire.Piece) bool {
 	return p.GetRequest() == s.request && p.GetAttempt() == s.attempt
 }
 
-// Accept judges an own piece. Ok is false for a piece that was taken before. An
-// error says that a piece is missing, also one that the last piece's totals
-// prove to be missing.
+// Accept checks a piece that matches the attempt. Ok is false for a piece that was accepted before.
+// ErrGap means that a piece or token is missing, by the piece's number or by the totals of the last
+// piece.
 func (s *Sequence) Accept(p *wire.Piece) (ok bool, err error) {
 	if p.GetNumber() < s.next {
 		return false, nil
--- a/answer/sequence_test.go
+++ b/answer/sequence_test.go
@@ -10,8 +10,8 @@
 	"github.com/parsleydeal/parsleydeal/refusal"
 )
 
-// Each line of a script is one piece as an entry receives it. The caller must get
-// its own answer whole and in order, or be told that it is not whole.
+// Each line of a script is one piece as an entry receives it. The caller must get its own answer
+// complete and in order, or an error.
 func TestSequence(t *testing.T) {
 	datadriven.RunTest(t, "testdata/sequence", func(_ *testing.T, d *datadriven.TestData) string {
 		s := NewSequence("r1", 1)
@@ -40,9 +40,10 @@
 	})
 }
 
-var wayNames = map[RetryMode]string{GiveUp: "give up", Restart: "restart", Resume: "resume"}
+var retryModeNames = map[RetryMode]string{GiveUp: "give up", Restart: "restart", Resume: "resume"}
 
-// Each script is what became of one request's attempts and how it goes on.
+// Each script lists the pieces and failures of one request's attempts, and prints how the request
+// continues after each failure.
 func TestProgress(t *testing.T) {
 	datadriven.RunTest(t, "testdata/progress", func(_ *testing.T, d *datadriven.TestData) string {
 		var out strings.Builder
@@ -58,9 +59,9 @@
 			case "fails":
 				r.PartSent = p.HasOutput() && d.HasArg("stream")
 				cause := refusal.New(refusal.Code(f[1]), "").WithRun(refusal.Run(f[2]))
-				way := p.Next(cause, r)
-				fmt.Fprintf(&out, "%s after %q, caller would hear %s\n", wayNames[way], p.Text(), p.CombinedRefusal(cause).Run())
-				if way == Restart {
+				mode := p.Next(cause, r)
+				fmt.Fprintf(&out, "%s after %q, caller would hear %s\n", retryModeNames[mode], p.Text(), p.CombinedRefusal(cause).Run())
+				if mode == Restart {
 					p.Reset()
 				}
 			}
