--- a/answer/keeping.go
+++ b/answer/keeping.go
@@ -32,8 +32,8 @@
 	key          string
 }
 
-// Store retains answers while they are produced and for some time afterwards, so that a caller whose
-// entry failed gets the complete answer on its retry. It is safe for concurrent use.
+// Store retains answers while they are produced and for some time afterwards, so that a caller
+// whose entry failed gets the complete answer on its retry. It is safe for concurrent use.
 type Store struct {
 	mu     sync.Mutex
 	limits StoreLimits
@@ -196,8 +196,8 @@
 	a.changed = make(chan struct{})
 }
 
-// Replay passes the pieces from a number on to emit and waits for further ones until the last piece.
-// It fails with ErrNotKept if the answer is dropped before, or ended without a last piece.
+// Replay passes the pieces from a number on to emit and waits for further ones until the last
+// piece. It fails with ErrNotKept if the answer is dropped before, or ended without a last piece.
 func (a *Retained) Replay(ctx context.Context, number uint32, emit func(*wire.Piece) error) (err error) {
 	for {
 		p, grown, err := a.piece(number)
