--- a/batch/batcher.go
+++ b/batch/batcher.go
@@ -9,72 +9,72 @@
 )
 
 const (
-	// maxEntries and maxBytes bound one record.
-	maxEntries = 500
-	maxBytes   = 256 << 10
-	// burst is how many appends may follow each other at once.
-	burst = 3.0
-	// firstBackoff doubles up to lastBackoff while the log fails.
-	firstBackoff = 250 * clock.Millis(1)
-	lastBackoff  = 4 * clock.Second
+	// maxRecordEntries and maxRecordBytes bound one record. A larger entry is a record of its own.
+	maxRecordEntries = 500
+	maxRecordBytes   = 256 << 10
+	// maxBurstAppends is the largest number of appends without a pause.
+	maxBurstAppends = 3.0
+	// minBackoff is the delay after the first failure of the log. It doubles up to maxBackoff.
+	minBackoff = 250 * clock.Millis(1)
+	maxBackoff = 4 * clock.Second
 )
 
 // Event is an input of a Batcher.
 type Event interface{ isEvent() }
 
-// Effect is what the shell shall do for a Batcher.
+// Effect is an action that the caller of Reduce must perform.
 type Effect interface{ isEffect() }
 
-// Add hands over entries.
+// Add queues entries.
 type Add struct {
 	Now     clock.Millis
 	Entries []Entry
 }
 
-// Drop takes back entries that no longer need the log and are not being sent.
+// Drop removes entries that need not be logged any more. Entries of the batch in flight remain.
 type Drop struct{ IDs []string }
 
-// Tick tells the time.
+// Tick reports the current time.
 type Tick struct{ Now clock.Millis }
 
-// SetRate tells the appends a second that this process may make.
+// SetRate sets the appends per second that this process may make.
 type SetRate struct {
 	Now  clock.Millis
 	Rate float64
 }
 
-// Appended tells that a record stands at an offset.
+// Appended reports that a batch is on the log at an offset.
 type Appended struct {
 	Now    clock.Millis
 	Batch  string
 	Offset int64
 }
 
-// Failed tells that an append failed. Unknown ones may stand on the log.
+// Failed reports that an append failed. If Unknown is true, the record may be on the log.
 type Failed struct {
 	Now     clock.Millis
 	Batch   string
 	Unknown bool
 }
 
-// Scanned brings a page read in search of a batch, or the log's head when no
-// search is on.
+// Scanned is the result of a Scan: a page to search for a batch, or the head of the log if there is
+// no search.
 type Scanned struct {
 	Now  clock.Millis
 	Page provider.Page
 	Err  error
 }
 
-// Append asks for a record on the log.
+// Append requests a record on the log; Appended or Failed must follow.
 type Append struct {
 	Batch   string
 	Entries []Entry
 }
 
-// Scan asks for a page of the stream from an offset on.
+// Scan requests a page of the stream from an offset on; Scanned must follow.
 type Scan struct{ From int64 }
 
-// Done tells that entries stand on the log at an offset.
+// Done reports that entries are on the log at an offset.
 type Done struct {
 	IDs    []string
 	Offset int64
@@ -92,77 +92,80 @@
 func (Scan) isEffect()   {}
 func (Done) isEffect()   {}
 
-// phase says what the batcher waits for.
+// phase is what the batcher waits for.
 type phase int
 
 const (
 	idle phase = iota
 	appending
 	scanning
-	// backingOff waits for the instant retryAt, with or without a batch.
+	// backingOff waits until retryAt, with or without a batch in flight.
 	backingOff
 )
 
-// unknownHead stands for a head that was never read.
+// unknownHead is the value of head before the first read.
 const unknownHead = -1
 
-// Batcher combines entries into records of one stream, one append at a time.
+// Batcher combines entries into records of one stream, one append at a time. It is a reducer, without
+// clock or I/O, and not safe for concurrent use.
 type Batcher struct {
-	// prefix makes batch IDs unique over processes and their restarts.
+	// prefix makes batch IDs unique across processes and their restarts.
 	prefix string
 	seq    uint64
-	// queue holds entries that are in no batch yet, oldest first. Its bound is
-	// its caller's: the ledger of bills or the open claims.
+	// queue has the entries that are in no batch yet, oldest first. The caller bounds it, by its
+	// ledger of bills or its undecided claims.
 	queue []Entry
-	// batch and sent are the one record under way; sent is empty when there is
-	// none.
-	batch string
-	sent  []Entry
-	phase phase
-	// lost is true while the batch under way may stand on the log unseen.
-	lost bool
-	// head is at most the offset that the next record of the stream got when
-	// it was last seen, so that a search from it misses no later record.
-	head    int64
-	from    int64
-	rate    float64
-	tokens  float64
-	filled  clock.Millis
-	retryAt clock.Millis
+	// batchID and inFlight are the batch being appended; inFlight is empty if there is none.
+	batchID  string
+	inFlight []Entry
+	phase    phase
+	// uncertain is true while the batch in flight may be on the log after a failed append.
+	uncertain bool
+	// head never exceeds the offset of the next record at the last read or append, so that a scan
+	// from it misses no later record.
+	head int64
+	// scanFrom is the offset at which the search for an uncertain batch continues.
+	scanFrom int64
+	// rate is in appends per second; tokens is its bucket, last refilled at refilledAt.
+	rate       float64
+	tokens     float64
+	refilledAt clock.Millis
+	retryAt    clock.Millis
+	// backoff is the current delay after failures; 0 while the log works.
 	backoff clock.Millis
 	appends int64
 }
 
-// NewBatcher makes a batcher whose batch IDs begin with a prefix that no other
-// process start uses.
+// NewBatcher returns a batcher that makes up to rate appends per second. The prefix of its batch
+// IDs must be unique to this incarnation of the process.
 func NewBatcher(prefix string, rate float64) *Batcher {
-	return &Batcher{prefix: prefix, head: unknownHead, rate: rate, tokens: burst}
+	return &Batcher{prefix: prefix, head: unknownHead, rate: rate, tokens: maxBurstAppends}
 }
 
-// Pending returns how many entries are not yet known to stand on the log.
-func (b *Batcher) Pending() int { return len(b.queue) + len(b.sent) }
+// Pending returns the number of entries that are not confirmed to be on the log.
+func (b *Batcher) Pending() int { return len(b.queue) + len(b.inFlight) }
 
-// Appends counts the appends tried.
+// Appends returns the number of attempted appends.
 func (b *Batcher) Appends() int64 { return b.appends }
 
-// Failing reports whether the log failed last.
+// Failing reports whether the last call of the log failed.
 func (b *Batcher) Failing() bool { return b.backoff > 0 }
 
-// Reduce takes one event and returns the effects in order.
+// Reduce applies one event and returns the effects in order.
 func (b *Batcher) Reduce(ev Event) (effects []Effect) {
 	switch e := ev.(type) {
 	case Add:
 		b.queue = append(b.queue, e.Entries...)
-		return b.next(e.Now)
+		return b.startNext(e.Now)
 	case Drop:
 		b.drop(e.IDs)
 		return nil
 	case Tick:
-		return b.next(e.Now)
+		return b.startNext(e.Now)
 	case SetRate:
-		b.fill(e.Now)
+		b.refill(e.Now)
 		b.rate = e.Rate
-		return b.next(e.Now)
+		return b.startNext(e.Now)
 	case Appended:
 		return b.appended(e)
 	case Failed:
@@ -174,105 +177,104 @@
 }
 
 func (b *Batcher) drop(ids []string) {
-	gone := make(map[string]bool, len(ids))
+	dropped := make(map[string]bool, len(ids))
 	for _, id := range ids {
-		gone[id] = true
+		dropped[id] = true
 	}
-	b.queue = slices.DeleteFunc(b.queue, func(x Entry) bool { return gone[x.ID] })
+	b.queue = slices.DeleteFunc(b.queue, func(x Entry) bool { return dropped[x.ID] })
 }
 
-func (b *Batcher) fill(now clock.Millis) {
-	b.tokens = min(burst, b.tokens+b.rate*float64(now-b.filled)/float64(clock.Second))
-	b.filled = now
+func (b *Batcher) refill(now clock.Millis) {
+	b.tokens = min(maxBurstAppends, b.tokens+b.rate*float64(now-b.refilledAt)/float64(clock.Second))
+	b.refilledAt = now
 }
 
-// next starts what can start now.
-func (b *Batcher) next(now clock.Millis) (effects []Effect) {
-	b.fill(now)
+// startNext starts the next scan or append if one is due.
+func (b *Batcher) startNext(now clock.Millis) (effects []Effect) {
+	b.refill(now)
 	if b.phase == backingOff && now >= b.retryAt {
 		b.phase = idle
 	}
 	if b.phase != idle || b.Pending() == 0 {
 		return nil
 	}
-	// The head is read before the first append, and a lost batch is searched
-	// from there before it is sent again. Without the search a lost answer
-	// would put every batch on the log twice.
-	if b.head == unknownHead || b.lost {
+	// The head is read before the first append. An uncertain batch is searched for from there
+	// before it is sent again; otherwise each lost reply would put a batch on the log twice.
+	if b.head == unknownHead || b.uncertain {
 		b.phase = scanning
-		return []Effect{Scan{From: b.searchFrom()}}
+		return []Effect{Scan{From: b.scanStart()}}
 	}
 	if b.tokens < 1 {
 		return nil
 	}
 	b.tokens--
 	b.appends++
-	if len(b.sent) == 0 {
-		b.cut()
+	if len(b.inFlight) == 0 {
+		b.takeBatch()
 	}
 	b.phase = appending
-	return []Effect{Append{Batch: b.batch, Entries: b.sent}}
+	return []Effect{Append{Batch: b.batchID, Entries: b.inFlight}}
 }
 
-func (b *Batcher) searchFrom() int64 {
-	if b.lost {
-		return b.from
+func (b *Batcher) scanStart() int64 {
+	if b.uncertain {
+		return b.scanFrom
 	}
 	const beyondHead = int64(1) << 62
 	return beyondHead
 }
 
-// cut takes the oldest entries as the next batch.
-func (b *Batcher) cut() {
+// takeBatch moves the oldest entries from the queue to the next batch.
+func (b *Batcher) takeBatch() {
 	n, size := 0, 0
-	for n < len(b.queue) && n < maxEntries {
+	for n < len(b.queue) && n < maxRecordEntries {
 		size += b.queue[n].size()
-		if n > 0 && size > maxBytes {
+		if n > 0 && size > maxRecordBytes {
 			break
 		}
 		n++
 	}
-	b.sent = slices.Clone(b.queue[:n])
+	b.inFlight = slices.Clone(b.queue[:n])
 	b.queue = slices.Delete(b.queue, 0, n)
 	b.seq++
-	b.batch = fmt.Sprintf("%s-%d", b.prefix, b.seq)
+	b.batchID = fmt.Sprintf("%s-%d", b.prefix, b.seq)
 }
 
 func (b *Batcher) appended(e Appended) (effects []Effect) {
-	if e.Batch != b.batch || b.phase != appending {
+	if e.Batch != b.batchID || b.phase != appending {
 		return nil
 	}
-	return b.stands(e.Now, e.Offset)
+	return b.completeBatch(e.Now, e.Offset)
 }
 
-// stands closes the batch under way, which stands at an offset.
-func (b *Batcher) stands(now clock.Millis, offset int64) (effects []Effect) {
-	ids := make([]string, len(b.sent))
-	for i, e := range b.sent {
+// completeBatch finishes the batch in flight, which is on the log at an offset.
+func (b *Batcher) completeBatch(now clock.Millis, offset int64) (effects []Effect) {
+	ids := make([]string, len(b.inFlight))
+	for i, e := range b.inFlight {
 		ids[i] = e.ID
 	}
 	b.head = max(b.head, offset+1)
-	b.sent = nil
-	b.lost = false
+	b.inFlight = nil
+	b.uncertain = false
 	b.phase = idle
 	b.backoff = 0
-	return append([]Effect{Done{IDs: ids, Offset: offset}}, b.next(now)...)
+	return append([]Effect{Done{IDs: ids, Offset: offset}}, b.startNext(now)...)
 }
 
 func (b *Batcher) failed(e Failed) (effects []Effect) {
-	if e.Batch != b.batch || b.phase != appending {
+	if e.Batch != b.batchID || b.phase != appending {
 		return nil
 	}
 	if e.Unknown {
-		b.lost = true
-		b.from = b.head
+		b.uncertain = true
+		b.scanFrom = b.head
 	}
-	b.wait(e.Now)
+	b.scheduleRetry(e.Now)
 	return nil
 }
 
-func (b *Batcher) wait(now clock.Millis) {
-	b.backoff = min(max(2*b.backoff, firstBackoff), lastBackoff)
+func (b *Batcher) scheduleRetry(now clock.Millis) {
+	b.backoff = min(max(2*b.backoff, minBackoff), maxBackoff)
 	b.retryAt = now + b.backoff
 	b.phase = backingOff
 }
@@ -282,27 +284,27 @@
 		return nil
 	}
 	if e.Err != nil {
-		b.wait(e.Now)
+		b.scheduleRetry(e.Now)
 		return nil
 	}
 	b.phase = idle
-	if !b.lost {
+	if !b.uncertain {
 		b.head = e.Page.Head
 		b.backoff = 0
-		return b.next(e.Now)
+		return b.startNext(e.Now)
 	}
 	for _, r := range e.Page.Records {
-		b.from = r.Offset + 1
-		if j, err := Decode(r.Data); err == nil && j.GetBatch() == b.batch {
-			return b.stands(e.Now, r.Offset)
+		b.scanFrom = r.Offset + 1
+		if j, err := Decode(r.Data); err == nil && j.GetBatch() == b.batchID {
+			return b.completeBatch(e.Now, r.Offset)
 		}
 	}
-	// Records that expired unread count as read: the batch is not found there,
-	// and sending it again is harmless to a reader that reduces by key.
-	b.from = max(b.from, e.Page.First)
-	if b.from >= e.Page.Head || len(e.Page.Records) == 0 {
-		b.lost = false
+	// Records that expired unread are skipped. If the batch was among them it is sent again, which
+	// is harmless because readers reduce by key.
+	b.scanFrom = max(b.scanFrom, e.Page.First)
+	if b.scanFrom >= e.Page.Head || len(e.Page.Records) == 0 {
+		b.uncertain = false
 		b.head = max(b.head, e.Page.Head)
 	}
-	return b.next(e.Now)
+	return b.startNext(e.Now)
 }
--- a/batch/place.go
+++ b/batch/place.go
@@ -8,59 +8,58 @@
 )
 
 const (
-	// entriesPerAppender is how many entries of a zone one appender serves.
+	// entriesPerAppender is the number of entries of a zone per appender.
 	entriesPerAppender = 24
-	// appenderRate and otherRate are the appends a second that all appenders
-	// and all other processes share on the stream of bills. Together with the
-	// claims they stay well under the several hundred that the log takes.
-	appenderRate = 150.0
-	otherRate    = 50.0
-	// ClaimAppendsPerSecond is what all processes share on the streams of claims.
+	// appenderAppendsPerSecond and otherAppendsPerSecond are the limits that all appenders and all
+	// other processes share on the stream of bills. Together with the claims they stay well below
+	// the several hundred appends per second that the log accepts.
+	appenderAppendsPerSecond = 150.0
+	otherAppendsPerSecond    = 50.0
+	// ClaimAppendsPerSecond is the limit that all processes share on the streams of claims.
 	ClaimAppendsPerSecond = 100.0
 )
 
-// Member is a process that may hold bills and append.
+// Member is a process that may hold copies of bills and append them.
 type Member struct {
 	ID      string
 	Zone    string
 	Region  string
 	Address string
-	// Entry is true for an entry; endpoints hold only when entries cannot.
+	// Entry is true for an entry. Endpoints hold copies only if no entry can.
 	Entry bool
 }
 
-// Assignment says who appends and who holds, from the members that one process
-// knows. Two processes with other lists may choose differently, which costs an
-// append more and nothing else.
+// Assignment decides which processes append and which hold copies, by the members that one process
+// sees. Processes with different lists may decide differently, which costs only an extra append. It
+// is immutable.
 type Assignment struct {
 	self    Member
 	members []Member
 	byID    map[string]Member
-	// appenders are those of all regions, a few in each zone.
+	// appenders are a few entries of each zone, of all regions, sorted by ID.
 	appenders []Member
 }
 
-// NewAssignment places the live members that are not leaving, self among them or
-// not.
+// NewAssignment returns the assignment for the live members that are not leaving, which may include
+// self.
 func NewAssignment(self Member, members []Member) *Assignment {
-	p := &Assignment{self: self, members: members, byID: make(map[string]Member, len(members))}
+	assignment := &Assignment{self: self, members: members, byID: make(map[string]Member, len(members))}
 	byZone := make(map[string][]Member)
 	for _, m := range members {
-		p.byID[m.ID] = m
+		assignment.byID[m.ID] = m
 		if m.Entry {
 			byZone[m.Zone] = append(byZone[m.Zone], m)
 		}
 	}
 	for zone, list := range byZone {
 		n := (len(list) + entriesPerAppender - 1) / entriesPerAppender
-		p.appenders = append(p.appenders, rank("appender/"+zone, list)[:n]...)
+		assignment.appenders = append(assignment.appenders, rank("appender/"+zone, list)[:n]...)
 	}
-	slices.SortFunc(p.appenders, func(a, b Member) int { return cmp.Compare(a.ID, b.ID) })
-	return p
+	slices.SortFunc(assignment.appenders, func(a, b Member) int { return cmp.Compare(a.ID, b.ID) })
+	return assignment
 }
 
-// rank orders members by rendezvous hashing: a member that goes moves only the
-// keys it held.
+// rank sorts members by rendezvous hashing: when a member is removed, only its own keys move.
 func rank(key string, members []Member) []Member {
 	type scored struct {
 		m Member
@@ -83,28 +82,29 @@
 	return out
 }
 
-// Holder returns the process that shall hold the other copy of a key and
-// append it: the best appender outside the zones, or else any other process.
-func (p *Assignment) Holder(key string, zones, not []string) (m Member, ok bool) {
-	if m, ok = p.pick(key, zones, not, p.appenders, p.tier); ok {
+// Holder returns the process that holds the other copy of a key and appends it: the best appender
+// outside the zones, or else any other process. Self and the processes in exclude are not selected.
+// Ok is false if there is none.
+func (a *Assignment) Holder(key string, zones, exclude []string) (m Member, ok bool) {
+	if m, ok = a.selectMember(key, zones, exclude, a.appenders, a.tier); ok {
 		return m, true
 	}
-	return p.FallbackHolder(key, zones, not)
+	return a.FallbackHolder(key, zones, exclude)
 }
 
-// FallbackHolder returns a process that can hold a copy when the appenders are full, as
-// they are early in an outage of the log: all processes of the region share
-// the load, then those of other regions.
-func (p *Assignment) FallbackHolder(key string, zones, not []string) (m Member, ok bool) {
-	return p.pick(key, zones, not, p.members, func(m Member) int { return p.tier(m) &^ 1 })
+// FallbackHolder returns a process that can hold a copy when the appenders are full, which happens
+// early in an outage of the log. The load is spread over all processes of the region, then over
+// those of other regions.
+func (a *Assignment) FallbackHolder(key string, zones, exclude []string) (m Member, ok bool) {
+	return a.selectMember(key, zones, exclude, a.members, func(m Member) int { return a.tier(m) &^ 1 })
 }
 
-// pick takes the member of the lowest tier that ranks first for the key.
-func (p *Assignment) pick(key string, zones, not []string, from []Member, tier func(Member) int) (best Member, ok bool) {
+// selectMember returns the member of the lowest tier that ranks first for the key.
+func (a *Assignment) selectMember(key string, zones, exclude []string, from []Member, tier func(Member) int) (best Member, ok bool) {
 	var lowest int
 	var first uint64
 	for _, m := range from {
-		if m.ID == p.self.ID || slices.Contains(zones, m.Zone) || slices.Contains(not, m.ID) {
+		if m.ID == a.self.ID || slices.Contains(zones, m.Zone) || slices.Contains(exclude, m.ID) {
 			continue
 		}
 		t, h := tier(m), xxhash.Sum64String(key+"/"+m.ID)
@@ -115,10 +115,9 @@
 	return best, ok
 }
 
-// tier is lower for better holders: two for another region, one for an
-// endpoint.
-func (p *Assignment) tier(m Member) (t int) {
-	if m.Region != p.self.Region {
+// tier is lower for better holders: it adds 2 for another region and 1 for an endpoint.
+func (a *Assignment) tier(m Member) (t int) {
+	if m.Region != a.self.Region {
 		t += 2
 	}
 	if !m.Entry {
@@ -127,23 +126,21 @@
 	return t
 }
 
-// AppendRate returns this process's share of the appends a second on the stream of
-// bills.
-func (p *Assignment) AppendRate() float64 {
-	if slices.ContainsFunc(p.appenders, func(m Member) bool { return m.ID == p.self.ID }) {
-		return appenderRate / float64(len(p.appenders))
+// AppendRate returns this process's share of the appends per second on the stream of bills.
+func (a *Assignment) AppendRate() float64 {
+	if slices.ContainsFunc(a.appenders, func(m Member) bool { return m.ID == a.self.ID }) {
+		return appenderAppendsPerSecond / float64(len(a.appenders))
 	}
-	return otherRate / float64(max(len(p.members), 1))
+	return otherAppendsPerSecond / float64(max(len(a.members), 1))
 }
 
-// AppenderCount returns how many processes append for all.
-func (p *Assignment) AppenderCount() int { return len(p.appenders) }
+// AppenderCount returns the number of processes that append on behalf of all.
+func (a *Assignment) AppenderCount() int { return len(a.appenders) }
 
-// Writer returns the entry that appends for a stream; ok is false when there
-// is none.
-func (p *Assignment) Writer(stream string) (m Member, ok bool) {
+// Writer returns the entry that appends to a stream. Ok is false if there are no entries.
+func (a *Assignment) Writer(stream string) (m Member, ok bool) {
 	var entries []Member
-	for _, m := range p.members {
+	for _, m := range a.members {
 		if m.Entry {
 			entries = append(entries, m)
 		}
@@ -155,7 +152,7 @@
 }
 
 // Find returns a live member by ID.
-func (p *Assignment) Find(id string) (m Member, ok bool) {
-	m, ok = p.byID[id]
+func (a *Assignment) Find(id string) (m Member, ok bool) {
+	m, ok = a.byID[id]
 	return m, ok
 }
--- a/batch/record.go
+++ b/batch/record.go
@@ -1,6 +1,6 @@
-// Package batch puts many small entries on the platform's log with few
-// appends: it chooses who appends, combines entries into records, keeps to the
-// log's limit and finds out what became of an append whose answer was lost.
+// Package batch writes many small entries to the platform's log with few appends. It decides which
+// process appends, combines entries into records, keeps to the log's rate limit and finds out
+// whether an append without a reply took effect.
 package batch
 
 import (
@@ -12,23 +12,23 @@
 // Errors is the namespace of this package's errors.
 var Errors = errorx.NewNamespace("batch")
 
-// ErrMalformed marks a record that is none of batch.
+// ErrMalformed means that a record is not a valid batch.
 var ErrMalformed = Errors.NewType("malformed")
 
-// Entry is one thing to keep on the log: a bill or a claim.
+// Entry is one item for the log: a bill or a claim.
 type Entry struct {
-	// ID names the entry towards its writer; it does not go on the log.
+	// ID identifies the entry to its writer. It is not part of the record.
 	ID    string
 	Bill  *wire.Bill
 	Claim *wire.Claim
 }
 
-// size is the entry's part of a record, in bytes.
+// size returns the bytes that the entry adds to a record.
 func (e Entry) size() int {
 	return proto.Size(e.Bill) + proto.Size(e.Claim)
 }
 
-// Encode writes entries as one record under a batch ID.
+// Encode returns entries as one record with a batch ID. An error is of type ErrMalformed.
 func Encode(batch string, entries []Entry) (data []byte, err error) {
 	r := &wire.JournalRecord{Batch: batch}
 	for _, e := range entries {
@@ -45,8 +45,8 @@
 	return data, err
 }
 
-// Decode reads a record of the log. A record without a batch ID is malformed:
-// no batch wrote it.
+// Decode parses a record of the log. An error is of type ErrMalformed, also for a record without a
+// batch ID, which no batcher wrote.
 func Decode(data []byte) (r *wire.JournalRecord, err error) {
 	r = &wire.JournalRecord{}
 	if err = proto.Unmarshal(data, r); err != nil {
--- a/batch/writer.go
+++ b/batch/writer.go
@@ -11,37 +11,37 @@
 )
 
 const (
-	tickEvery = 20 * clock.Millis(1)
-	// callTimeout bounds one call of the log; a call cut short may have taken
-	// effect.
+	tickInterval = 20 * clock.Millis(1)
+	// callTimeout bounds one call of the log. A call that timed out may have taken effect.
 	callTimeout = 5 * clock.Second
 )
 
-// Writer runs a Batcher over a stream of the platform's log.
+// Writer runs a Batcher for a stream of the platform's log. It is safe for concurrent use.
 type Writer struct {
 	store  provider.Log
 	stream string
 	clock  clock.Clock
-	// done is called without the lock for entries that stand on the log.
+	// done is called without the lock when entries are on the log.
 	done func(ids []string, offset int64)
 
-	mu sync.Mutex
-	b  *Batcher
-	// ctx is Run's once it runs; no call outlives it.
+	mu      sync.Mutex
+	batcher *Batcher
+	// ctx is the context of Run once it runs. No call of the log outlives it.
 	ctx context.Context
 }
 
-// NewWriter makes a writer; Run gives it the time.
+// NewWriter returns a writer that makes up to rate appends per second and calls done with the IDs and
+// the offset of logged entries. The prefix is that of NewBatcher. Run must be called for retries.
 func NewWriter(store provider.Log, stream, prefix string, rate float64, c clock.Clock, done func(ids []string, offset int64)) *Writer {
-	return &Writer{store: store, stream: stream, clock: c, done: done, b: NewBatcher(prefix, rate), ctx: context.Background()}
+	return &Writer{store: store, stream: stream, clock: c, done: done, batcher: NewBatcher(prefix, rate), ctx: context.Background()}
 }
 
-// Run ticks the batcher until the context ends.
+// Run drives the batcher until the context ends.
 func (w *Writer) Run(ctx context.Context) {
 	w.mu.Lock()
 	w.ctx = ctx
 	w.mu.Unlock()
-	t := time.NewTicker(tickEvery.Duration())
+	t := time.NewTicker(tickInterval.Duration())
 	defer t.Stop()
 	for {
 		select {
@@ -53,42 +53,42 @@
 	}
 }
 
-// Add hands over entries; it does not wait for them.
+// Add queues entries and returns without waiting until they are on the log.
 func (w *Writer) Add(entries ...Entry) {
 	w.post(Add{Now: w.clock.Now(), Entries: entries})
 }
 
-// Drop takes back entries that are not being sent.
+// Drop removes entries that are not in flight.
 func (w *Writer) Drop(ids []string) { w.post(Drop{IDs: ids}) }
 
-// SetRate sets the appends a second.
+// SetRate sets the appends per second.
 func (w *Writer) SetRate(rate float64) { w.post(SetRate{Now: w.clock.Now(), Rate: rate}) }
 
-// Pending returns how many entries are not yet known to stand on the log.
+// Pending returns the number of entries that are not confirmed to be on the log.
 func (w *Writer) Pending() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.b.Pending()
+	return w.batcher.Pending()
 }
 
-// Appends counts the appends tried.
+// Appends returns the number of attempted appends.
 func (w *Writer) Appends() int64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.b.Appends()
+	return w.batcher.Appends()
 }
 
-// Failing reports whether the log failed last.
+// Failing reports whether the last call of the log failed.
 func (w *Writer) Failing() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.b.Failing()
+	return w.batcher.Failing()
 }
 
 func (w *Writer) post(e Event) {
 	w.mu.Lock()
 	ctx := w.ctx
-	effects := w.b.Reduce(e)
+	effects := w.batcher.Reduce(e)
 	w.mu.Unlock()
 	for _, f := range effects {
 		w.perform(ctx, f)
@@ -128,7 +128,7 @@
 	defer cancel()
 	page, err := w.store.Read(ctx, w.stream, f.From, 0)
 	if errorx.IsOfType(err, provider.ErrExpired) {
-		// What was searched for has expired; the head alone is of use.
+		// The records to search have expired; only the head is still useful.
 		const beyondHead = int64(1) << 62
 		page, err = w.store.Read(ctx, w.stream, beyondHead, 0)
 	}
