--- a/lease/lease.go
+++ b/lease/lease.go
@@ -1,6 +1,6 @@
-// Package lease drives the engine beside an endpoint process to the versions and
-// the role that the tables give its pool. Orders go out one at a time, each under
-// a lease whose offset on the log is the order's fencing number.
+// Package lease reconciles the engine beside an endpoint process with the versions and the role
+// that the tables set for its pool. It sends one order at a time, each under a lease whose offset
+// on the log is the order's fencing number.
 package lease
 
 import (
@@ -16,255 +16,259 @@
 )
 
 const (
-	// Lifetime is how long a lease is used, counted from before it was asked for, so
-	// that it lapses here no later than anyone else may think.
+	// Lifetime is how long a lease is valid. It counts from before the request, so that the lease
+	// expires here no later than any other process assumes.
 	Lifetime = 30 * clock.Second
-	// OrderLifetime is the longest time in which an order may still have effect after
-	// its lease lapsed or its answer was lost.
+	// OrderLifetime is the longest time that an order may still take effect after its lease expired
+	// or its reply was lost.
 	OrderLifetime = 10 * clock.Second
-	// retryLeast and retryMost bound the pause after a failure; it doubles.
-	retryLeast = 500 * clock.Millis(1)
-	retryMost  = 30 * clock.Second
-	// effectTime is how long an accepted order may take until it shows.
-	effectTime = 10 * clock.Minute
-	// WeightsTimeout is how long the store may take before it is asked again.
+	// minRetryDelay and maxRetryDelay bound the delay after a failure, which doubles each time.
+	minRetryDelay = 500 * clock.Millis(1)
+	maxRetryDelay = 30 * clock.Second
+	// effectTimeout is how long an accepted order may take until the engine reports its effect.
+	effectTimeout = 10 * clock.Minute
+	// WeightsTimeout is how long a fetch of weights may take before it is repeated.
 	WeightsTimeout = 10 * clock.Minute
 )
 
-// Env is what the rest of control knows.
+// Env is the input of the reducer besides events.
 type Env struct {
 	VM    string
 	Epoch uint64
-	// Versions are those that the engine shall have, without withdrawn ones.
-	Versions  []string
+	// Versions are those that the engine must load, without withdrawn ones.
+	Versions []string
+	// Withdrawn reports whether a version is withdrawn. It must not be nil.
 	Withdrawn func(version string) bool
-	// Role is empty when the tables leave it to the engine.
+	// Role is empty if the tables do not set one.
 	Role string
-	// ChecksFencing says that the engine refuses old fencing numbers by itself.
+	// ChecksFencing is true if the engine itself refuses outdated fencing numbers.
 	ChecksFencing bool
-	// Revision is that of the tables.
+	// Revision is the revision of the tables.
 	Revision int64
 }
 
-// State reduces the orders of one engine. The zero value knows nothing.
+// State is the reducer of the orders to one engine. The zero value is ready to use. It is not safe
+// for concurrent use.
 type State struct {
 	now clock.Millis
-	// started is when this process began; begun is true once it is known.
-	started clock.Millis
-	begun   bool
-	engine  *event.EngineSeen
-	// fence is the lease's offset and until the instant at which it lapses here;
-	// asked is when the append under way was asked for, and taking its ID.
-	fence  int64
-	until  clock.Millis
-	asked  clock.Millis
-	taking string
-	// order is the one order under way, nil when there is none.
+	// startedAt is the start of this process, by the first Tick or EngineSeen; hasStart is true once
+	// it is set.
+	startedAt clock.Millis
+	hasStart  bool
+	engine    *event.EngineSeen
+	// fence is the offset of the current lease, which expires here at leaseExpiresAt.
+	fence          int64
+	leaseExpiresAt clock.Millis
+	// leaseRequestedAt is when the pending lease was requested; pendingLease is the ID of its append,
+	// or empty.
+	leaseRequestedAt clock.Millis
+	pendingLease     string
+	// order is the current order, or nil.
 	order *order
-	// quiet is the instant before which no order may be given, because an earlier
-	// one may still have effect.
-	quiet clock.Millis
-	// fetched is the version whose weights are here, fetching the one asked for.
-	fetched  string
-	fetching string
-	fetchEnd clock.Millis
-	// crowded is true after the engine refused to load beside what it has.
-	crowded bool
-	// retry is the instant before which nothing is tried again after failures.
-	retry    clock.Millis
+	// ordersBlockedUntil is the time before which no order may be sent, because an earlier one may
+	// still take effect.
+	ordersBlockedUntil clock.Millis
+	// fetchedVersion is the version whose weights were fetched last, fetchingVersion the one being
+	// fetched, and fetchDeadline when that fetch is repeated.
+	fetchedVersion  string
+	fetchingVersion string
+	fetchDeadline   clock.Millis
+	// noRoom is true after the engine refused to load a version beside those it has.
+	noRoom bool
+	// retryAt is the time of the next try after failures.
+	retryAt  clock.Millis
 	failures int
-	number   uint64
+	lastID   uint64
 }
 
 type order struct {
 	event.GiveOrder
-	// taken is true once the engine has accepted the order, whose effect has not
-	// shown yet.
-	taken bool
-	end   clock.Millis
+	// accepted is true once the engine has accepted the order but not reported its effect.
+	accepted bool
+	deadline clock.Millis
 }
 
-// Reduce takes one event and returns the next steps towards the tables.
-func (s *State) Reduce(e event.Event, k Env) (effects []event.Effect) {
-	s.take(e, k)
-	if s.engine == nil || s.engine.Versions == nil || !s.begun || s.engine.Revision < k.Revision {
+// Reduce applies one event and returns the next effects. It returns none until the engine has
+// reported its versions at the current revision of the tables.
+func (s *State) Reduce(e event.Event, env Env) (effects []event.Effect) {
+	s.apply(e, env)
+	if s.engine == nil || s.engine.Versions == nil || !s.hasStart || s.engine.Revision < env.Revision {
 		return nil
 	}
-	return s.step(k)
+	return s.nextStep(env)
 }
 
-func (s *State) take(e event.Event, k Env) {
+func (s *State) apply(e event.Event, env Env) {
 	switch e := e.(type) {
 	case event.Tick:
 		s.tick(e.Now)
 	case event.EngineSeen:
 		s.tick(e.Now)
-		s.see(e)
+		s.updateEngine(e)
 	case event.AppendDone:
-		s.leased(e)
+		s.leaseAppended(e)
 	case event.WeightsDone:
-		s.weights(e, k)
+		s.weightsFetched(e, env)
 	case event.OrderDone:
-		s.ordered(e, k)
+		s.orderFinished(e, env)
 	}
 }
 
 func (s *State) tick(now clock.Millis) {
 	s.now = max(s.now, now)
-	if !s.begun {
-		s.begun = true
-		s.started = now
+	if !s.hasStart {
+		s.hasStart = true
+		s.startedAt = now
 	}
 }
 
-// see takes in the engine's state. A new generation has lost what was loaded
-// and the weights at hand.
-func (s *State) see(e event.EngineSeen) {
+// updateEngine records the engine's reported state. A new generation of the engine has lost the
+// loaded versions and the fetched weights.
+func (s *State) updateEngine(e event.EngineSeen) {
 	if s.engine != nil && s.engine.Generation != e.Generation {
-		s.fetched = ""
-		s.crowded = false
-		if s.order != nil && s.order.taken {
+		s.fetchedVersion = ""
+		s.noRoom = false
+		if s.order != nil && s.order.accepted {
 			s.order = nil
 		}
 	}
 	s.engine = &e
-	if s.order != nil && s.order.taken && s.shows(s.order) {
-		s.crowded = s.crowded && s.order.Kind != event.UnloadVersion
+	if s.order != nil && s.order.accepted && s.inEffect(s.order) {
+		s.noRoom = s.noRoom && s.order.Kind != event.UnloadVersion
 		s.order = nil
 		s.failures = 0
 	}
 }
 
-// shows reports whether an order's effect is to be seen.
-func (s *State) shows(o *order) bool {
-	has := slices.Contains(s.engine.Versions, o.Version)
+// inEffect reports whether the engine reported the effect of an order.
+func (s *State) inEffect(o *order) bool {
+	loaded := slices.Contains(s.engine.Versions, o.Version)
 	switch o.Kind {
 	case event.LoadVersion:
-		return has
+		return loaded
 	case event.UnloadVersion:
-		return !has
+		return !loaded
 	}
 	return s.engine.Role == o.Role
 }
 
-func (s *State) leased(e event.AppendDone) {
-	if e.Stream != provider.LeaseStream || e.ID != s.taking {
+func (s *State) leaseAppended(e event.AppendDone) {
+	if e.Stream != provider.LeaseStream || e.ID != s.pendingLease {
 		return
 	}
 	s.now = max(s.now, e.Now)
-	s.taking = ""
+	s.pendingLease = ""
 	if e.Err != nil {
-		s.fail("lease")
+		s.backOff("lease")
 		return
 	}
 	s.fence = e.Offset
-	s.until = s.asked + Lifetime
+	s.leaseExpiresAt = s.leaseRequestedAt + Lifetime
 }
 
-func (s *State) weights(e event.WeightsDone, k Env) {
-	if e.Version != s.fetching {
+func (s *State) weightsFetched(e event.WeightsDone, env Env) {
+	if e.Version != s.fetchingVersion {
 		return
 	}
 	s.now = max(s.now, e.Now)
-	s.fetching = ""
+	s.fetchingVersion = ""
 	if e.Err != nil {
-		s.fail(k.VM + e.Version)
+		s.backOff(env.VM + e.Version)
 		return
 	}
-	s.fetched = e.Version
+	s.fetchedVersion = e.Version
 	s.failures = 0
 }
 
-func (s *State) ordered(e event.OrderDone, k Env) {
-	if s.order == nil || e.ID != s.order.ID || s.order.taken {
+func (s *State) orderFinished(e event.OrderDone, env Env) {
+	if s.order == nil || e.ID != s.order.ID || s.order.accepted {
 		return
 	}
 	s.now = max(s.now, e.Now)
 	switch e.Outcome {
 	case event.OrderTaken:
-		s.order.taken = true
-		s.order.end = s.now + effectTime
+		s.order.accepted = true
+		s.order.deadline = s.now + effectTimeout
 		return
 	case event.OrderRefused:
-		s.crowded = s.order.Kind == event.LoadVersion
+		s.noRoom = s.order.Kind == event.LoadVersion
 	case event.OrderUnknown:
-		s.uncertain(k)
+		s.blockOrders(env)
 	}
 	if e.Outcome != event.OrderRefused {
-		s.until = 0
+		s.leaseExpiresAt = 0
 	}
 	s.order = nil
-	s.fail(k.VM)
+	s.backOff(env.VM)
 }
 
-// uncertain notes an order that may still have effect. An engine that checks
-// fencing numbers refuses it once it has seen a newer one; of any other engine
-// the next order waits until the old one cannot have effect any more.
-func (s *State) uncertain(k Env) {
-	if !k.ChecksFencing {
-		s.quiet = max(s.quiet, s.now+OrderLifetime)
+// blockOrders delays further orders because the current one may still take effect. An engine that
+// checks fencing numbers refuses it once it has seen a newer one; for any other engine the next
+// order waits until the old one can no longer take effect.
+func (s *State) blockOrders(env Env) {
+	if !env.ChecksFencing {
+		s.ordersBlockedUntil = max(s.ordersBlockedUntil, s.now+OrderLifetime)
 	}
 }
 
-// fail pauses before the next try, doubled with each failure and spread by a
-// hash, so that endpoints that failed together do not all come back together.
-func (s *State) fail(seed string) {
-	span := retryLeast << min(s.failures, 6)
+// backOff delays the next try. The delay doubles with each failure and is spread by a hash, so that
+// endpoints that failed together do not retry together.
+func (s *State) backOff(seed string) {
+	delay := minRetryDelay << min(s.failures, 6)
 	s.failures++
-	span = min(span, retryMost)
-	part := xxhash.Sum64String(fmt.Sprintf("%s/%d", seed, s.failures)) % 1000
-	s.retry = s.now + span/2 + span*clock.Millis(part)/1000
+	delay = min(delay, maxRetryDelay)
+	perMille := xxhash.Sum64String(fmt.Sprintf("%s/%d", seed, s.failures)) % 1000
+	s.retryAt = s.now + delay/2 + delay*clock.Millis(perMille)/1000
 }
 
-// step takes the next step, at most one of each kind at a time.
-func (s *State) step(k Env) (effects []event.Effect) {
+// nextStep returns the next effect, if one is due. At most one of each kind is pending.
+func (s *State) nextStep(env Env) (effects []event.Effect) {
 	if s.order != nil {
-		if s.now < s.order.end {
+		if s.now < s.order.deadline {
 			return nil
 		}
-		s.uncertain(k)
-		s.until = 0
+		s.blockOrders(env)
+		s.leaseExpiresAt = 0
 		s.order = nil
-		s.fail(k.VM)
+		s.backOff(env.VM)
 	}
-	o, ok := s.next(k)
-	if !ok || s.now < s.retry {
+	o, ok := s.nextOrder(env)
+	if !ok || s.now < s.retryAt {
 		return nil
 	}
-	if o.Kind == event.LoadVersion && s.fetched != o.Version {
-		return s.fetch(o.Version)
+	if o.Kind == event.LoadVersion && s.fetchedVersion != o.Version {
+		return s.fetchWeights(o.Version)
 	}
-	if s.now < s.quietUntil(k) {
+	if s.now < s.ordersAllowedAt(env) {
 		return nil
 	}
-	if s.now+OrderLifetime > s.until {
-		return s.lease(k)
+	if s.now+OrderLifetime > s.leaseExpiresAt {
+		return s.requestLease(env)
 	}
-	s.number++
-	o.ID, o.Fence, o.Until, o.Compare = s.number, s.fence, s.now+OrderLifetime, !k.ChecksFencing
-	// The order ends here only after it can no longer be given.
-	s.order = &order{GiveOrder: o, end: s.now + 2*OrderLifetime}
+	s.lastID++
+	o.ID, o.Fence, o.Until, o.Compare = s.lastID, s.fence, s.now+OrderLifetime, !env.ChecksFencing
+	// The order times out here only after it can no longer be sent.
+	s.order = &order{GiveOrder: o, deadline: s.now + 2*OrderLifetime}
 	return []event.Effect{o}
 }
 
-// quietUntil is the instant before which no order may be given. After a start
-// that is the longest life of an order which an earlier process on this VM may
-// have given just before it ended: its late effect would undo a newer order, and
-// the engine that ignores fencing numbers would not notice.
-func (s *State) quietUntil(k Env) clock.Millis {
-	if k.ChecksFencing {
-		return s.quiet
+// ordersAllowedAt returns the time before which no order may be sent. If the engine ignores fencing
+// numbers, this is at least OrderLifetime after the start: an earlier process on this VM may have
+// sent an order just before it ended, whose late effect would undo a newer one.
+func (s *State) ordersAllowedAt(env Env) clock.Millis {
+	if env.ChecksFencing {
+		return s.ordersBlockedUntil
 	}
-	return max(s.quiet, s.started+OrderLifetime)
+	return max(s.ordersBlockedUntil, s.startedAt+OrderLifetime)
 }
 
-// next finds the order that brings the engine nearer to the tables. Withdrawn
-// versions go first. What is new is loaded before what is old is unloaded, so
-// that a pool that swaps versions does not run dry, unless the engine lacks room.
-// A version that still answers requests stays until they have ended.
-func (s *State) next(k Env) (o event.GiveOrder, ok bool) {
+// nextOrder returns the next order towards the tables; ok is false if there is none. Withdrawn
+// versions are unloaded first. New versions are loaded before old ones are unloaded, so that a pool
+// that swaps versions keeps its capacity, unless the engine lacks room. A version that still serves
+// requests stays loaded until they have ended.
+func (s *State) nextOrder(env Env) (o event.GiveOrder, ok bool) {
 	var missing, surplus []string
-	for _, v := range k.Versions {
+	for _, v := range env.Versions {
 		if !slices.Contains(s.engine.Versions, v) {
 			missing = append(missing, v)
 		}
@@ -273,45 +277,45 @@
 		if slices.Contains(s.engine.Busy, v) {
 			continue
 		}
-		if k.Withdrawn(v) {
+		if env.Withdrawn(v) {
 			return event.GiveOrder{Kind: event.UnloadVersion, Version: v}, true
 		}
-		if !slices.Contains(k.Versions, v) {
+		if !slices.Contains(env.Versions, v) {
 			surplus = append(surplus, v)
 		}
 	}
-	if len(missing) > 0 && (!s.crowded || len(surplus) == 0) {
+	if len(missing) > 0 && (!s.noRoom || len(surplus) == 0) {
 		return event.GiveOrder{Kind: event.LoadVersion, Version: slices.Min(missing)}, true
 	}
 	if len(surplus) > 0 {
 		return event.GiveOrder{Kind: event.UnloadVersion, Version: slices.Min(surplus)}, true
 	}
-	if k.Role != "" && s.engine.Role != k.Role {
-		return event.GiveOrder{Kind: event.ChangeRole, Role: k.Role}, true
+	if env.Role != "" && s.engine.Role != env.Role {
+		return event.GiveOrder{Kind: event.ChangeRole, Role: env.Role}, true
 	}
 	return o, false
 }
 
-func (s *State) fetch(version string) (effects []event.Effect) {
-	if s.fetching != "" && s.now < s.fetchEnd {
+func (s *State) fetchWeights(version string) (effects []event.Effect) {
+	if s.fetchingVersion != "" && s.now < s.fetchDeadline {
 		return nil
 	}
-	s.fetching = version
-	s.fetchEnd = s.now + WeightsTimeout
+	s.fetchingVersion = version
+	s.fetchDeadline = s.now + WeightsTimeout
 	return []event.Effect{event.FetchWeights{Version: version}}
 }
 
-func (s *State) lease(k Env) (effects []event.Effect) {
-	if s.taking != "" && s.now < s.asked+Lifetime {
+func (s *State) requestLease(env Env) (effects []event.Effect) {
+	if s.pendingLease != "" && s.now < s.leaseRequestedAt+Lifetime {
 		return nil
 	}
-	data, err := proto.Marshal(&wire.Lease{Vm: k.VM, Epoch: k.Epoch})
+	data, err := proto.Marshal(&wire.Lease{Vm: env.VM, Epoch: env.Epoch})
 	if err != nil {
-		s.fail(k.VM)
+		s.backOff(env.VM)
 		return nil
 	}
-	s.number++
-	s.taking = fmt.Sprintf("lease-%d", s.number)
-	s.asked = s.now
-	return []event.Effect{event.Append{Stream: provider.LeaseStream, ID: s.taking, Data: data}}
+	s.lastID++
+	s.pendingLease = fmt.Sprintf("lease-%d", s.lastID)
+	s.leaseRequestedAt = s.now
+	return []event.Effect{event.Append{Stream: provider.LeaseStream, ID: s.pendingLease, Data: data}}
 }
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -16,10 +16,10 @@
 	"pgregory.net/rapid"
 )
 
-// script drives one State by lines of a file and writes its effects.
+// script applies the lines of a data file to one State and prints its effects.
 type script struct {
 	s   State
-	k   Env
+	env Env
 	now clock.Millis
 	gen uint64
 	out strings.Builder
@@ -30,10 +30,10 @@
 	n, _ := strconv.Atoi(f[len(f)-1])
 	switch f[0] {
 	case "tables":
-		c.k.Versions = f[1:]
-		c.k.Revision++
+		c.env.Versions = f[1:]
+		c.env.Revision++
 	case "role":
-		c.k.Role = f[1]
+		c.env.Role = f[1]
 	case "tick":
 		c.now += clock.Millis(n)
 		c.reduce(event.Tick{Now: c.now})
@@ -41,21 +41,21 @@
 		c.gen++
 		fallthrough
 	case "engine":
-		c.reduce(event.EngineSeen{Now: c.now, Generation: c.gen, Versions: append([]string{}, f[1:]...), Revision: c.k.Revision})
+		c.reduce(event.EngineSeen{Now: c.now, Generation: c.gen, Versions: append([]string{}, f[1:]...), Revision: c.env.Revision})
 	case "busy":
-		c.reduce(event.EngineSeen{Now: c.now, Generation: c.gen, Versions: f[1:], Busy: f[1:2], Revision: c.k.Revision})
+		c.reduce(event.EngineSeen{Now: c.now, Generation: c.gen, Versions: f[1:], Busy: f[1:2], Revision: c.env.Revision})
 	case "role-seen":
-		c.reduce(event.EngineSeen{Now: c.now, Generation: c.gen, Versions: c.k.Versions, Role: f[1], Revision: c.k.Revision})
+		c.reduce(event.EngineSeen{Now: c.now, Generation: c.gen, Versions: c.env.Versions, Role: f[1], Revision: c.env.Revision})
 	case "weights":
 		c.reduce(event.WeightsDone{Now: c.now, Version: f[1]})
 	case "weights-busy":
 		c.reduce(event.WeightsDone{Now: c.now, Version: f[1], Err: provider.ErrBusy.New("rate limit")})
 	case "lease":
-		c.reduce(event.AppendDone{Now: c.now, Stream: provider.LeaseStream, ID: c.s.taking, Offset: int64(n)})
+		c.reduce(event.AppendDone{Now: c.now, Stream: provider.LeaseStream, ID: c.s.pendingLease, Offset: int64(n)})
 	case "lease-lost":
-		c.reduce(event.AppendDone{Now: c.now, Stream: provider.LeaseStream, ID: c.s.taking, Err: errors.New("answer lost")})
+		c.reduce(event.AppendDone{Now: c.now, Stream: provider.LeaseStream, ID: c.s.pendingLease, Err: errors.New("answer lost")})
 	default:
-		c.reduce(event.OrderDone{Now: c.now, ID: c.s.number, Outcome: outcomes[f[0]]})
+		c.reduce(event.OrderDone{Now: c.now, ID: c.s.lastID, Outcome: outcomes[f[0]]})
 	}
 }
 
@@ -64,7 +64,7 @@
 }
 
 func (c *script) reduce(e event.Event) {
-	for _, f := range c.s.Reduce(e, c.k) {
+	for _, f := range c.s.Reduce(e, c.env) {
 		switch f := f.(type) {
 		case event.FetchWeights:
 			fmt.Fprintf(&c.out, "%d fetch %s\n", c.now, f.Version)
@@ -76,11 +76,11 @@
 	}
 }
 
-// Each script is one story of an engine, the tables and what fails between them.
+// Each script is a sequence of engine reports, changes of the tables and failures.
 func TestOrders(t *testing.T) {
 	datadriven.RunTest(t, "testdata/orders", func(_ *testing.T, d *datadriven.TestData) string {
-		c := &script{gen: 1, k: Env{VM: "vm-1", ChecksFencing: d.HasArg("checks-fencing")}}
-		c.k.Withdrawn = func(v string) bool { return strings.HasPrefix(v, "bad") }
+		c := &script{gen: 1, env: Env{VM: "vm-1", ChecksFencing: d.HasArg("checks-fencing")}}
+		c.env.Withdrawn = func(v string) bool { return strings.HasPrefix(v, "bad") }
 		for line := range strings.Lines(d.Input) {
 			c.line(line)
 		}
@@ -88,54 +88,54 @@
 	})
 }
 
-// fleet models the engine, the log and two processes of one VM, of which either
-// may be paused for any time and act on what it decided before.
-type fleet struct {
-	checks bool
-	log    []provider.Record
-	epochs []uint64
+// engineModel models the engine and the log for two processes of one VM. Either process may be
+// paused for any time and then send an order that it decided on before.
+type engineModel struct {
+	checksFencing bool
+	log           []provider.Record
+	epochs        []uint64
 	// seen is the highest fence that the engine acted on.
-	seen   int64
-	passed []int64
+	seen int64
+	// accepted are the fences of the orders that the engine acted on, in order.
+	accepted []int64
 }
 
-// give models the last step before the engine, as endpoint.order takes it.
-func (f *fleet) give(fence int64) {
-	if !f.checks && HasNewer(f.log, "vm-1", fence) {
+// sendOrder models the endpoint's check just before it sends an order, and the engine's own check.
+func (m *engineModel) sendOrder(fence int64) {
+	if !m.checksFencing && HasNewer(m.log, "vm-1", fence) {
 		return
 	}
-	if f.checks && fence < f.seen {
+	if m.checksFencing && fence < m.seen {
 		return
 	}
-	f.seen = max(f.seen, fence)
-	f.passed = append(f.passed, fence)
+	m.seen = max(m.seen, fence)
+	m.accepted = append(m.accepted, fence)
 }
 
-// A process is paused after it took a lease; its successor on the VM takes
-// another and orders the engine; then the first goes on with its old order. In
-// whatever order leases and orders come, the engine never acts on an older lease
-// after a newer one.
+// A process is paused after it acquired a lease. Its successor on the VM acquires another one and
+// sends an order; then the first process continues with its old order. For any order of leases and
+// orders, the engine never acts on an older lease after a newer one.
 func TestNoOrderUnderOldLease(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := &fleet{checks: rapid.Bool().Draw(t, "checks"), epochs: []uint64{1, 2}, seen: -1}
+		m := &engineModel{checksFencing: rapid.Bool().Draw(t, "checks"), epochs: []uint64{1, 2}, seen: -1}
 		states := []*State{{}, {}}
-		known := func(i int) Env {
-			return Env{VM: "vm-1", Epoch: f.epochs[i], Versions: []string{"a@1"}, Withdrawn: func(string) bool { return false }, Role: "decode", ChecksFencing: f.checks}
+		envOf := func(i int) Env {
+			return Env{VM: "vm-1", Epoch: m.epochs[i], Versions: []string{"a@1"}, Withdrawn: func(string) bool { return false }, Role: "decode", ChecksFencing: m.checksFencing}
 		}
-		var waiting []func()
+		var delayed []func()
 		now := clock.Millis(0)
-		var act func(i int, e event.Event)
-		act = func(i int, e event.Event) {
-			for _, x := range states[i].Reduce(e, known(i)) {
+		var step func(i int, e event.Event)
+		step = func(i int, e event.Event) {
+			for _, x := range states[i].Reduce(e, envOf(i)) {
 				switch x := x.(type) {
 				case event.Append:
-					f.log = append(f.log, provider.Record{Offset: int64(len(f.log)), Data: x.Data})
-					offset := int64(len(f.log) - 1)
-					act(i, event.AppendDone{Now: now, Stream: x.Stream, ID: x.ID, Offset: offset})
+					m.log = append(m.log, provider.Record{Offset: int64(len(m.log)), Data: x.Data})
+					offset := int64(len(m.log) - 1)
+					step(i, event.AppendDone{Now: now, Stream: x.Stream, ID: x.ID, Offset: offset})
 				case event.FetchWeights:
-					act(i, event.WeightsDone{Now: now, Version: x.Version})
+					step(i, event.WeightsDone{Now: now, Version: x.Version})
 				case event.GiveOrder:
-					waiting = append(waiting, func() { f.give(x.Fence) })
+					delayed = append(delayed, func() { m.sendOrder(x.Fence) })
 				}
 			}
 		}
@@ -143,60 +143,60 @@
 			"time": func(t *rapid.T) {
 				now += clock.Millis(rapid.IntRange(1, 20_000).Draw(t, "span"))
 				i := rapid.IntRange(0, 1).Draw(t, "holder")
-				act(i, event.EngineSeen{Now: now, Generation: 1, Versions: []string{}})
+				step(i, event.EngineSeen{Now: now, Generation: 1, Versions: []string{}})
 			},
 			"order": func(t *rapid.T) {
-				if len(waiting) == 0 {
+				if len(delayed) == 0 {
 					t.Skip()
 				}
-				n := rapid.IntRange(0, len(waiting)-1).Draw(t, "which")
-				waiting[n]()
-				waiting = slices.Delete(waiting, n, n+1)
+				n := rapid.IntRange(0, len(delayed)-1).Draw(t, "which")
+				delayed[n]()
+				delayed = slices.Delete(delayed, n, n+1)
 			},
 			"": func(t *rapid.T) {
-				if !slices.IsSorted(f.passed) {
-					t.Fatalf("engine acted on fences %v", f.passed)
+				if !slices.IsSorted(m.accepted) {
+					t.Fatalf("engine acted on fences %v", m.accepted)
 				}
 			},
 		})
 	})
 }
 
-// All endpoints of a pool need a new version at once, and the weight store lets
-// five through a second. Without a pause that grows and differs they would ask it
-// hundreds of times; the figures are the same each run.
+// All endpoints of a pool need a new version at once, and the weight store allows five fetches per
+// second. Without a growing and spread delay they would send it hundreds of requests. The numbers
+// are the same in each run.
 func TestWeightFetchesBackOffUnderRateLimit(t *testing.T) {
 	is := is.New(t)
 	const endpoints, perSecond = 40, 5
 	states := make([]State, endpoints)
-	have := 0
-	asked, refused := 0, 0
-	now, room := clock.Millis(0), 0
-	for ; have < endpoints; now += 100 {
+	fetched := 0
+	requests, refused := 0, 0
+	now, quota := clock.Millis(0), 0
+	for ; fetched < endpoints; now += 100 {
 		if now%clock.Second == 0 {
-			room = perSecond
+			quota = perSecond
 		}
 		for i := range states {
-			k := Env{VM: fmt.Sprintf("vm-%d", i), Versions: []string{"a@1"}, Withdrawn: func(string) bool { return false }}
-			for _, f := range states[i].Reduce(event.EngineSeen{Now: now, Generation: 1, Versions: []string{}}, k) {
+			env := Env{VM: fmt.Sprintf("vm-%d", i), Versions: []string{"a@1"}, Withdrawn: func(string) bool { return false }}
+			for _, f := range states[i].Reduce(event.EngineSeen{Now: now, Generation: 1, Versions: []string{}}, env) {
 				x, ok := f.(event.FetchWeights)
 				if !ok {
 					continue
 				}
-				asked++
+				requests++
 				var err error
-				if room == 0 {
+				if quota == 0 {
 					refused++
 					err = provider.ErrBusy.New("rate limit")
 				} else {
-					room--
-					have++
+					quota--
+					fetched++
 				}
-				states[i].Reduce(event.WeightsDone{Now: now, Version: x.Version, Err: err}, k)
+				states[i].Reduce(event.WeightsDone{Now: now, Version: x.Version, Err: err}, env)
 			}
 		}
 		is.True(now < 10*clock.Minute) // every endpoint gets its weights
 	}
-	t.Logf("%d endpoints had their weights after %v, asked %d times, refused %d", endpoints, now, asked, refused)
-	is.True(asked <= 400)
+	t.Logf("%d endpoints had their weights after %v, with %d requests, %d refused", endpoints, now, requests, refused)
+	is.True(requests <= 400)
 }
--- a/lease/newer.go
+++ b/lease/newer.go
@@ -6,9 +6,9 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// HasNewer reports whether records of the lease stream show a lease of a VM after a
-// fencing number, be it of another start of its process or of this one, whose
-// order was held up. Records that are no leases are skipped.
+// HasNewer reports whether records of the lease stream have a lease of a VM after a fencing number,
+// either of another incarnation of its process or of the same one, whose order was delayed. Records
+// that are not leases are skipped.
 func HasNewer(records []provider.Record, vm string, fence int64) bool {
 	for _, r := range records {
 		l := &wire.Lease{}
