--- a/bench/choice.go
+++ b/bench/choice.go
@@ -80,7 +80,7 @@
 	view     *view.View
 	inflight *choice.Inflight
 	affinity *choice.Affinity
-	retries  *limit.Retries
+	retries  *limit.RetryBudget
 	turn     int
 	// reported serves the baseline only.
 	reported map[string]int
@@ -128,7 +128,7 @@
 	subsets := choice.Subsets(vms[:entries], vms[entries:])
 	for _, vm := range vms[:entries] {
 		v := view.New(tables, 0, 0, members, false).WithSubsets(map[string][]provider.VM{choicePool: subsets[vm.ID]})
-		r.entries = append(r.entries, &choiceEntry{view: v, inflight: choice.NewInflight(), affinity: choice.NewAffinity(), retries: limit.NewRetries(), reported: map[string]int{}})
+		r.entries = append(r.entries, &choiceEntry{view: v, inflight: choice.NewInflight(), affinity: choice.NewAffinity(), retries: limit.NewRetryBudget(), reported: map[string]int{}})
 	}
 	for _, vm := range vms[entries:] {
 		x := &replica{vm: vm, order: list.New(), prefix: map[int]*list.Element{}}
@@ -156,7 +156,7 @@
 
 func (r *choiceRun) arrive() {
 	e := r.entries[r.rng.IntN(len(r.entries))]
-	e.retries.Earn()
+	e.retries.RecordRequest()
 	r.try(e, r.rng.IntN(len(r.homes)), r.now, nil)
 }
 
@@ -167,13 +167,13 @@
 	r.homes[session] = x.vm.ID
 	e.inflight.Add(x.vm.ID, 1)
 	r.after(choiceHopMillis, func() {
-		if len(x.queue) < replicaQueue || len(avoid) == choiceTries || !e.retries.Take() {
+		if len(x.queue) < replicaQueue || len(avoid) == choiceTries || !e.retries.TryRetry() {
 			r.enqueue(e, x, session, asked)
 			return
 		}
 		r.after(choiceHopMillis, func() {
 			e.inflight.Add(x.vm.ID, -1)
-			e.inflight.Report(&wire.Load{Vm: x.vm.ID, Held: int32(x.held + len(x.queue)), Window: replicaPlaces}, r.now)
+			e.inflight.RecordLoad(&wire.Load{Vm: x.vm.ID, Held: int32(x.held + len(x.queue)), Window: replicaPlaces}, r.now)
 			next := maps.Clone(avoid)
 			if next == nil {
 				next = make(map[string]bool)
@@ -194,8 +194,8 @@
 	case leastReportedPolicy:
 		return r.leastReported(e)
 	}
-	vm, _ := choice.Endpoint(e.view, e.inflight, e.affinity, choice.Query{
-		Pools: []string{choicePool}, Seed: r.rng.Uint64(), Now: r.now, Avoid: avoid, Home: r.homes[session], Prefix: uint64(session) + 1,
+	vm, _ := choice.SelectEndpoint(e.view, e.inflight, e.affinity, choice.Query{
+		Pools: []string{choicePool}, Seed: r.rng.Uint64(), Now: r.now, Avoid: avoid, SessionVM: r.homes[session], Prefix: uint64(session) + 1,
 	})
 	return vm.ID
 }
@@ -260,7 +260,7 @@
 	}
 	r.after(choiceHopMillis, func() { e.inflight.Add(x.vm.ID, -1) })
 	r.after(r.late, func() {
-		e.inflight.Report(l, r.now)
+		e.inflight.RecordLoad(l, r.now)
 		e.reported[x.vm.ID] = int(l.GetHeld())
 	})
 }
--- a/bench/limit.go
+++ b/bench/limit.go
@@ -28,8 +28,8 @@
 type limitRun struct {
 	agenda
 	rng     *rand.Rand
-	core    *limit.Core
-	retries *limit.Retries
+	core    *limit.Admission
+	retries *limit.RetryBudget
 	// fifo replaces the fair queue by one line for all: every request counts as
 	// the same organisation's.
 	fifo bool
@@ -54,11 +54,11 @@
 
 func newLimitRun(fifo, budget bool) *limitRun {
 	r := &limitRun{
-		rng: rand.New(rand.NewPCG(5, 6)), core: limit.NewCore(), fifo: fifo, places: limitPlaces,
+		rng: rand.New(rand.NewPCG(5, 6)), core: limit.NewAdmission(), fifo: fifo, places: limitPlaces,
 		waiting: map[string]limitRequest{}, arrived: map[string]int{}, served: map[string]int{}, waits: map[string][]clock.Millis{},
 	}
 	if budget {
-		r.retries = limit.NewRetries()
+		r.retries = limit.NewRetryBudget()
 	}
 	return r
 }
@@ -84,7 +84,7 @@
 		org:  org, at: r.now,
 	}
 	if r.retries != nil {
-		r.retries.Earn()
+		r.retries.RecordRequest()
 	}
 	v, _, dropped := r.core.Arrive(r.now, q.item)
 	for _, it := range dropped {
@@ -107,7 +107,7 @@
 	if r.held < r.places {
 		r.held++
 		r.waits[q.org] = append(r.waits[q.org], r.now-q.at)
-		r.pass(r.core.Taken(r.now))
+		r.pass(r.core.Accepted(r.now))
 		r.after(limitService+clock.Millis(r.rng.IntN(100)), func() {
 			r.held--
 			r.served[q.org]++
@@ -116,7 +116,7 @@
 		return
 	}
 	const attempts = 4
-	again := attempt+1 < attempts && (r.retries == nil || r.retries.Take())
+	again := attempt+1 < attempts && (r.retries == nil || r.retries.TryRetry())
 	r.after(2, func() {
 		if again {
 			r.try(q, attempt+1)
@@ -127,7 +127,7 @@
 }
 
 func (r *limitRun) end(o limit.Outcome) {
-	r.pass(r.core.End(r.now, o))
+	r.pass(r.core.Release(r.now, o))
 }
 
 func (r *limitRun) pass(started, expired []limit.Item) {
--- a/bench/quality.go
+++ b/bench/quality.go
@@ -113,7 +113,7 @@
 			r.feed(r.due[0].e)
 			r.due = r.due[1:]
 		}
-		v := view.New(r.tables, 0, 0, &membership.Members{}, false).WithEvidence(nil, nil, r.quality.Book())
+		v := view.New(r.tables, 0, 0, &membership.Members{}, false).WithEvidence(nil, nil, r.quality.Snapshot())
 		q := choice.PlanQuery{Route: "route", Organisation: "o", Hash: xxhash.Sum64([]byte{byte(i), byte(i >> 8), byte(i >> 16)}), InputTokens: 700}
 		r.serve(now, plan(v, q))
 	}
@@ -129,8 +129,8 @@
 	score := r.score(p.First)
 	if !p.Cascade() {
 		r.good += score
-		known := r.quality.Book().Sum(quality.Key{Route: "route", Version: p.First}).Ratings
-		if r.sampler.Take(now, known, p.Trial) && r.rng.Float64() > ratingLoss {
+		known := r.quality.Snapshot().Sum(quality.Key{Route: "route", Version: p.First}).Ratings
+		if r.sampler.Sample(now, known, p.Trial) && r.rng.Float64() > ratingLoss {
 			r.due = append(r.due, dueRating{now + ratingAfter, event.Rated{Now: now, Route: "route", Version: p.First, Organisation: "o", Score: score}})
 		}
 		return
--- a/bench/rollout.go
+++ b/bench/rollout.go
@@ -80,7 +80,7 @@
 type rolloutEntry struct {
 	vm       string
 	evidence evidence.State
-	counts   spread.Counts
+	counts   spread.CountReporter
 	rollout  rollout.State
 	holds    *rollout.Holds
 	sampler  *quality.Sampler
@@ -114,7 +114,7 @@
 	for i := range entries {
 		e := &rolloutEntry{vm: fmt.Sprintf("entry-%03d", i), rollout: rollout.NewState(), sampler: quality.NewSampler()}
 		e.evidence = evidence.NewState(e.vm, uint64(i)+1)
-		e.counts = spread.NewCounts(e.vm)
+		e.counts = spread.NewCountReporter(e.vm)
 		r.entries = append(r.entries, e)
 		r.byVM[e.vm] = e
 		r.vms = append(r.vms, provider.VM{ID: e.vm, Role: provider.EntryRole})
@@ -167,7 +167,7 @@
 func (r *rolloutRun) request(e *rolloutEntry) {
 	org := r.rng.IntN(orgCount)
 	m := r.tables.Routes["dossier"].Models[0]
-	version := choice.Share(r.tables, e.holds, m, organisationName(org), r.rng.Uint64())
+	version := choice.SelectVersion(r.tables, e.holds, m, organisationName(org), r.rng.Uint64())
 	if e.nodeHeld {
 		version = oldVersion
 	}
@@ -202,7 +202,7 @@
 	if version == oldVersion {
 		known = 1 << 20
 	}
-	if e.sampler.Take(r.now, known, false) && r.rng.Float64() > ratingLoss {
+	if e.sampler.Sample(r.now, known, false) && r.rng.Float64() > ratingLoss {
 		score := 0.0
 		if r.rng.Float64() < rating {
 			score = 1
--- a/bench/zone.go
+++ b/bench/zone.go
@@ -49,8 +49,8 @@
 	view     *view.View
 	inflight *choice.Inflight
 	affinity *choice.Affinity
-	retries  *limit.Retries
-	core     *limit.Core
+	retries  *limit.RetryBudget
+	core     *limit.Admission
 	waiting  map[string]zoneRequest
 }
 
@@ -96,7 +96,7 @@
 	for range zoneEntries {
 		e := &zoneEntry{
 			zones: zone.NewState(), inflight: choice.NewInflight(), affinity: choice.NewAffinity(),
-			retries: limit.NewRetries(), core: limit.NewCore(), waiting: map[string]zoneRequest{},
+			retries: limit.NewRetryBudget(), core: limit.NewAdmission(), waiting: map[string]zoneRequest{},
 		}
 		r.entries = append(r.entries, e)
 		r.see(e)
@@ -146,7 +146,7 @@
 func (r *zoneRun) arrive(e *zoneEntry) {
 	r.asked++
 	q := zoneRequest{item: limit.Item{ID: fmt.Sprint(r.asked), Weight: 1, Deadline: r.now + zoneDeadline}, at: r.now, seed: r.rng.Uint64()}
-	e.retries.Earn()
+	e.retries.RecordRequest()
 	v, _, dropped := e.core.Arrive(r.now, q.item)
 	r.refuse(e, dropped)
 	switch v {
@@ -174,8 +174,8 @@
 
 // try is the entry's loop of attempts.
 func (r *zoneRun) try(e *zoneEntry, q zoneRequest, avoid map[string]bool) {
-	vm, ok := choice.Endpoint(e.view, e.inflight, e.affinity, choice.Query{Pools: []string{choicePool}, Avoid: avoid, Seed: q.seed, Now: r.now})
-	if !ok || len(avoid) == choiceTries+1 || len(avoid) > 0 && !e.retries.Take() {
+	vm, ok := choice.SelectEndpoint(e.view, e.inflight, e.affinity, choice.Query{Pools: []string{choicePool}, Avoid: avoid, Seed: q.seed, Now: r.now})
+	if !ok || len(avoid) == choiceTries+1 || len(avoid) > 0 && !e.retries.TryRetry() {
 		r.count(1)
 		r.end(e, limit.Refused)
 		return
@@ -198,7 +198,7 @@
 
 func (r *zoneRun) start(e *zoneEntry, q zoneRequest, x *coldReplica) {
 	x.held++
-	r.pass(e, e.core.Taken)
+	r.pass(e, e.core.Accepted)
 	span := zoneWarmToken
 	if x.served < warmAfter {
 		span = zoneColdToken
@@ -219,11 +219,11 @@
 
 func (r *zoneRun) report(e *zoneEntry, x *coldReplica) {
 	l := &wire.Load{Vm: x.vm.ID, Held: int32(x.held), Window: int32(x.window)}
-	e.inflight.Report(l, r.now)
+	e.inflight.RecordLoad(l, r.now)
 }
 
 func (r *zoneRun) end(e *zoneEntry, o limit.Outcome) {
-	r.pass(e, func(now clock.Millis) (started, expired []limit.Item) { return e.core.End(now, o) })
+	r.pass(e, func(now clock.Millis) (started, expired []limit.Item) { return e.core.Release(now, o) })
 }
 
 func (r *zoneRun) pass(e *zoneEntry, step func(clock.Millis) (started, expired []limit.Item)) {
--- a/choice/affinity.go
+++ b/choice/affinity.go
@@ -50,8 +50,8 @@
 	return p.vm
 }
 
-// Used notes that an endpoint runs a prefix.
-func (a *Affinity) Used(prefix uint64, vm string, now clock.Millis) {
+// RecordUse notes that an endpoint runs a prefix.
+func (a *Affinity) RecordUse(prefix uint64, vm string, now clock.Millis) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if e, ok := a.places[prefix]; ok {
--- a/choice/endpoint.go
+++ b/choice/endpoint.go
@@ -24,10 +24,10 @@
 	// Seed draws the endpoints that are compared.
 	Seed uint64
 	Now  clock.Millis
-	// Home is the VM that ran the session before, and Prefix names the prompt's
+	// SessionVM is the VM that ran the session before, and Prefix names the prompt's
 	// prefix; "" and 0 when there is none.
-	Home   string
-	Prefix uint64
+	SessionVM string
+	Prefix    uint64
 }
 
 // open is an endpoint that may receive new work.
@@ -45,11 +45,11 @@
 	return open{vm: vm, window: pool.ColdWindow, heard: v.Members().Load(vm.ID), suspected: v.Members().Suspected(vm.ID)}
 }
 
-// Endpoint picks the endpoint of a request: its session's home, or the one that
+// SelectEndpoint picks the endpoint of a request: its session's home, or the one that
 // ran its prefix last, unless that is much fuller than the emptier of two drawn
 // by the seed; else that one. Two drawn ones are compared rather than all, since
 // loads are known late: all entries would rush to the same emptiest endpoint.
-func Endpoint(v *view.View, f *Inflight, a *Affinity, q Query) (vm provider.VM, ok bool) {
+func SelectEndpoint(v *view.View, f *Inflight, a *Affinity, q Query) (vm provider.VM, ok bool) {
 	all := candidates(v, q)
 	if len(all) == 0 {
 		return vm, false
@@ -58,7 +58,7 @@
 	if load >= 1 {
 		best, load = emptiest(append(all, reachable(v, q)...), f, q.Now)
 	}
-	for _, id := range [...]string{q.Home, a.find(q)} {
+	for _, id := range [...]string{q.SessionVM, a.find(q)} {
 		kept, found := find(v, q, id)
 		if !found {
 			continue
@@ -69,7 +69,7 @@
 		}
 	}
 	if q.Prefix != 0 {
-		a.Used(q.Prefix, best.vm.ID, q.Now)
+		a.RecordUse(q.Prefix, best.vm.ID, q.Now)
 	}
 	return best.vm, true
 }
@@ -178,7 +178,7 @@
 func inShare(v *view.View, zone string, q Query) bool {
 	const fraction = 1 << 53
 	draw := float64(mix(q.Seed^xxhash.Sum64String(zone))>>11) / fraction
-	return draw < v.Zones().Part(zone, q.Now)
+	return draw < v.Zones().Fraction(zone, q.Now)
 }
 
 func usables(all []open, v *view.View, name string, q Query, r reach) []open {
--- a/choice/endpoint_test.go
+++ b/choice/endpoint_test.go
@@ -38,7 +38,7 @@
 	out := make(map[string]int)
 	for seed := range uint64(400) {
 		q.Pools, q.Seed = []string{"p"}, seed*7919
-		vm, ok := Endpoint(v, f, a, q)
+		vm, ok := SelectEndpoint(v, f, a, q)
 		if ok {
 			out[vm.ID]++
 		}
@@ -49,11 +49,11 @@
 // A VM has vanished and the platform's list still has it. Each request that
 // chooses it loses a try; after the first failure it must be left alone, yet be
 // tried again later, and be used when there is no other.
-func TestUnreachedEndpointIsLeftAlone(t *testing.T) {
+func TestUnreachableEndpointIsAvoided(t *testing.T) {
 	is := is.New(t)
 	v := viewOf(vms(provider.EndpointRole, 4, 2))
 	f := NewInflight()
-	f.Lost("endpoint-1", 0)
+	f.RecordUnreachable("endpoint-1", 0)
 	is.Equal(picks(v, f, NewAffinity(), Query{Now: 1})["endpoint-1"], 0)
 	is.True(picks(v, f, NewAffinity(), Query{Now: lostFirst})["endpoint-1"] > 0)
 	avoid := map[string]bool{"endpoint-0": true, "endpoint-2": true, "endpoint-3": true}
@@ -62,29 +62,29 @@
 
 // A session comes back. Its home has its cache and must get it, unless the home
 // is full or its zone was taken out; then any other one does.
-func TestSessionGoesHomeWhileItMay(t *testing.T) {
+func TestSessionStaysOnItsEndpointIfUsable(t *testing.T) {
 	is := is.New(t)
 	all := vms(provider.EndpointRole, 4, 4)
 	f := NewInflight()
-	q := Query{Home: "endpoint-2"}
+	q := Query{SessionVM: "endpoint-2"}
 	is.Equal(picks(viewOf(all), f, NewAffinity(), q)["endpoint-2"], 400)
 	is.Equal(picks(viewOf(all, "z2"), f, NewAffinity(), q)["endpoint-2"], 0)
-	f.Report(&wire.Load{Vm: "endpoint-2", Held: 10, Window: 10}, 0)
+	f.RecordLoad(&wire.Load{Vm: "endpoint-2", Held: 10, Window: 10}, 0)
 	is.Equal(picks(viewOf(all), f, NewAffinity(), q)["endpoint-2"], 0)
 }
 
 // Many callers share a long prompt. It must go where it is cached, but not all
 // to one endpoint while the others stand idle.
-func TestPrefixIsFollowedUntilItsEndpointIsMuchFuller(t *testing.T) {
+func TestPrefixAffinityYieldsToLoad(t *testing.T) {
 	is := is.New(t)
 	v := viewOf(vms(provider.EndpointRole, 4, 1))
 	f, a := NewInflight(), NewAffinity()
-	a.Used(9, "endpoint-3", 0)
-	f.Report(&wire.Load{Vm: "endpoint-3", Held: 3, Window: 10}, 0)
+	a.RecordUse(9, "endpoint-3", 0)
+	f.RecordLoad(&wire.Load{Vm: "endpoint-3", Held: 3, Window: 10}, 0)
 	is.Equal(picks(v, f, a, Query{Prefix: 9})["endpoint-3"], 400)
 	f.Add("endpoint-3", 6)
 	is.True(picks(v, f, a, Query{Prefix: 9})["endpoint-3"] == 0)
-	a.Used(9, "endpoint-3", 0)
+	a.RecordUse(9, "endpoint-3", 0)
 	is.Equal(a.Find(9, prefixLife+1), "") // the engine has dropped it by then
 }
 
@@ -94,22 +94,22 @@
 	is := is.New(t)
 	v := viewOf(vms(provider.EndpointRole, 2, 1))
 	f := NewInflight()
-	f.Report(&wire.Load{Vm: "endpoint-1", Held: 3, Window: 10}, 0)
+	f.RecordLoad(&wire.Load{Vm: "endpoint-1", Held: 3, Window: 10}, 0)
 	f.Add("endpoint-0", 8)
-	f.Report(&wire.Load{Vm: "endpoint-0", Held: 0, Window: 10, Sequence: 1}, 0)
+	f.RecordLoad(&wire.Load{Vm: "endpoint-0", Held: 0, Window: 10, Sequence: 1}, 0)
 	is.Equal(picks(v, f, NewAffinity(), Query{})["endpoint-0"], 0)
 }
 
 // An endpoint was full when it last answered, and since then nobody asks it. Its
 // word must lose its weight, or it would never be asked again.
-func TestOldReportLosesItsWeight(t *testing.T) {
+func TestOldLoadReportDecays(t *testing.T) {
 	is := is.New(t)
 	v := viewOf(vms(provider.EndpointRole, 2, 1))
 	f := NewInflight()
-	f.Report(&wire.Load{Vm: "endpoint-0", Held: 10, Window: 10}, 0)
-	f.Report(&wire.Load{Vm: "endpoint-1", Held: 2, Window: 10}, 0)
+	f.RecordLoad(&wire.Load{Vm: "endpoint-0", Held: 10, Window: 10}, 0)
+	f.RecordLoad(&wire.Load{Vm: "endpoint-1", Held: 2, Window: 10}, 0)
 	is.Equal(picks(v, f, NewAffinity(), Query{Now: 1})["endpoint-0"], 0)
-	f.Report(&wire.Load{Vm: "endpoint-1", Held: 2, Window: 10}, 10*halfLife)
+	f.RecordLoad(&wire.Load{Vm: "endpoint-1", Held: 2, Window: 10}, 10*halfLife)
 	is.True(picks(v, f, NewAffinity(), Query{Now: 10 * halfLife})["endpoint-0"] > 0)
 }
 
@@ -146,7 +146,7 @@
 // The list loses one endpoint of many. Only its own places may be filled anew,
 // beside a few that these push on; otherwise every change of the list would
 // close connections and forget loads everywhere.
-func TestSubsetsMoveLittle(t *testing.T) {
+func TestSubsetsChangeLittleWhenEndpointIsRemoved(t *testing.T) {
 	is := is.New(t)
 	entries, pool := vms(provider.EntryRole, 100, 4), vms(provider.EndpointRole, 310, 4)
 	before, after := Subsets(entries, pool), Subsets(entries, pool[1:])
@@ -167,13 +167,13 @@
 
 // Control heard an endpoint's load by another way, since no answer came from it
 // for long. It must count, but never against a newer word of its own.
-func TestHeardLoadFillsTheGap(t *testing.T) {
+func TestControlLoadUsedWhenAnswersAreOld(t *testing.T) {
 	is := is.New(t)
 	f := NewInflight()
 	heard := &wire.Load{Vm: "e", Held: 9, Window: 10, Sequence: 5}
 	part, _ := f.load("e", 2, heard, 0)
 	is.Equal(part, 0.9)
-	f.Report(&wire.Load{Vm: "e", Held: 0, Window: 10, Sequence: 6}, 10*clock.Second)
+	f.RecordLoad(&wire.Load{Vm: "e", Held: 0, Window: 10, Sequence: 6}, 10*clock.Second)
 	part, _ = f.load("e", 2, heard, 10*clock.Second+1)
 	is.Equal(part, 0.0)
 }
@@ -181,7 +181,7 @@
 // A zone came back a moment ago. New work must go there only in part, though its
 // endpoints look emptiest; yet when the others are full its gates decide, or the
 // zones that stayed would be overrun.
-func TestReturningZoneGetsPart(t *testing.T) {
+func TestReturningZoneGetsPartOfItsShare(t *testing.T) {
 	is := is.New(t)
 	s := membership.New("test")
 	s.Reduce(event.VMsListed{VMs: vms(provider.EndpointRole, 4, 2)})
@@ -194,15 +194,15 @@
 	f := NewInflight()
 	got := picks(v, f, NewAffinity(), Query{Now: 1})
 	is.True(got["endpoint-1"]+got["endpoint-3"] < 60)
-	f.Report(&wire.Load{Vm: "endpoint-0", Held: 10, Window: 10}, 1)
-	f.Report(&wire.Load{Vm: "endpoint-2", Held: 10, Window: 10}, 1)
+	f.RecordLoad(&wire.Load{Vm: "endpoint-0", Held: 10, Window: 10}, 1)
+	f.RecordLoad(&wire.Load{Vm: "endpoint-2", Held: 10, Window: 10}, 1)
 	got = picks(v, f, NewAffinity(), Query{Now: 1})
 	is.Equal(got["endpoint-1"]+got["endpoint-3"], 400)
 }
 
 // The entry's own network stalls for a second, and all endpoints are suspected at
 // once. Callers must not be refused for as long as the suspicion lasts.
-func TestAllSuspectedAreAskedAllTheSame(t *testing.T) {
+func TestSuspectedEndpointsAreUsedAsLastResort(t *testing.T) {
 	is := is.New(t)
 	s := membership.New("test")
 	s.Reduce(event.VMsListed{VMs: vms(provider.EndpointRole, 2, 2)})
@@ -212,8 +212,8 @@
 	is.Equal(got["endpoint-0"], 0)
 	s.Reduce(event.PeerFailed{Now: 1, VM: "endpoint-1"})
 	f := NewInflight()
-	f.Lost("endpoint-0", 1)
-	f.Lost("endpoint-1", 1)
+	f.RecordUnreachable("endpoint-0", 1)
+	f.RecordUnreachable("endpoint-1", 1)
 	got = picks(view.New(tables, 0, 0, s.Members(), false), f, NewAffinity(), Query{Now: 1})
 	is.Equal(got["endpoint-0"]+got["endpoint-1"], 400)
 }
--- a/choice/inflight.go
+++ b/choice/inflight.go
@@ -81,9 +81,9 @@
 	f.track(vm).own += n
 }
 
-// Report takes an endpoint's own word that came with an answer. All are taken:
+// RecordLoad takes an endpoint's own word that came with an answer. All are taken:
 // a sequence that fell back means that the endpoint began anew.
-func (f *Inflight) Report(l *wire.Load, now clock.Millis) {
+func (f *Inflight) RecordLoad(l *wire.Load, now clock.Millis) {
 	if l == nil {
 		return
 	}
@@ -121,9 +121,9 @@
 	}
 }
 
-// Lost counts an endpoint that could not be reached. The VM list lags, so that
+// RecordUnreachable counts an endpoint that could not be reached. The VM list lags, so that
 // a VM which is gone would get a request at each turn until it is dropped.
-func (f *Inflight) Lost(vm string, now clock.Millis) {
+func (f *Inflight) RecordUnreachable(vm string, now clock.Millis) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	t := f.track(vm)
--- a/choice/plan.go
+++ b/choice/plan.go
@@ -29,7 +29,7 @@
 
 func options(v *view.View, r table.Route, q PlanQuery) (out []quality.Option) {
 	for _, m := range r.Models {
-		if version := Share(v.Tables(), v.Holds(), m, q.Organisation, q.Hash); version != "" {
+		if version := SelectVersion(v.Tables(), v.Holds(), m, q.Organisation, q.Hash); version != "" {
 			out = append(out, option(v, version, q))
 		}
 	}
@@ -46,9 +46,9 @@
 	}
 }
 
-// Kept lists the plans of a session that keeps a version: the cheapest cascade
+// SessionPlans lists the plans of a session that keeps a version: the cheapest cascade
 // from it when the route's target asks for one, or the version alone.
-func Kept(v *view.View, r table.Route, q PlanQuery, version string) []quality.Plan {
+func SessionPlans(v *view.View, r table.Route, q PlanQuery, version string) []quality.Plan {
 	alone := []quality.Plan{{First: version}}
 	if !r.Cascade {
 		return alone
--- a/choice/version.go
+++ b/choice/version.go
@@ -10,12 +10,12 @@
 	"github.com/parsleydeal/parsleydeal/table"
 )
 
-// Share picks the version of a model on which a hash falls, so that shares hold
+// SelectVersion picks the version of a model on which a hash falls, so that shares hold
 // over all processes without shared state. A hash that falls on a version that
 // is withdrawn or held for the organisation falls a second time, on the others
 // alone; all other hashes stay where they were. Share returns "" when no version
 // is left.
-func Share(t *table.Tables, holds *rollout.Holds, m table.RouteModel, organisation string, hash uint64) (version string) {
+func SelectVersion(t *table.Tables, holds *rollout.Holds, m table.RouteModel, organisation string, hash uint64) (version string) {
 	usable := func(version string) bool {
 		return !t.Versions[version].Withdrawn && !holds.Held(version, organisation)
 	}
--- a/choice/version_test.go
+++ b/choice/version_test.go
@@ -13,7 +13,7 @@
 // A version is held for one organisation. Its requests must spread over the
 // other versions, those of all others must land where they did before, and the
 // shares must hold without any state that processes share.
-func TestShareLeavesOutHeldVersion(t *testing.T) {
+func TestSelectVersionSkipsHeldVersion(t *testing.T) {
 	is := is.New(t)
 	m := table.RouteModel{Model: "m", Shares: map[string]float64{"1": 0.5, "2": 0.2, "3": 0.3}}
 	tables := &table.Tables{Versions: map[string]table.Version{}}
@@ -22,9 +22,9 @@
 	free, held := map[string]int{}, map[string]int{}
 	for i := range uint64(n) {
 		hash := xxhash.Sum64([]byte{byte(i), byte(i >> 8), 7})
-		before := Share(tables, nil, m, "o", hash)
-		after := Share(tables, holds, m, "o", hash)
-		is.Equal(Share(tables, holds, m, "other", hash), before)
+		before := SelectVersion(tables, nil, m, "o", hash)
+		after := SelectVersion(tables, holds, m, "o", hash)
+		is.Equal(SelectVersion(tables, holds, m, "other", hash), before)
 		is.True(before == "m@3" || after == before) // no session moves without need
 		free[before]++
 		held[after]++
--- a/cli/direct.go
+++ b/cli/direct.go
@@ -22,7 +22,7 @@
 		return err
 	}
 	defer site.Close()
-	s, err := directSettings(site.Store())
+	s, err := directSettings(site.StoreAddress())
 	if err != nil {
 		return err
 	}
@@ -33,7 +33,7 @@
 	}
 	for _, path := range []string{"/chat/easy", "/chat/hard", "/fees/renewal-17"} {
 		begun := time.Now()
-		status, body, err := site.Ask(ctx, s.Entry.Callers, path, "When is the renewal due?")
+		status, body, err := site.Send(ctx, s.Entry.Callers, path, "When is the renewal due?")
 		if err != nil {
 			return err
 		}
--- a/control/control.go
+++ b/control/control.go
@@ -35,7 +35,7 @@
 	spread   spread.State
 	draining bool
 	evidence evidence.State
-	counts   spread.Counts
+	counts   spread.CountReporter
 	rollout  rollout.State
 	quality  quality.State
 	zones    zone.State
@@ -64,7 +64,7 @@
 func NewStateAt(self, place string, epoch uint64) *State {
 	return &State{
 		self: self, zone: place, epoch: epoch, members: membership.New(self), spread: spread.New(self, place),
-		evidence: evidence.NewState(self, epoch), counts: spread.NewCounts(self),
+		evidence: evidence.NewState(self, epoch), counts: spread.NewCountReporter(self),
 		rollout: rollout.NewState(), quality: quality.NewState(), zones: zone.NewState(), saves: checkpoint.NewState(self),
 		subsetsOf: choice.SubsetsOf,
 	}
@@ -73,10 +73,10 @@
 // View returns an immutable picture of the state.
 func (s *State) View() *view.View {
 	v := view.New(s.tables.Tables(), s.tables.Revision(), s.spread.ConfirmedAt(), s.members.Members(), s.draining)
-	return v.WithEvidence(s.rollout.Holds(s.tables.Tables()), s.evidence.Report(), s.quality.Book()).
+	return v.WithEvidence(s.rollout.Holds(s.tables.Tables()), s.evidence.Report(), s.quality.Snapshot()).
 		WithSubsets(s.subsets).
 		WithZones(s.zones.Ramps()).
-		WithSpread(spread.Picture{VM: s.self, Zone: s.zone, Epoch: s.epoch, Tail: s.tail, Starting: !s.spread.Started()}).
+		WithSpread(spread.Snapshot{VM: s.self, Zone: s.zone, Epoch: s.epoch, Tail: s.tail, Starting: !s.spread.Started()}).
 		WithCheckpoint(s.saved)
 }
 
@@ -116,7 +116,7 @@
 }
 
 func (s *State) reduceSpread(e event.Event) (effects []event.Effect, changed bool) {
-	local := spread.Local{Offset: s.tables.Offset(), Tables: s.tables.Tables() != nil, Holds: s.rollout.Holds(s.tables.Tables())}
+	local := spread.Local{Offset: s.tables.Offset(), HasTables: s.tables.Tables() != nil, Holds: s.rollout.Holds(s.tables.Tables())}
 	return s.spread.Reduce(e, local, s.members.Members())
 }
 
--- a/daemon/direct.go
+++ b/daemon/direct.go
@@ -114,7 +114,7 @@
 		Clock:   d.clock,
 		Log:     d.log,
 		Store:   site.Store{Newest: store.Newest, Read: store.Read, Append: store.Append},
-		Codec:   site.Codec{Operator: platform.Operator, Endpoints: platform.Endpoints, Verdicts: platform.Verdicts, VerdictRecord: platform.VerdictRecord},
+		Codec:   site.Codec{Operator: platform.DecodeOperator, Endpoints: platform.DecodeEndpoints, Verdicts: platform.DecodeVerdicts, VerdictRecord: platform.EncodeVerdict},
 		Address: s.Peer,
 		Send:    d.socket.Send,
 		Counts:  func() site.TrafficCounts { return d.server.TrafficCounts() },
--- a/daemon/direct_test.go
+++ b/daemon/direct_test.go
@@ -24,7 +24,7 @@
 	is := is.New(t)
 	w := newTown(t)
 	app := w.endpoint("i-app", "app", "v1", nil)
-	pool := w.endpoint("i-pool", "pool", "v1", always(standin.Act{Events: 3, Confidence: 90}))
+	pool := w.endpoint("i-pool", "pool", "v1", always(standin.Reply{Events: 3, Confidence: 90}))
 	w.publish()
 	e := w.entry("entry-a")
 
@@ -60,8 +60,8 @@
 	t.Parallel()
 	is := is.New(t)
 	w := newTown(t)
-	act := func(r *http.Request) standin.Act {
-		a := standin.Act{Events: 2, BreakAfter: -1, Confidence: 95}
+	act := func(r *http.Request) standin.Reply {
+		a := standin.Reply{Events: 2, BreakAfter: -1, Confidence: 95}
 		if r.Header.Get("Model") == "small" && strings.HasSuffix(r.URL.Path, "hard") {
 			a.Confidence = 10
 		}
@@ -90,10 +90,10 @@
 	w := newTown(t)
 	var mu sync.Mutex
 	broke := false
-	act := func(*http.Request) standin.Act {
+	act := func(*http.Request) standin.Reply {
 		mu.Lock()
 		defer mu.Unlock()
-		a := standin.Act{Events: 6, BreakAfter: -1, Confidence: 95}
+		a := standin.Reply{Events: 6, BreakAfter: -1, Confidence: 95}
 		if !broke {
 			broke = true
 			a.BreakAfter = 3
@@ -115,8 +115,8 @@
 	is := is.New(t)
 	w := newTown(t)
 	for i := range 3 {
-		w.endpoint(fmt.Sprintf("i-%d", i), "pool", "v1", func(*http.Request) standin.Act {
-			return standin.Act{Events: 9, BreakAfter: 2, Confidence: 95}
+		w.endpoint(fmt.Sprintf("i-%d", i), "pool", "v1", func(*http.Request) standin.Reply {
+			return standin.Reply{Events: 9, BreakAfter: 2, Confidence: 95}
 		})
 	}
 	w.publish()
@@ -128,7 +128,7 @@
 // first, or one more after the own. Neither reaches a caller.
 func TestAnswersOfOtherRequestsReachNobody(t *testing.T) {
 	t.Parallel()
-	for name, a := range map[string]standin.Act{"foreign": {Foreign: true}, "surplus": {Surplus: true}, "unframed": {Unframed: true}} {
+	for name, a := range map[string]standin.Reply{"foreign": {OtherAnswerFirst: true}, "surplus": {ExtraAnswer: true}, "unframed": {NoLength: true}} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			w := newTown(t)
@@ -153,8 +153,8 @@
 	t.Parallel()
 	is := is.New(t)
 	w := newTown(t)
-	one := w.endpoint("i-1", "app", "v1", always(standin.Act{Lost: true}))
-	two := w.endpoint("i-2", "app", "v1", always(standin.Act{Lost: true}))
+	one := w.endpoint("i-1", "app", "v1", always(standin.Reply{DropAnswer: true}))
+	two := w.endpoint("i-2", "app", "v1", always(standin.Reply{DropAnswer: true}))
 	w.publish()
 	r := w.entry("entry-a").send("POST", "/fee/1", "x")
 	is.NoErr(r.err)
@@ -169,8 +169,8 @@
 	t.Parallel()
 	is := is.New(t)
 	w := newTown(t)
-	w.endpoint("i-1", "app", "v1", always(standin.Act{NotRun: true}))
-	w.endpoint("i-2", "app", "v1", always(standin.Act{NotRun: true}))
+	w.endpoint("i-1", "app", "v1", always(standin.Reply{NotRun: true}))
+	w.endpoint("i-2", "app", "v1", always(standin.Reply{NotRun: true}))
 	w.publish()
 	e := w.entry("entry-a")
 	begun := time.Now()
@@ -186,7 +186,7 @@
 // It is asked elsewhere while it can still be in time.
 func TestReadsGoElsewhereInTime(t *testing.T) {
 	t.Parallel()
-	for name, a := range map[string]standin.Act{"silent": {Delay: 5 * time.Second}, "failing": {Status: 500}, "lost": {Lost: true}, "unsigned": {Unsigned: true}} {
+	for name, a := range map[string]standin.Reply{"silent": {Delay: 5 * time.Second}, "failing": {Status: 500}, "lost": {DropAnswer: true}, "unsigned": {NoSignature: true}} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			w := newTown(t)
@@ -210,7 +210,7 @@
 	t.Parallel()
 	is := is.New(t)
 	w := newTown(t)
-	w.endpoint("i-1", "app", "v1", always(standin.Act{Status: 500}))
+	w.endpoint("i-1", "app", "v1", always(standin.Reply{Status: 500}))
 	w.publish()
 	r := w.entry("entry-a").send("GET", "/read/1", "")
 	is.Equal(r.status, 500)
@@ -222,7 +222,7 @@
 func TestEndpointStopsWhenTheCallerLeaves(t *testing.T) {
 	t.Parallel()
 	w := newTown(t)
-	pool := w.endpoint("i-1", "pool", "v1", always(standin.Act{Events: 100, Gap: 100 * time.Millisecond, Confidence: 95}))
+	pool := w.endpoint("i-1", "pool", "v1", always(standin.Reply{Events: 100, EventDelay: 100 * time.Millisecond, Confidence: 95}))
 	w.publish()
 	e := w.entry("entry-a")
 	ctx, cancel := context.WithCancel(context.Background())
@@ -234,7 +234,7 @@
 		t.Fatal(err)
 	}
 	cancel()
-	w.eventually(400*time.Millisecond, "the run is cut", func() bool { return pool.Runs()[0].Cut })
+	w.eventually(400*time.Millisecond, "the run is cut", func() bool { return pool.Runs()[0].Disconnected })
 }
 
 // A request outlasts its route's bound. It is ended at the bound, not at the
@@ -243,7 +243,7 @@
 	t.Parallel()
 	is := is.New(t)
 	w := newTown(t)
-	w.endpoint("i-1", "app", "v1", always(standin.Act{Delay: 10 * time.Second}))
+	w.endpoint("i-1", "app", "v1", always(standin.Reply{Delay: 10 * time.Second}))
 	w.publish()
 	e := w.entry("entry-a")
 	begun := time.Now()
@@ -265,7 +265,7 @@
 	w.publish()
 	e := w.entry("entry-a")
 	is.Equal(e.send("GET", "/read/1", "").status, 200)
-	e.door.Set(standin.Silent)
+	e.door.SetFault(standin.Silent)
 	taken := time.Now()
 	w.keys = []string{"key-2"}
 	w.publish()
@@ -282,7 +282,7 @@
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	e.door.Set(standin.Open)
+	e.door.SetFault(standin.NoFault)
 	w.eventually(4*time.Second, "the store is read again", func() bool {
 		return e.send("GET", "/read/1", "", func(r *http.Request) { r.Header.Set("Api-Key", "key-2") }).status == 200
 	})
@@ -298,12 +298,12 @@
 	w.endpoint("i-1", "app", "v1", nil)
 	w.publish()
 	e := w.entry("entry-a")
-	e.door.Set(standin.Down)
+	e.door.SetFault(standin.Down)
 	w.publish()
 	w.publish()
-	w.store.Forget("keyed.op")
-	w.store.Forget("keyed.servers")
-	e.door.Set(standin.Open)
+	w.store.Compact("keyed.op")
+	w.store.Compact("keyed.servers")
+	e.door.SetFault(standin.NoFault)
 	w.eventually(3*time.Second, "the newest configuration is in force", func() bool {
 		c := e.loop.View().Config()
 		return c != nil && c.Version == int64(w.version)
@@ -340,14 +340,14 @@
 	w.endpoint("i-3", "app", "v1", nil)
 	w.publish()
 	e := w.entry("entry-a")
-	w.store.Put("keyed.servers", "i-1", leaving.Entry("app", "a", "v1", "draining", 2))
+	w.store.Put("keyed.servers", "i-1", leaving.Registration("app", "a", "v1", "draining", 2))
 	w.store.Put("keyed.servers", "i-2", nil)
 	time.Sleep(1500 * time.Millisecond)
-	before := leaving.Seen() + removed.Seen()
+	before := leaving.Received() + removed.Received()
 	for range 30 {
 		is.Equal(e.send("GET", "/read/1", "").status, 200)
 	}
-	is.Equal(leaving.Seen()+removed.Seen(), before)
+	is.Equal(leaving.Received()+removed.Received(), before)
 }
 
 // Another writer puts entries into the store that name no endpoint, and takes
@@ -367,7 +367,7 @@
 	for range 5 {
 		is.Equal(e.send("GET", "/read/1", "").status, 200)
 	}
-	is.Equal(good.Seen(), 5)
+	is.Equal(good.Received(), 5)
 	w.eventually(time.Second, "five faults are logged", func() bool {
 		return strings.Count(e.log.String(), "Endpoint's entry cannot be used") == 5
 	})
@@ -379,7 +379,7 @@
 	t.Parallel()
 	is := is.New(t)
 	w := newTown(t)
-	w.endpoint("i-1", "pool", "v1", always(standin.Act{Events: 12, Gap: 300 * time.Millisecond, Confidence: 95}))
+	w.endpoint("i-1", "pool", "v1", always(standin.Reply{Events: 12, EventDelay: 300 * time.Millisecond, Confidence: 95}))
 	w.endpoint("i-2", "app", "v1", nil)
 	w.publish()
 	e := w.entry("entry-a")
@@ -445,7 +445,7 @@
 	is.True(w.store.Calls()-before < 25)
 	w.publish()
 	w.eventually(300*time.Millisecond, "the change is in force everywhere", inForce(all))
-	w.store.Put("keyed.servers", "i-1", leaving.Entry("app", "a", "v1", "draining", 2))
+	w.store.Put("keyed.servers", "i-1", leaving.Registration("app", "a", "v1", "draining", 2))
 	w.eventually(1500*time.Millisecond, "all know that an endpoint leaves", func() bool {
 		for _, e := range all {
 			if !e.loop.View().Fleet().Find("i-1").Leaving {
@@ -462,7 +462,7 @@
 	w.publish()
 	w.eventually(2*time.Second, "the change is in force without the first readers", inForce(all[2:]))
 	for _, e := range all[2:4] {
-		e.door.Set(standin.Down)
+		e.door.SetFault(standin.Down)
 	}
 	time.Sleep(1500 * time.Millisecond)
 	w.publish()
@@ -480,18 +480,18 @@
 	w := newTown(t)
 	w.endpoint("i-1", "app", "v1", nil)
 	other := w.endpoint("i-2", "app", "v1", nil)
-	w.store.Put("keyed.servers", "i-2", other.Entry("app", "b", "v1", "ready", 2))
+	w.store.Put("keyed.servers", "i-2", other.Registration("app", "b", "v1", "ready", 2))
 	w.publish()
 	entries := []*entryAt{w.entry("entry-a"), w.entry("entry-b"), w.entry("entry-c")}
 	w.store.Put("keyed.op", "evacuate/a", []byte("{}"))
 	for _, e := range entries {
 		w.eventually(time.Second, "the zone is out", func() bool { return e.loop.View().Fleet().ZoneOut("a") })
 	}
-	before := w.endpoints["i-1"].Seen()
+	before := w.endpoints["i-1"].Received()
 	for i := range 30 {
 		is.Equal(entries[i%3].send("GET", "/read/1", "").status, 200)
 	}
-	is.Equal(w.endpoints["i-1"].Seen(), before)
+	is.Equal(w.endpoints["i-1"].Received(), before)
 	w.store.Put("keyed.op", "evacuate/a", nil)
 	for _, e := range entries {
 		w.eventually(time.Second, "the zone is back", func() bool { return !e.loop.View().Fleet().ZoneOut("a") })
@@ -505,14 +505,14 @@
 	t.Parallel()
 	is := is.New(t)
 	w := newTown(t)
-	act := func(r *http.Request) standin.Act {
+	act := func(r *http.Request) standin.Reply {
 		switch {
 		case strings.HasPrefix(r.URL.Path, "/chat/long"):
-			return standin.Act{Events: 80, Gap: 40 * time.Millisecond, Confidence: 95, BreakAfter: -1}
+			return standin.Reply{Events: 80, EventDelay: 40 * time.Millisecond, Confidence: 95, BreakAfter: -1}
 		case strings.HasPrefix(r.URL.Path, "/chat/slow"):
-			return standin.Act{Delay: 700 * time.Millisecond, Events: 2, Confidence: 95, BreakAfter: -1}
+			return standin.Reply{Delay: 700 * time.Millisecond, Events: 2, Confidence: 95, BreakAfter: -1}
 		}
-		return standin.Act{Events: 2, Confidence: 95, BreakAfter: -1}
+		return standin.Reply{Events: 2, Confidence: 95, BreakAfter: -1}
 	}
 	for i := range 2 {
 		w.endpoint(fmt.Sprintf("i-%d", i), "pool", "v1", act)
@@ -551,7 +551,7 @@
 	w := newTown(t)
 	w.routes[1]["maxAttempts"] = 5
 	for i := range 5 {
-		w.endpoint(fmt.Sprintf("i-%d", i), "app", "v1", always(standin.Act{Delay: 3 * time.Second}))
+		w.endpoint(fmt.Sprintf("i-%d", i), "app", "v1", always(standin.Reply{Delay: 3 * time.Second}))
 	}
 	w.publish()
 	e := w.entry("entry-a")
@@ -559,7 +559,7 @@
 	is.Equal(r.status, 504)
 	seen := 0
 	for _, endpoint := range w.endpoints {
-		seen += endpoint.Seen()
+		seen += endpoint.Received()
 	}
 	is.True(seen <= 2) // 200 ms at the first, the rest at the second
 }
@@ -571,7 +571,7 @@
 	is := is.New(t)
 	w := newTown(t)
 	w.cold = 3 // requests a second that the endpoint takes
-	w.endpoint("i-1", "pool", "v1", always(standin.Act{Events: 2, Confidence: 5}))
+	w.endpoint("i-1", "pool", "v1", always(standin.Reply{Events: 2, Confidence: 5}))
 	w.publish()
 	e := w.entry("entry-a")
 	ends := make(map[int]int)
--- a/daemon/statement_test.go
+++ b/daemon/statement_test.go
@@ -18,7 +18,7 @@
 	t.Parallel()
 	const rate = 1.6
 	w := newTown(t)
-	limited := w.startTroubled(func(a *standin.Act) { a.Rate = rate })
+	limited := w.startTroubled(func(a *standin.Reply) { a.Rate = rate })
 	w.publish()
 	var entries []*entryAt
 	for _, name := range []string{"entry-a", "entry-b", "entry-c", "entry-d"} {
@@ -47,11 +47,11 @@
 	w := newTown(t)
 	begun := time.Now()
 	leaves := func() bool { return time.Since(begun) > 2*time.Second }
-	leaving := w.startTroubled(func(a *standin.Act) { a.Leaving = leaves() })
+	leaving := w.startTroubled(func(a *standin.Reply) { a.Leaving = leaves() })
 	w.publish()
 	entries := []*entryAt{w.entry("entry-a"), w.entry("entry-b")}
 	for _, e := range entries {
-		e.door.Set(standin.Silent)
+		e.door.SetFault(standin.Silent)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -84,11 +84,11 @@
 	var mu sync.Mutex
 	refused := make(map[int][]time.Time)
 	for i := range 2 {
-		w.endpoint(fmt.Sprintf("i-%d", i), "app", "v1", func(*http.Request) standin.Act {
+		w.endpoint(fmt.Sprintf("i-%d", i), "app", "v1", func(*http.Request) standin.Reply {
 			mu.Lock()
 			defer mu.Unlock()
 			refused[i] = append(refused[i], time.Now())
-			return standin.Act{NotRun: true, Pause: pause}
+			return standin.Reply{NotRun: true, RetryAfter: pause}
 		})
 	}
 	w.publish()
@@ -126,13 +126,13 @@
 
 // startTroubled starts three endpoints of each service, and returns the first of each, whose
 // answers are changed. Streams break off and go on elsewhere, and answers are poor.
-func (w *town) startTroubled(change func(a *standin.Act)) (troubled []*standin.Endpoint) {
-	for service, act := range map[string]standin.Act{
+func (w *town) startTroubled(change func(a *standin.Reply)) (troubled []*standin.Endpoint) {
+	for service, act := range map[string]standin.Reply{
 		"app":  {BreakAfter: -1},
 		"pool": {BreakAfter: 1, Events: 3, Confidence: 30},
 	} {
 		for i := range 3 {
-			e := w.endpoint(fmt.Sprintf("i-%s-%d", service, i), service, "v1", func(*http.Request) standin.Act {
+			e := w.endpoint(fmt.Sprintf("i-%s-%d", service, i), service, "v1", func(*http.Request) standin.Reply {
 				a := act
 				if i == 0 {
 					change(&a)
--- a/daemon/town_test.go
+++ b/daemon/town_test.go
@@ -39,7 +39,7 @@
 // entryAt is one entry of a town.
 type entryAt struct {
 	*direct
-	door    *standin.Door
+	door    *standin.Handler
 	base    string
 	signals chan os.Signal
 	done    chan error
@@ -93,7 +93,7 @@
 }
 
 // endpoint starts an endpoint and announces it.
-func (w *town) endpoint(name, service, version string, act func(r *http.Request) standin.Act) *standin.Endpoint {
+func (w *town) endpoint(name, service, version string, act func(r *http.Request) standin.Reply) *standin.Endpoint {
 	w.t.Helper()
 	e, err := standin.StartEndpoint(name, act)
 	if err != nil {
@@ -101,7 +101,7 @@
 	}
 	w.t.Cleanup(e.Close)
 	w.endpoints[name] = e
-	w.store.Put("keyed.servers", name, e.Entry(service, "a", version, "ready", 1))
+	w.store.Put("keyed.servers", name, e.Registration(service, "a", version, "ready", 1))
 	return e
 }
 
@@ -115,7 +115,7 @@
 
 func (w *town) start(name string) *entryAt {
 	w.t.Helper()
-	door := w.store.Door()
+	door := w.store.Handler()
 	srv := httptest.NewServer(door)
 	w.t.Cleanup(func() { srv.CloseClientConnections(); srv.Close() })
 	s := settings.Default()
@@ -213,11 +213,11 @@
 	return func(r *http.Request) { r.Header.Set("Session", name) }
 }
 
-func always(a standin.Act) func(*http.Request) standin.Act {
+func always(a standin.Reply) func(*http.Request) standin.Reply {
 	if a.BreakAfter == 0 {
 		a.BreakAfter = -1
 	}
-	return func(*http.Request) standin.Act { return a }
+	return func(*http.Request) standin.Reply { return a }
 }
 
 // pieces is the body of a whole stream of n events.
--- a/daemon/upgrade_test.go
+++ b/daemon/upgrade_test.go
@@ -40,7 +40,7 @@
 	w := newTown(t)
 	var old []*standin.Endpoint
 	for i := range 3 {
-		old = append(old, w.endpoint(fmt.Sprintf("i-old-%d", i), "pool", "v1", always(standin.Act{Events: 2, Confidence: 95})))
+		old = append(old, w.endpoint(fmt.Sprintf("i-old-%d", i), "pool", "v1", always(standin.Reply{Events: 2, Confidence: 95})))
 	}
 	w.publish()
 	entries := []*entryAt{w.entry("entry-a"), w.entry("entry-b")}
@@ -51,14 +51,14 @@
 	w.upgradeOrder(20)
 	var mu sync.Mutex
 	n := 0
-	bad := w.endpoint("i-new", "pool", "v2", func(*http.Request) standin.Act {
+	bad := w.endpoint("i-new", "pool", "v2", func(*http.Request) standin.Reply {
 		mu.Lock()
 		defer mu.Unlock()
 		n++
 		if n%2 == 0 {
-			return standin.Act{Status: 500, BreakAfter: -1}
+			return standin.Reply{Status: 500, BreakAfter: -1}
 		}
-		return standin.Act{Events: 2, Confidence: 95, BreakAfter: -1}
+		return standin.Reply{Events: 2, Confidence: 95, BreakAfter: -1}
 	})
 	w.eventually(10*time.Second, "the version is rolled back", func() bool {
 		return strings.Contains(string(w.store.Newest("keyed.status", "rollout/pool")), `"rolled_back"`)
@@ -80,14 +80,14 @@
 	t.Parallel()
 	is := is.New(t)
 	w := newTown(t)
-	old := w.endpoint("i-old", "pool", "v1", always(standin.Act{Events: 2, Confidence: 95}))
+	old := w.endpoint("i-old", "pool", "v1", always(standin.Reply{Events: 2, Confidence: 95}))
 	w.publish()
 	entries := []*entryAt{w.entry("entry-a"), w.entry("entry-b")}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	w.load(ctx, entries, 100000)
 	time.Sleep(500 * time.Millisecond)
-	fresh := w.endpoint("i-new", "pool", "v2", always(standin.Act{Events: 2, Confidence: 95}))
+	fresh := w.endpoint("i-new", "pool", "v2", always(standin.Reply{Events: 2, Confidence: 95}))
 	begun := time.Now()
 	w.upgradeOrder(6)
 	w.eventually(8*time.Second, "the upgrade is completed", func() bool {
--- a/endpoint/admit.go
+++ b/endpoint/admit.go
@@ -52,7 +52,7 @@
 	if e.node.View().Revision() >= head.GetRevision() {
 		return nil
 	}
-	e.node.Behind(head.GetEntry(), "", head.GetRevision())
+	e.node.ReportNewerRevision(head.GetEntry(), "", head.GetRevision())
 	ctx, cancel := context.WithTimeout(ctx, catchUp.Duration())
 	defer cancel()
 	if !e.node.Loop().Await(ctx, func(v *view.View) bool { return v.Revision() >= head.GetRevision() }) {
@@ -138,8 +138,8 @@
 	if !ok {
 		return refusal.New(refusal.NoEndpoint, "endpoint's pool is not in the tables")
 	}
-	e.gate.Bound(limitsOf(pool, a.head.GetService() != ""))
-	a.ticket = e.gate.Arrive(e.node.Clock().Now(), e.request(a))
+	e.gate.SetLimits(limitsOf(pool, a.head.GetService() != ""))
+	a.ticket = e.gate.Submit(e.node.Clock().Now(), e.request(a))
 	wait := pool.QueueWait
 	if wait == 0 {
 		wait = queueWait
--- a/endpoint/admit_test.go
+++ b/endpoint/admit_test.go
@@ -12,7 +12,7 @@
 // An entry has a change that this endpoint lacks, and sends a request decided on
 // it. The endpoint waits for the change instead of refusing, or deciding on what
 // was in force before.
-func TestBehindCatchesUp(t *testing.T) {
+func TestOutdatedEndpointWaitsForTables(t *testing.T) {
 	r := newRig(t, 3)
 	head := r.head("r1")
 	head.Revision = 1
@@ -31,7 +31,7 @@
 
 // The change never comes. The caller is told that nothing ran, and when to come
 // back.
-func TestBehindForGoodRefuses(t *testing.T) {
+func TestEndpointThatStaysOutdatedRefuses(t *testing.T) {
 	r := newRig(t, 3)
 	head := r.head("r1")
 	head.Revision = 9
@@ -80,7 +80,7 @@
 // The endpoint is told to stop while a request waits for a place. The stream
 // under way ends whole, the waiting request is refused as not run, and then the
 // endpoint is idle.
-func TestStopWhileRequestsWait(t *testing.T) {
+func TestDrainRefusesWaitingRequests(t *testing.T) {
 	r := newRig(t, 3)
 	g := r.waitWhile(func() {
 		r.n.Drain(t.Context())
@@ -95,7 +95,7 @@
 
 // More requests come than a cold endpoint may hold. The engine never gets more
 // than its window; the surplus is told that it did not run and when to come back.
-func TestColdEndpointHoldsNoMoreThanItsWindow(t *testing.T) {
+func TestColdEndpointStaysWithinItsWindow(t *testing.T) {
 	r := newRig(t, 3)
 	r.patch("[tables.pools.small]\nversions = [\"small@1\"]\ncold-window = 2\nfull-window = 2\nqueue = 1\nqueue-wait = \"1ms\"\n")
 	r.engine.SetFaults(standin.EngineFaults{Stall: true})
@@ -131,7 +131,7 @@
 // A cold engine is given a burst far beyond what it bears. Without the window it
 // falls over, starts again cold and falls over again. With it every request is
 // answered in its turn, and the engine never falls.
-func TestBurstDoesNotFellColdEngine(t *testing.T) {
+func TestBurstDoesNotCrashColdEngine(t *testing.T) {
 	r := newRig(t, 3)
 	r.patch("[tables.pools.small]\nversions = [\"small@1\"]\ncold-window = 2\nfull-window = 64\nqueue = 400\nqueue-wait = \"30s\"\n")
 	r.engine.SetCold(2, 64)
@@ -150,7 +150,7 @@
 
 // A caller waits for a short time only, and the endpoint's queue is slow. The
 // request must not run when nobody waits for it any more.
-func TestDeadlineCountsTheWait(t *testing.T) {
+func TestDeadlineIncludesQueueWait(t *testing.T) {
 	r := newRig(t, 3)
 	r.engine.SetFaults(standin.EngineFaults{Stall: true})
 	first := r.begin(t.Context(), r.head("r1"), chatBody)
--- a/endpoint/attempt.go
+++ b/endpoint/attempt.go
@@ -151,14 +151,14 @@
 }
 
 func (a *attempt) firstToken() {
-	a.e.gate.FirstToken(a.e.node.Clock().Now(), a.ticket)
+	a.e.gate.RecordFirstToken(a.e.node.Clock().Now(), a.ticket)
 }
 
 // outcomeOf says what a refusal tells about the endpoint.
 func outcomeOf(r *refusal.Refusal) gate.Outcome {
 	switch r.Code() {
 	case refusal.EngineFailed:
-		return gate.Broken
+		return gate.Failed
 	case refusal.EngineUnreachable:
 		return gate.Unreachable
 	}
--- a/endpoint/cache_test.go
+++ b/endpoint/cache_test.go
@@ -23,7 +23,7 @@
 // A session's old endpoint is lost in the middle of handing its cache over. Had
 // the reader ended there as at an end, the engine would take half a cache for a
 // whole one and answer from it.
-func TestCacheThatBreaksOffIsNoCache(t *testing.T) {
+func TestTruncatedCacheIsAnError(t *testing.T) {
 	is := is.New(t)
 	whole, err := io.ReadAll(partsOf(&wire.CachePart{Data: []byte("ab")}, &wire.CachePart{}, &wire.CachePart{Data: []byte("c"), Last: true}))
 	is.NoErr(err)
--- a/endpoint/endpoint.go
+++ b/endpoint/endpoint.go
@@ -66,9 +66,9 @@
 		keeping: answer.NewStore(answer.StoreLimits{MaxAnswers: keptAnswers, MaxBytes: keptBytes, MaxAnswerBytes: keptBytesOfOne, Retention: keptFor}),
 	}
 	e.aborted, e.abort = context.WithCancel(context.Background())
-	e.orphan = n.Billing().Orphan
+	e.orphan = n.Billing().FinishOrphaned
 	n.SetLoad(e.load)
-	n.SetHandler(e.perform)
+	n.SetEffectHandler(e.perform)
 	return e
 }
 
--- a/endpoint/heartbeat_test.go
+++ b/endpoint/heartbeat_test.go
@@ -11,7 +11,7 @@
 // entry would take the silent stream for one of a frozen endpoint, and start the
 // request elsewhere again and again. A heartbeat must come each second, none beside
 // pieces that flow, and none after the last piece.
-func TestSilentStreamIsKeptAlive(t *testing.T) {
+func TestIdleStreamSendsHeartbeats(t *testing.T) {
 	is := is.New(t)
 	const ticks = int(heartbeatEvery / watchEvery)
 	heartbeats := 0
--- a/endpoint/leak_test.go
+++ b/endpoint/leak_test.go
@@ -15,7 +15,7 @@
 // Callers come and go in the middle of whatever happens to their requests, and
 // engines break off. A place or a goroutine that stays behind each time would
 // close the endpoint within hours.
-func TestNothingStaysBehind(t *testing.T) {
+func TestNoSlotOrGoroutineLeaks(t *testing.T) {
 	r := newRig(t, 4)
 	r.patch("[tables.pools.small]\nversions = [\"small@1\"]\ncold-window = 2\nfull-window = 8\nqueue = 4\nqueue-wait = \"5ms\"\n")
 	r.is.NoErr(r.run(t.Context(), r.head("first"), chatBody).err)
--- a/endpoint/order_test.go
+++ b/endpoint/order_test.go
@@ -29,7 +29,7 @@
 
 // Operators publish a pool, and its engine has loaded nothing. Until it has, a
 // request is refused as not run; then it is served.
-func TestEngineIsOrderedToTheTables(t *testing.T) {
+func TestEngineIsConfiguredFromTables(t *testing.T) {
 	var leases []provider.Record
 	r := newManagedRig(t, true, &leases)
 	r.eventually("engine seen", func() bool { return r.e.status.Load() != nil })
@@ -46,7 +46,7 @@
 // A process was paused after it took a lease; another process of its VM has taken
 // one since. The engine ignores fencing numbers, so the first must see by itself
 // that it is out.
-func TestPausedHolderGivesNoOrder(t *testing.T) {
+func TestPausedLeaseHolderSendsNoOrder(t *testing.T) {
 	var leases []provider.Record
 	r := newManagedRig(t, false, &leases)
 	other, err := proto.Marshal(&wire.Lease{Vm: "endpoint-1", Epoch: 7})
--- a/endpoint/piece_test.go
+++ b/endpoint/piece_test.go
@@ -51,7 +51,7 @@
 // pass carries one stream from an engine through an attempt, without network.
 func (r *rig) pass(e *engine.Engine) error {
 	a := newAttempt(r.e, &sink{}, &wire.RunFrame{Head: r.head("r1"), Last: true})
-	a.ticket = r.e.gate.Arrive(r.n.Clock().Now(), r.e.request(a))
+	a.ticket = r.e.gate.Submit(r.n.Clock().Now(), r.e.request(a))
 	err := e.Chat(r.t.Context(), engine.ChatRequest{RequestID: "r1", Body: []byte("{}")}, a.chunk)
 	a.e.close(a)
 	return err
--- a/endpoint/run_test.go
+++ b/endpoint/run_test.go
@@ -34,7 +34,7 @@
 // An entry vanishes in the middle of a keyed request. The run goes on, and an
 // entry that asks for it gets the whole answer. It is not billed from here: the
 // caller's retry may be answered and billed by another run.
-func TestKeyedRunOutlivesItsEntry(t *testing.T) {
+func TestKeyedRunContinuesWithoutItsEntry(t *testing.T) {
 	r := newRig(t, 5)
 	r.e.orphan = func(*wire.Bill) { t.Error("a run that nobody may have got was billed") }
 	r.engine.SetFaults(standin.EngineFaults{Stall: true})
@@ -61,7 +61,7 @@
 
 // An entry vanishes in the middle of a call that charges a fee. The fee is
 // charged, so the step must be billed, and the answer be there for the retry.
-func TestOrphanedCallIsBilled(t *testing.T) {
+func TestCallOfDisconnectedEntryIsBilled(t *testing.T) {
 	r := newPlainRig(t)
 	orphans := make(chan *wire.Bill, 1)
 	r.e.orphan = func(b *wire.Bill) { orphans <- b }
@@ -82,7 +82,7 @@
 }
 
 // An entry that took the last piece has billed the step; the endpoint must not.
-func TestTakenAnswerIsNoOrphan(t *testing.T) {
+func TestDeliveredAnswerIsNotBilledTwice(t *testing.T) {
 	r := newPlainRig(t)
 	orphaned := false
 	r.e.orphan = func(*wire.Bill) { orphaned = true }
@@ -104,7 +104,7 @@
 // A caller's second try asks the endpoint to refuse the first attempt, which is
 // still on its way, and tells its caller "not run". When the first attempt
 // arrives after all it must not run.
-func TestTombstoneComesBeforeAttempt(t *testing.T) {
+func TestRefusalBeforeAttemptPreventsRun(t *testing.T) {
 	r := newPlainRig(t)
 	head := r.call("r1", "POST", "fees")
 	head.ClaimStream = "claims-0"
@@ -116,7 +116,7 @@
 
 // An attempt ran, and its endpoint is asked to refuse it. Saying "not run" would
 // charge a fee twice.
-func TestTombstoneComesTooLate(t *testing.T) {
+func TestRefusalAfterRunReportsRan(t *testing.T) {
 	r := newPlainRig(t)
 	head := r.call("r1", "POST", "fees")
 	head.ClaimStream = "claims-0"
@@ -131,7 +131,7 @@
 // The endpoint's process restarted since the attempt was sent and remembers
 // nothing. It may not say "not run" of what its predecessor did, nor run an
 // attempt that its predecessor refused.
-func TestRestartedEndpointKnowsNothing(t *testing.T) {
+func TestRestartedEndpointReportsUnknown(t *testing.T) {
 	r := newPlainRig(t)
 	head := r.call("r1", "POST", "fees")
 	head.ClaimStream = "claims-0"
@@ -160,7 +160,7 @@
 
 // A service breaks off in the middle of its answer: the call ran, and its fee is
 // due.
-func TestPlainAnswerBreaksOff(t *testing.T) {
+func TestInterruptedPlainAnswerIsBilled(t *testing.T) {
 	r := newPlainRig(t)
 	r.plain.SetFaults(standin.PlainFaults{BreakAfter: 4})
 	g := r.run(t.Context(), r.call("r1", "PUT", "fees"), "long body")
@@ -192,7 +192,7 @@
 }
 
 // A second SIGTERM cuts off what is held: the caller is told that it ran.
-func TestAbortTellsTheTruth(t *testing.T) {
+func TestAbortReportsRan(t *testing.T) {
 	r := newRig(t, 3)
 	r.engine.SetFaults(standin.EngineFaults{Stall: true})
 	answered := r.begin(t.Context(), r.head("r1"), chatBody)
@@ -239,7 +239,7 @@
 // A keyed chat is refused while the endpoint is full, and its engine breaks on the
 // caller's second try. Each retry makes the same attempt, so an endpoint that
 // remembered the failures as final would refuse that key for good.
-func TestKeyedChatMayComeAgainAfterFailures(t *testing.T) {
+func TestKeyedChatCanBeRetriedAfterFailures(t *testing.T) {
 	r := newRig(t, 3)
 	head := r.head("keyed")
 	head.IdempotencyKey = "k"
--- a/endpoint/status.go
+++ b/endpoint/status.go
@@ -26,8 +26,8 @@
 	return s
 }
 
-// Measure adds the window to the node's metrics.
-func (e *Endpoint) Measure() {
+// RegisterMetrics adds the window to the node's metrics.
+func (e *Endpoint) RegisterMetrics() {
 	set := e.node.Metrics()
 	set.GetOrCreateGauge("parsleydeal_window_held", func() float64 { return float64(e.load().GetHeld()) })
 	set.GetOrCreateGauge("parsleydeal_window_waiting", func() float64 { return float64(e.load().GetWaiting()) })
--- a/endpoint/watch.go
+++ b/endpoint/watch.go
@@ -45,7 +45,7 @@
 // idle endpoint tells entries its true window.
 func (e *Endpoint) bound() {
 	if pool, ok := e.pool(); ok {
-		e.gate.Bound(limitsOf(pool, e.node.Settings().Endpoint.Plain))
+		e.gate.SetLimits(limitsOf(pool, e.node.Settings().Endpoint.Plain))
 	}
 }
 
@@ -57,7 +57,7 @@
 	l, err := e.engine.Load(ctx)
 	if err != nil {
 		if before && errorx.IsOfType(err, engine.ErrNotStarted) {
-			e.gate.Close()
+			e.gate.CloseWindow()
 			e.node.Log().Warn("Engine takes no connection; the window is closed.", "error", logbook.Text(err))
 		}
 		return !errorx.IsOfType(err, engine.ErrNotStarted)
@@ -69,7 +69,7 @@
 	e.node.Loop().Offer(event.EngineSeen{
 		Now: e.node.Clock().Now(), Generation: l.Generation, Versions: l.Versions, Role: l.Role, Busy: e.busy.versions(), Revision: revision,
 	})
-	if e.gate.Generation(l.Generation) {
+	if e.gate.SetGeneration(l.Generation) {
 		e.node.Log().Warn("Engine has restarted; the window is closed.", "generation", l.Generation)
 	}
 	return true
--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -44,7 +44,7 @@
 	stream, err := e.node.Peers().Gate(ctx, vm.Address).Run(ctx)
 	if err != nil {
 		if ctx.Err() == nil {
-			e.node.NotReached(vm.ID)
+			e.node.ReportUnreachable(vm.ID)
 		}
 		return false, connectionError(ctx, err)
 	}
@@ -68,8 +68,8 @@
 	if !endedBySilence(ctx) {
 		return
 	}
-	e.inflight.Lost(vm, e.node.Clock().Now())
-	e.node.NotReached(vm)
+	e.inflight.RecordUnreachable(vm, e.node.Clock().Now())
+	e.node.ReportUnreachable(vm)
 }
 
 // errBodyIncomplete marks a caller's body that could not be read to its end.
@@ -188,9 +188,9 @@
 
 // recordLoad passes on the endpoint's table revision and load, which come with a piece.
 func (e *Entry) recordLoad(p *wire.Piece) {
-	e.node.Behind(p.GetLoad().GetVm(), "", p.GetRevision())
+	e.node.ReportNewerRevision(p.GetLoad().GetVm(), "", p.GetRevision())
 	if p.GetLoad() != nil {
-		e.inflight.Report(p.GetLoad(), e.node.Clock().Now())
+		e.inflight.RecordLoad(p.GetLoad(), e.node.Clock().Now())
 		e.node.Loop().Offer(event.LoadReceived{Now: e.node.Clock().Now(), Load: p.GetLoad()})
 	}
 }
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -29,7 +29,7 @@
 	sessions     *session.Keys
 	raterClient  *raterClient
 	raterBackoff raterBackoff
-	retries      *limit.Retries
+	retries      *limit.RetryBudget
 	// lossRetries is the retry budget for attempts whose endpoint became unreachable.
 	lossRetries *limit.Share
 	queues      *limit.Queues
@@ -47,13 +47,13 @@
 		affinity:    choice.NewAffinity(),
 		sessions:    session.NewKeys(s.Keys, s.Current).WithLifetime(s.Lifetime),
 		raterClient: newRaterClient(),
-		retries:     limit.NewRetries(),
+		retries:     limit.NewRetryBudget(),
 		lossRetries: limit.NewShare(lossRetryWindow, lossRetryRatio, lossRetrySlack),
 		queues:      limit.NewQueues(n.Clock()),
 		meter:       meter.New(n.Metrics()),
 		burn:        burn.NewRecorder(n.Clock()),
 	}
-	n.SetInherit(e.inheritBurnCounts)
+	n.SetInheritHandler(e.inheritBurnCounts)
 	return e
 }
 
--- a/entry/key.go
+++ b/entry/key.go
@@ -27,8 +27,8 @@
 // home returns the preferred endpoint of a request: its session's or, for a keyed request, one that
 // every entry derives in the same way, so that a retry reaches the endpoint of the first attempt.
 func (r *requestState) home() string {
-	if r.session.Home != "" || r.key == "" || r.service != "" {
-		return r.session.Home
+	if r.session.SessionVM != "" || r.key == "" || r.service != "" {
+		return r.session.SessionVM
 	}
 	vm, best := "", uint64(0)
 	for _, pool := range r.pools() {
--- a/entry/key_test.go
+++ b/entry/key_test.go
@@ -31,7 +31,7 @@
 		s.Reduce(event.VMsListed{VMs: vms})
 		v := view.New(tables, 0, 0, s.Members(), false).WithSubsets(map[string][]provider.VM{"p": subset})
 		req := &requestState{id: keyedRequestID("desk", "quick", key, []byte("body")), key: key, version: "m@1", view: v}
-		vm, ok := choice.Endpoint(v, choice.NewInflight(), choice.NewAffinity(), choice.Query{Pools: req.pools(), Home: req.home()})
+		vm, ok := choice.SelectEndpoint(v, choice.NewInflight(), choice.NewAffinity(), choice.Query{Pools: req.pools(), SessionVM: req.home()})
 		is.True(ok)
 		return vm.ID
 	}
--- a/entry/plan.go
+++ b/entry/plan.go
@@ -56,7 +56,7 @@
 		Hash: xxhash.Sum64String(req.session.ID), InputTokens: int64(len(req.body) / bytesPerToken),
 	}
 	if version != "" && reason == "" {
-		req.plans = choice.Kept(req.view, req.route, q, version)
+		req.plans = choice.SessionPlans(req.view, req.route, q, version)
 	} else {
 		req.plans = choice.Plans(req.view, req.route, q)
 	}
--- a/entry/run.go
+++ b/entry/run.go
@@ -28,14 +28,14 @@
 	ctx, cancel := context.WithTimeout(ctx, req.deadline.Duration())
 	defer cancel()
 	defer func() { err = withDefaultRetryAfter(req.overallRefusal(err)) }()
-	e.retries.Earn()
-	e.lossRetries.Earn(e.node.Clock().Now())
+	e.retries.RecordRequest()
+	e.lossRetries.RecordRequest(e.node.Clock().Now())
 	if req.service != "" {
 		return e.runAttempts(ctx, req, emit)
 	}
 	for range maxMoves + 1 {
 		err = e.runPlans(ctx, req, emit)
-		if !e.needsOtherVersion(req, err) || !e.retries.Take() {
+		if !e.needsOtherVersion(req, err) || !e.retries.TryRetry() {
 			return err
 		}
 		if err = e.choose(req); err != nil {
@@ -58,7 +58,7 @@
 		} else {
 			err = e.runAttempts(ctx, req, emit)
 		}
-		if err == nil || i == len(req.plans)-1 || !noCapacity(err) || !e.retries.Take() {
+		if err == nil || i == len(req.plans)-1 || !noCapacity(err) || !e.retries.TryRetry() {
 			return err
 		}
 	}
@@ -87,23 +87,23 @@
 // complete answer.
 func (e *Entry) runAttempts(ctx context.Context, req *requestState, emit func(*wire.Piece) error) (err error) {
 	queue := e.queues.For(req.target())
-	if err = queue.Enter(ctx, e.queueItem(ctx, req)); err != nil {
+	if err = queue.Acquire(ctx, e.queueItem(ctx, req)); err != nil {
 		return err
 	}
-	defer func() { queue.Leave(outcomeOf(err)) }()
+	defer func() { queue.Release(outcomeOf(err)) }()
 	req.restart()
 	avoid := make(map[string]bool)
 	// saturated holds the endpoints that refused only for lack of capacity.
 	saturated := make(map[string]bool)
 	err = refusal.New(refusal.NoEndpoint, "no endpoint can take the request").WithRetryAfter(startingRetry)
 	for i := range maxAttempts {
-		vm, ok := choice.Endpoint(req.view, e.inflight, e.affinity, e.endpointQuery(req, avoid))
+		vm, ok := choice.SelectEndpoint(req.view, e.inflight, e.affinity, e.endpointQuery(req, avoid))
 		if !ok && len(saturated) > 0 {
 			// A saturated endpoint is tried again when no other is left: if one of two was full
 			// and the other then fell silent, the first has had seconds to free capacity.
 			maps.DeleteFunc(avoid, func(id string, _ bool) bool { return saturated[id] })
 			clear(saturated)
-			vm, ok = choice.Endpoint(req.view, e.inflight, e.affinity, e.endpointQuery(req, avoid))
+			vm, ok = choice.SelectEndpoint(req.view, e.inflight, e.affinity, e.endpointQuery(req, avoid))
 		}
 		if !ok || i > 0 && !e.mayRetry(err) {
 			e.node.Log().Info("No further attempt", "request", req.id, "attempts", req.attempts, "endpoint-left", ok, "error", logbook.Text(err))
@@ -119,7 +119,7 @@
 		err = e.attempt(ctx, req, vm, func(p *wire.Piece) error {
 			if !received {
 				received = true
-				queue.Taken()
+				queue.Accepted()
 			}
 			obs.recordPiece(p)
 			return emit(p)
@@ -132,7 +132,7 @@
 			e.node.Log().Info("Attempt did not answer", "request", req.id, "endpoint", vm.ID, "attempt", req.attempts, "version", req.version, "revision", req.view.Revision(), "error", logbook.Text(err))
 		}
 		if notReached(err) || notStarted(err) {
-			e.inflight.Lost(vm.ID, e.node.Clock().Now())
+			e.inflight.RecordUnreachable(vm.ID, e.node.Clock().Now())
 		}
 		if err == nil {
 			return nil
@@ -153,7 +153,7 @@
 // holds: when one of two endpoints froze, 18 requests of 36 callers got 502. This happens only once
 // per endpoint, as it gets no new requests afterwards, so these attempts have a separate budget.
 func (e *Entry) mayRetry(cause error) bool {
-	return notReached(cause) || notStarted(cause) || e.retries.Take() || endpointLost(cause) && e.lossRetries.Take(e.node.Clock().Now())
+	return notReached(cause) || notStarted(cause) || e.retries.TryRetry() || endpointLost(cause) && e.lossRetries.TryRetry(e.node.Clock().Now())
 }
 
 // endpointLost reports whether an attempt ended because its endpoint disconnected or fell silent.
@@ -175,19 +175,19 @@
 func (e *Entry) endpointQuery(req *requestState, avoid map[string]bool) choice.Query {
 	return choice.Query{
 		Pools: req.pools(), Avoid: avoid, Seed: xxhash.Sum64String(req.id), Now: e.node.Clock().Now(),
-		Home: req.home(), Prefix: req.prefix,
+		SessionVM: req.home(), Prefix: req.prefix,
 	}
 }
 
 // setHome makes the endpoint that gets the request the home of its session.
 func (e *Entry) setHome(req *requestState, vm string) (err error) {
-	if req.service != "" || req.session.Home == vm {
+	if req.service != "" || req.session.SessionVM == vm {
 		return nil
 	}
 	if req.cacheFrom == "" && req.pinned && req.sessionMoved == "" {
-		req.cacheFrom = req.session.Home
+		req.cacheFrom = req.session.SessionVM
 	}
-	req.session.Home = vm
+	req.session.SessionVM = vm
 	req.token, err = e.sessions.Sign(req.session)
 	return err
 }
--- a/entry/run_test.go
+++ b/entry/run_test.go
@@ -35,12 +35,12 @@
 // endpoints are idle.
 func TestNotStartedEndpointsUseNoRetryBudget(t *testing.T) {
 	is := is.New(t)
-	e := &Entry{retries: limit.NewRetries()}
+	e := &Entry{retries: limit.NewRetryBudget()}
 	starting := refusal.New(refusal.Starting, "endpoint has no tables yet")
 	for range 50 {
 		is.True(e.mayRetry(starting))
 	}
-	is.True(e.retries.Take()) // the budget is unused
+	is.True(e.retries.TryRetry()) // the budget is unused
 	is.True(notStarted(starting))
 	is.True(!notStarted(refusal.New(refusal.Saturated, "full")))
 	is.True(!notStarted(starting.WithRun(refusal.Unknown)))
--- a/gate/gate.go
+++ b/gate/gate.go
@@ -62,8 +62,8 @@
 	return g
 }
 
-// Bound takes new limits from the tables without forgetting what was learned.
-func (g *Gate) Bound(l Limits) {
+// SetLimits takes new limits from the tables without forgetting what was learned.
+func (g *Gate) SetLimits(l Limits) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if l == g.limits {
@@ -73,8 +73,8 @@
 	g.window.bound(l.Cold, l.Full)
 }
 
-// Arrive admits a request, lets it wait or refuses it at once.
-func (g *Gate) Arrive(now clock.Millis, r Request) (t *Ticket) {
+// Submit admits a request, lets it wait or refuses it at once.
+func (g *Gate) Submit(now clock.Millis, r Request) (t *Ticket) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	t = &Ticket{request: r, decided: make(chan struct{})}
@@ -108,8 +108,8 @@
 	return true
 }
 
-// FirstToken tells that an admitted request got its first token.
-func (g *Gate) FirstToken(now clock.Millis, t *Ticket) {
+// RecordFirstToken tells that an admitted request got its first token.
+func (g *Gate) RecordFirstToken(now clock.Millis, t *Ticket) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if t.state != Admitted || t.first {
@@ -155,7 +155,7 @@
 		if t.calm && t.pressed {
 			g.window.grow()
 		}
-	case Broken:
+	case Failed:
 		g.window.shrink()
 	case Unreachable:
 		g.close()
@@ -163,9 +163,9 @@
 	g.fill(now)
 }
 
-// Generation takes in the engine's generation. Another one than before is a
+// SetGeneration takes in the engine's generation. Another one than before is a
 // restarted engine: its caches and compiled state are gone, so it is cold.
-func (g *Gate) Generation(generation uint64) (closed bool) {
+func (g *Gate) SetGeneration(generation uint64) (closed bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	closed = g.generation != 0 && generation != g.generation
@@ -176,8 +176,8 @@
 	return closed
 }
 
-// Close shuts the window down to its cold size.
-func (g *Gate) Close() {
+// CloseWindow shuts the window down to its cold size.
+func (g *Gate) CloseWindow() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.close()
--- a/gate/gate_test.go
+++ b/gate/gate_test.go
@@ -15,12 +15,12 @@
 	is := is.New(t)
 	g := New(Limits{Cold: 2, Full: 2, Queue: 4})
 	large := Request{Organisation: "large", Weight: 1}
-	first := g.Arrive(0, large)
-	g.Arrive(0, large)
+	first := g.Submit(0, large)
+	g.Submit(0, large)
 	for range 4 {
-		g.Arrive(0, large)
+		g.Submit(0, large)
 	}
-	small := g.Arrive(1, Request{Organisation: "small", Weight: 1})
+	small := g.Submit(1, Request{Organisation: "small", Weight: 1})
 	is.Equal(g.State(small), Waiting) // a full queue turns away the one that asks most
 	is.Equal(g.Load().Waiting, 4)
 	g.Finish(2, first, Served)
@@ -29,12 +29,12 @@
 
 // A high-priority bulletin is refused while low-priority drafts wait in the full
 // queue. The queue turns away the lowest priority first.
-func TestPriorityGoesFirst(t *testing.T) {
+func TestFullQueueRefusesLowestPriority(t *testing.T) {
 	is := is.New(t)
 	g := New(Limits{Cold: 1, Full: 1, Queue: 1})
-	held := g.Arrive(0, Request{Organisation: "a"})
-	low := g.Arrive(0, Request{Organisation: "b", Priority: -1})
-	high := g.Arrive(0, Request{Organisation: "a", Priority: 1})
+	held := g.Submit(0, Request{Organisation: "a"})
+	low := g.Submit(0, Request{Organisation: "b", Priority: -1})
+	high := g.Submit(0, Request{Organisation: "a", Priority: 1})
 	is.Equal(g.State(low), Refused)
 	g.Finish(1, held, Served)
 	is.Equal(g.State(high), Admitted)
@@ -47,16 +47,16 @@
 	g := New(Limits{Cold: 1, Full: 8})
 	now := clock.Millis(0)
 	for range 40 {
-		tickets := []*Ticket{g.Arrive(now, Request{}), g.Arrive(now, Request{}), g.Arrive(now, Request{})}
+		tickets := []*Ticket{g.Submit(now, Request{}), g.Submit(now, Request{}), g.Submit(now, Request{})}
 		now += 100
 		for _, x := range tickets {
-			g.FirstToken(now, x)
+			g.RecordFirstToken(now, x)
 			g.Finish(now, x, Served)
 		}
 	}
 	is.True(g.Load().Window > 1)
 	for range 3 {
-		g.Arrive(now, Request{})
+		g.Submit(now, Request{})
 	}
 	g.Tick(now + 300)
 	is.Equal(g.Load().Closed, 0)
@@ -67,12 +67,12 @@
 
 // An idle endpoint that serves one request at a time has not shown that it can
 // bear more, so its window stays where it is.
-func TestTrickleDoesNotOpenWindow(t *testing.T) {
+func TestLightLoadDoesNotOpenWindow(t *testing.T) {
 	is := is.New(t)
 	g := New(Limits{Cold: 4, Full: 32})
 	for now := clock.Millis(0); now < 100; now++ {
-		x := g.Arrive(now, Request{})
-		g.FirstToken(now, x)
+		x := g.Submit(now, Request{})
+		g.RecordFirstToken(now, x)
 		g.Finish(now, x, Served)
 	}
 	is.Equal(g.Load().Window, 4)
@@ -96,7 +96,7 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"arrive": func(t *rapid.T) {
 				before := g.Load()
-				x := g.Arrive(now, Request{
+				x := g.Submit(now, Request{
 					Organisation: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "organisation"),
 					Weight:       rapid.IntRange(1, 3).Draw(t, "weight"), Priority: int32(rapid.IntRange(-1, 1).Draw(t, "priority")),
 				})
@@ -105,10 +105,10 @@
 					t.Fatal("admitted beyond the window")
 				}
 			},
-			"first":      func(t *rapid.T) { g.FirstToken(now, pick(t)) },
+			"first":      func(t *rapid.T) { g.RecordFirstToken(now, pick(t)) },
 			"finish":     func(t *rapid.T) { g.Finish(now, pick(t), Outcome(rapid.IntRange(0, 3).Draw(t, "outcome"))) },
 			"withdraw":   func(t *rapid.T) { g.Withdraw(pick(t)) },
-			"generation": func(t *rapid.T) { g.Generation(rapid.Uint64Range(1, 3).Draw(t, "generation")) },
+			"generation": func(t *rapid.T) { g.SetGeneration(rapid.Uint64Range(1, 3).Draw(t, "generation")) },
 			"time":       func(t *rapid.T) { now += clock.Millis(rapid.IntRange(1, 1000).Draw(t, "span")); g.Tick(now) },
 			"": func(t *rapid.T) {
 				held, waiting := 0, 0
@@ -145,14 +145,14 @@
 	g := New(Limits{Cold: 64, Full: 64, Queue: 64})
 	var held []*Ticket
 	for i := range 128 {
-		held = append(held, g.Arrive(0, Request{Organisation: string(rune('a' + i%8)), Weight: 1}))
+		held = append(held, g.Submit(0, Request{Organisation: string(rune('a' + i%8)), Weight: 1}))
 	}
 	b.ReportAllocs()
 	for i := range b.N {
 		now := clock.Millis(i)
 		first := held[0]
-		g.FirstToken(now, first)
+		g.RecordFirstToken(now, first)
 		g.Finish(now, first, Served)
-		held = append(held[1:], g.Arrive(now, Request{Organisation: string(rune('a' + i%8)), Weight: 1}))
+		held = append(held[1:], g.Submit(now, Request{Organisation: string(rune('a' + i%8)), Weight: 1}))
 	}
 }
--- a/gate/ramp_test.go
+++ b/gate/ramp_test.go
@@ -47,7 +47,7 @@
 		if r.first > 0 {
 			r.first -= pace / slow
 			if r.first <= 0 {
-				g.FirstToken(now, r.ticket)
+				g.RecordFirstToken(now, r.ticket)
 			}
 		} else if r.whole -= pace; r.whole <= 0 {
 			g.Finish(now, r.ticket, Served)
@@ -74,7 +74,7 @@
 
 func (e *rampEngine) restart(now clock.Millis, g *Gate) {
 	for _, r := range e.running {
-		g.Finish(now, r.ticket, Broken)
+		g.Finish(now, r.ticket, Failed)
 	}
 	e.running = nil
 	e.bears = e.cold
@@ -120,7 +120,7 @@
 	from := r.rng.IntN(len(r.gates))
 	for try := range 3 {
 		at := (from + try) % len(r.gates)
-		t := r.gates[at].Arrive(now, Request{Organisation: "office", Weight: 1})
+		t := r.gates[at].Submit(now, Request{Organisation: "office", Weight: 1})
 		if r.gates[at].State(t) != Refused {
 			r.waits = append(r.waits, rampWait{ticket: t, at: at, since: now})
 			return
@@ -184,7 +184,7 @@
 func (r *ramp) advance(now clock.Millis) (served int) {
 	for i, e := range r.engines {
 		if now%rampPoll == 0 && now >= e.downUntil {
-			r.gates[i].Generation(e.generation)
+			r.gates[i].SetGeneration(e.generation)
 		}
 		if now%100 == 0 {
 			r.gates[i].Tick(now)
--- a/gate/ticket.go
+++ b/gate/ticket.go
@@ -33,8 +33,8 @@
 	// Dropped requests ended through no fault of the endpoint: cancelled, or
 	// turned away before dispatch.
 	Dropped
-	// Broken requests failed at the endpoint.
-	Broken
+	// Failed requests failed at the endpoint.
+	Failed
 	// Unreachable means that the endpoint took no connection.
 	Unreachable
 )
--- a/limit/core.go
+++ b/limit/core.go
@@ -23,9 +23,9 @@
 	Refuse
 )
 
-// Core decides who may start at one pool. It reads no clock and waits for
+// Admission decides who may start at one pool. It reads no clock and waits for
 // nothing; Queue runs it for requests.
-type Core struct {
+type Admission struct {
 	window window
 	fair   fair
 	// rate is how many requests end in a millisecond, smoothed over rateSpan as if
@@ -36,15 +36,15 @@
 	seen clock.Millis
 }
 
-// NewCore makes an idle core.
-func NewCore() *Core {
-	return &Core{window: window{size: firstWindow}, fair: newFair()}
+// NewAdmission makes an idle core.
+func NewAdmission() *Admission {
+	return &Admission{window: window{size: firstWindow}, fair: newFair()}
 }
 
 // Arrive takes a request in. A request that could only give up waiting is
 // refused at once, with the time at which to come back. Dropped lists others
 // that had to make room; they are refused too.
-func (c *Core) Arrive(now clock.Millis, it Item) (v Verdict, retry clock.Millis, dropped []Item) {
+func (c *Admission) Arrive(now clock.Millis, it Item) (v Verdict, retry clock.Millis, dropped []Item) {
 	if c.fair.size == 0 && c.window.room() {
 		c.start(now)
 		return Start, 0, nil
@@ -64,7 +64,7 @@
 }
 
 // expected is about how long a request would wait.
-func (c *Core) expected(it Item) clock.Millis {
+func (c *Admission) expected(it Item) clock.Millis {
 	if c.rate == 0 {
 		return 0
 	}
@@ -77,27 +77,27 @@
 // fast requests end: were it counted, the first ones after a start or a pause
 // would make the pool look many times slower than it is, and those behind them
 // would be refused and told to come back much too late.
-func (c *Core) start(now clock.Millis) {
+func (c *Admission) start(now clock.Millis) {
 	if c.window.used == 0 {
 		c.endedAt = now
 	}
 	c.window.used++
 }
 
-// Retry is when a request refused now is told to come back.
-func (c *Core) Retry(it Item) clock.Millis { return bounded(c.expected(it)) }
+// RetryAfter is when a request refused now is told to come back.
+func (c *Admission) RetryAfter(it Item) clock.Millis { return bounded(c.expected(it)) }
 
 func bounded(d clock.Millis) clock.Millis { return min(max(d, leastRetry), mostRetry) }
 
-// Taken tells that a gate took a started request, and returns who may start now.
-func (c *Core) Taken(now clock.Millis) (started, expired []Item) {
+// Accepted tells that a gate took a started request, and returns who may start now.
+func (c *Admission) Accepted(now clock.Millis) (started, expired []Item) {
 	c.window.grow(now)
 	return c.next(now)
 }
 
-// End gives a place back and returns who may start now. Expired lists waiting
+// Release gives a place back and returns who may start now. Expired lists waiting
 // requests whose callers have given up by now.
-func (c *Core) End(now clock.Millis, o Outcome) (started, expired []Item) {
+func (c *Admission) Release(now clock.Millis, o Outcome) (started, expired []Item) {
 	c.window.end(now, o)
 	if o != Refused {
 		c.count(now)
@@ -105,7 +105,7 @@
 	return c.next(now)
 }
 
-func (c *Core) next(now clock.Millis) (started, expired []Item) {
+func (c *Admission) next(now clock.Millis) (started, expired []Item) {
 	for c.window.room() {
 		it, ok := c.fair.pop()
 		if !ok {
@@ -122,7 +122,7 @@
 }
 
 // count smooths the rate of ended requests.
-func (c *Core) count(now clock.Millis) {
+func (c *Admission) count(now clock.Millis) {
 	span := max(now-c.endedAt, 0)
 	c.endedAt = now
 	keep := max(1-float64(span)/float64(rateSpan), 0)
@@ -130,6 +130,6 @@
 	c.seen = min(c.seen+span, rateSpan)
 }
 
-// Leave takes out a request that no longer waits; found is false when it has
+// Remove takes out a request that no longer waits; found is false when it has
 // started or was dropped.
-func (c *Core) Leave(it Item) (found bool) { return c.fair.remove(it) }
+func (c *Admission) Remove(it Item) (found bool) { return c.fair.remove(it) }
--- a/limit/core_test.go
+++ b/limit/core_test.go
@@ -13,8 +13,8 @@
 )
 
 // busy returns a core whose window is full.
-func busy() *Core {
-	c := NewCore()
+func busy() *Admission {
+	c := NewAdmission()
 	for i := range int(firstWindow) {
 		c.Arrive(0, Item{ID: "busy-" + strconv.Itoa(i), Deadline: clock.Hour})
 	}
@@ -27,21 +27,21 @@
 
 // One organisation sends hundreds of requests at once, another sends a single
 // one after them. The single one must be next but one, not last.
-func TestFewRequestsPassMany(t *testing.T) {
+func TestSingleRequestIsNotDelayedByBacklog(t *testing.T) {
 	is := is.New(t)
 	c := busy()
 	for i := range 300 {
 		c.Arrive(0, item("large-"+strconv.Itoa(i), "large", 1))
 	}
 	c.Arrive(0, item("small", "small", 1))
-	one, _ := c.End(1, Neutral)
-	two, _ := c.End(1, Neutral)
+	one, _ := c.Release(1, Neutral)
+	two, _ := c.Release(1, Neutral)
 	is.True(one[0].ID == "small" || two[0].ID == "small")
 }
 
 // Two organisations always have requests waiting. Over time each must get its
 // weight's part, whatever the weights are and however many wait.
-func TestServiceFollowsWeights(t *testing.T) {
+func TestServiceIsProportionalToWeights(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		is := is.New(t)
 		f := newFair()
@@ -62,7 +62,7 @@
 
 // An organisation asks for nothing for an hour and then for much. The hour must
 // not have earned it the pool for itself.
-func TestIdleTimeIsNotSavedUp(t *testing.T) {
+func TestIdleTimeEarnsNoCredit(t *testing.T) {
 	is := is.New(t)
 	f := newFair()
 	for range 1000 {
@@ -82,7 +82,7 @@
 
 // An organisation marks all it sends as urgent. That may order its own requests
 // only, or everybody would have to do the same.
-func TestPriorityDoesNotPassOthers(t *testing.T) {
+func TestPriorityOrdersOnlyOwnRequests(t *testing.T) {
 	is := is.New(t)
 	f := newFair()
 	for i := range 10 {
@@ -108,7 +108,7 @@
 
 // The queue is full of one organisation's requests. Somebody else's request must
 // find room, at the cost of the newest of those, and the bound must hold.
-func TestFullQueueDropsFromTheLongestLine(t *testing.T) {
+func TestFullQueueDropsFromLongestQueue(t *testing.T) {
 	is := is.New(t)
 	c := busy()
 	for i := range maxWaiting {
@@ -125,7 +125,7 @@
 
 // The pool ends ten requests a second and fifty wait. One that has a second left
 // can only give up; it must hear so at once, and when to come back.
-func TestHopelessWaitIsRefusedAtOnce(t *testing.T) {
+func TestWaitBeyondDeadlineIsRefusedAtOnce(t *testing.T) {
 	is := is.New(t)
 	c := busy()
 	now := clock.Millis(0)
@@ -134,7 +134,7 @@
 	}
 	for range 40 {
 		now += 100
-		c.End(now, Neutral)
+		c.Release(now, Neutral)
 		c.Arrive(now, item("n"+strconv.Itoa(int(now)), "o", 1))
 	}
 	it := item("hurry", "o", 1)
@@ -146,16 +146,16 @@
 
 // A pool runs dry and every attempt fails. The entry may try again only for one
 // request in ten, beside what it had saved up.
-func TestRetriesStayWithinTheBudget(t *testing.T) {
+func TestRetriesStayWithinBudget(t *testing.T) {
 	is := is.New(t)
-	r := NewRetries()
+	r := NewRetryBudget()
 	tries := 0
 	const requests = 10_000
 	for range requests {
-		r.Earn()
+		r.RecordRequest()
 		tries++
 		for range 3 {
-			if r.Take() {
+			if r.TryRetry() {
 				tries++
 			}
 		}
@@ -166,7 +166,7 @@
 
 // Gates refuse for a while, then take work again. The window must fall fast and
 // come back to near where it was without creeping up one by one.
-func TestWindowComesBackAfterADryPool(t *testing.T) {
+func TestWindowRecoversAfterSaturation(t *testing.T) {
 	is := is.New(t)
 	w := window{size: 50}
 	now := 10 * clock.Second
@@ -189,7 +189,7 @@
 // The window lies above what the gates hold, and many requests wait. Each one
 // refused must not start the next, or the whole queue would be refused within
 // the time of a few hops.
-func TestRefusalStartsNobody(t *testing.T) {
+func TestRefusalStartsNoWaitingRequest(t *testing.T) {
 	is := is.New(t)
 	c := busy()
 	for i := range 100 {
@@ -197,7 +197,7 @@
 	}
 	started := 0
 	for now := range clock.Millis(30) {
-		s, _ := c.End(cutEvery+now, Refused)
+		s, _ := c.Release(cutEvery+now, Refused)
 		started += len(s)
 	}
 	is.Equal(started, 0)
@@ -205,42 +205,42 @@
 
 // An entry starts before a large pool whose requests run for minutes. None has
 // ended yet, and still the window must not hold back what the gates take.
-func TestWindowOpensBeforeRequestsEnd(t *testing.T) {
+func TestWindowGrowsBeforeRequestsEnd(t *testing.T) {
 	is := is.New(t)
-	c := NewCore()
+	c := NewAdmission()
 	for i := range 1000 {
 		v, _, _ := c.Arrive(clock.Millis(i), item(strconv.Itoa(i), "o", 1))
 		is.Equal(v, Start)
-		c.Taken(clock.Millis(i))
+		c.Accepted(clock.Millis(i))
 	}
 }
 
 // A caller goes away while its request waits. Its place must go to the next one,
 // or the window would shrink by one for good.
-func TestCallerGoneFreesItsPlace(t *testing.T) {
+func TestCancelledRequestFreesItsSlot(t *testing.T) {
 	is := is.New(t)
 	queues := NewQueues(clock.System())
 	q := queues.For("m@1")
 	for i := range int(firstWindow) {
-		is.NoErr(q.Enter(t.Context(), Item{ID: strconv.Itoa(i), Deadline: clock.Hour}))
+		is.NoErr(q.Acquire(t.Context(), Item{ID: strconv.Itoa(i), Deadline: clock.Hour}))
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	err := q.Enter(ctx, Item{ID: "gone", Deadline: clock.Hour})
+	err := q.Acquire(ctx, Item{ID: "gone", Deadline: clock.Hour})
 	r, ok := refusal.As(err)
 	is.True(ok && r.Code() == refusal.Cancelled && r.Run() == refusal.NotRun)
-	q.Leave(Neutral)
-	is.NoErr(q.Enter(t.Context(), Item{ID: "next", Deadline: clock.Hour}))
+	q.Release(Neutral)
+	is.NoErr(q.Acquire(t.Context(), Item{ID: "next", Deadline: clock.Hour}))
 	is.Equal(q.core.window.used, int(firstWindow))
 }
 
 // An entry has just started before a cold pool that takes four requests at a
 // time, 100 ms each. Twenty come at once. After the first one has ended the
 // others must wait their half second, not be told to come back in eighteen.
-func TestFirstEndsDoNotLookLikeASlowPool(t *testing.T) {
+func TestFirstCompletionsDoNotLookLikeSlowPool(t *testing.T) {
 	is := is.New(t)
 	for _, pause := range []clock.Millis{0, clock.Minute} {
-		c := NewCore()
+		c := NewAdmission()
 		c.window.size = 4
 		now := clock.Millis(5000)
 		for round := range 2 {
@@ -249,7 +249,7 @@
 				is.Equal(v, Start)
 			}
 			now += 100
-			c.End(now, Served)
+			c.Release(now, Served)
 			for i := range 16 {
 				v, retry, _ := c.Arrive(now, Item{ID: fmt.Sprint(round, "+", i), Organisation: "o", Weight: 1, Deadline: now + clock.Hour})
 				is.True(v != Refuse) // it would be free in half a second
@@ -257,7 +257,7 @@
 			}
 			for c.window.used > 0 {
 				now += 25
-				c.End(now, Served)
+				c.Release(now, Served)
 			}
 			now += pause
 		}
--- a/limit/queue.go
+++ b/limit/queue.go
@@ -34,7 +34,7 @@
 	}
 	queue, known := q.queues[name]
 	if !known {
-		queue = &Queue{clock: q.clock, core: NewCore(), waiting: make(map[string]chan error)}
+		queue = &Queue{clock: q.clock, core: NewAdmission(), waiting: make(map[string]chan error)}
 		q.queues[name] = queue
 	}
 	return queue
@@ -44,15 +44,15 @@
 type Queue struct {
 	clock clock.Clock
 	mu    sync.Mutex
-	core  *Core
+	core  *Admission
 	// waiting holds a channel for each request that waits: nil on it means
 	// start.
 	waiting map[string]chan error
 }
 
-// Enter waits for a place. It returns a refusal as soon as it is clear that
+// Acquire waits for a place. It returns a refusal as soon as it is clear that
 // none will come in time; a request that entered must call Leave once.
-func (q *Queue) Enter(ctx context.Context, it Item) (err error) {
+func (q *Queue) Acquire(ctx context.Context, it Item) (err error) {
 	ready, err := q.arrive(it)
 	if err != nil || ready == nil {
 		return err
@@ -91,7 +91,7 @@
 
 func (q *Queue) refuse(items []Item, why string) {
 	for _, it := range items {
-		q.tell(it, full(why, q.core.Retry(it)))
+		q.tell(it, full(why, q.core.RetryAfter(it)))
 	}
 }
 
@@ -106,15 +106,15 @@
 // is used, or given back when the caller is gone.
 func (q *Queue) giveUp(ctx context.Context, it Item, ready chan error) (err error) {
 	q.mu.Lock()
-	found := q.core.Leave(it)
+	found := q.core.Remove(it)
 	delete(q.waiting, it.ID)
-	retry := q.core.Retry(it)
+	retry := q.core.RetryAfter(it)
 	q.mu.Unlock()
 	if !found {
 		if err = <-ready; err != nil || ctx.Err() == nil {
 			return err
 		}
-		q.Leave(Neutral)
+		q.Release(Neutral)
 	}
 	if ctx.Err() == context.Canceled {
 		return refusal.New(refusal.Cancelled, "cancelled by the caller")
@@ -122,18 +122,18 @@
 	return full("no place was free in time", retry)
 }
 
-// Taken tells that a gate took a request which entered.
-func (q *Queue) Taken() {
+// Accepted tells that a gate took a request which entered.
+func (q *Queue) Accepted() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.pass(q.core.Taken(q.clock.Now()))
+	q.pass(q.core.Accepted(q.clock.Now()))
 }
 
-// Leave gives a place back.
-func (q *Queue) Leave(o Outcome) {
+// Release gives a place back.
+func (q *Queue) Release(o Outcome) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.pass(q.core.End(q.clock.Now(), o))
+	q.pass(q.core.Release(q.clock.Now(), o))
 }
 
 func (q *Queue) pass(started, expired []Item) {
--- a/limit/retries.go
+++ b/limit/retries.go
@@ -12,11 +12,11 @@
 	retryBurst = 10.0
 )
 
-// Retries is the budget of one entry. When a pool runs dry every attempt fails
+// RetryBudget is the budget of one entry. When a pool runs dry every attempt fails
 // and asks for another one; without a budget the load on what is left would
 // multiply by the attempts allowed (a retry storm), and the pool could not come
 // back. Over n requests there are at most n*ratio + burst retries.
-type Retries struct {
+type RetryBudget struct {
 	mu sync.Mutex
 	// tokens is between 0 and burst.
 	tokens float64
@@ -24,24 +24,24 @@
 	burst  float64
 }
 
-// NewRetries makes a full budget with the usual bounds.
-func NewRetries() *Retries { return NewRetriesOf(retryRatio, retryBurst) }
+// NewRetryBudget makes a full budget with the usual bounds.
+func NewRetryBudget() *RetryBudget { return NewRetryBudgetWith(retryRatio, retryBurst) }
 
-// NewRetriesOf makes a full budget in which a request earns a part of a retry
+// NewRetryBudgetWith makes a full budget in which a request earns a part of a retry
 // and at most burst retries are saved up.
-func NewRetriesOf(ratio, burst float64) *Retries {
-	return &Retries{tokens: burst, ratio: ratio, burst: burst}
+func NewRetryBudgetWith(ratio, burst float64) *RetryBudget {
+	return &RetryBudget{tokens: burst, ratio: ratio, burst: burst}
 }
 
-// Earn counts a request.
-func (r *Retries) Earn() {
+// RecordRequest counts a request.
+func (r *RetryBudget) RecordRequest() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.tokens = min(r.tokens+r.ratio, r.burst)
 }
 
-// Take reports whether one more attempt is allowed.
-func (r *Retries) Take() bool {
+// TryRetry reports whether one more attempt is allowed.
+func (r *RetryBudget) TryRetry() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.tokens < 1 {
--- a/limit/share.go
+++ b/limit/share.go
@@ -36,15 +36,15 @@
 	return &Share{span: span, ratio: ratio, slack: slack}
 }
 
-// Earn counts a request.
-func (s *Share) Earn(now clock.Millis) {
+// RecordRequest counts a request.
+func (s *Share) RecordRequest(now clock.Millis) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.turn(now).requests++
 }
 
-// Take counts one more attempt, if it is allowed.
-func (s *Share) Take(now clock.Millis) bool {
+// TryRetry counts one more attempt, if it is allowed.
+func (s *Share) TryRetry(now clock.Millis) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	slot := s.turn(now)
@@ -55,8 +55,8 @@
 	return true
 }
 
-// Has reports whether one more attempt would be allowed.
-func (s *Share) Has(now clock.Millis) bool {
+// CanRetry reports whether one more attempt would be allowed.
+func (s *Share) CanRetry(now clock.Millis) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.turn(now)
--- a/limit/share_test.go
+++ b/limit/share_test.go
@@ -22,10 +22,10 @@
 		now := clock.Millis(0)
 		for range rapid.IntRange(50, 400).Draw(t, "requests") {
 			now += clock.Millis(rapid.IntRange(0, 400).Draw(t, "pause"))
-			s.Earn(now)
+			s.RecordRequest(now)
 			steps = append(steps, step{now, false})
 			for range 3 {
-				if s.Take(now) {
+				if s.TryRetry(now) {
 					steps = append(steps, step{now, true})
 				}
 			}
@@ -56,21 +56,21 @@
 // Half of the answers of a few seconds are poor, as after a run of good ones.
 // With a small entry's share of the slack a bucket of tokens would let less than
 // a third of them be asked again, though the span as a whole allows it.
-func TestShareLetsABusyPartUseWhatAQuietOneLeft(t *testing.T) {
+func TestShareCarriesUnusedRetriesWithinWindow(t *testing.T) {
 	is := is.New(t)
 	s := NewShare(10*clock.Second, 0.63, 1.7)
-	b := NewRetriesOf(0.63, 1.7)
+	b := NewRetryBudgetWith(0.63, 1.7)
 	now := clock.Millis(0)
 	share, bucket := 0, 0
 	for i := range 100 {
 		now += 80
-		s.Earn(now)
-		b.Earn()
+		s.RecordRequest(now)
+		b.RecordRequest()
 		if i >= 50 {
-			if s.Take(now) {
+			if s.TryRetry(now) {
 				share++
 			}
-			if b.Take() {
+			if b.TryRetry() {
 				bucket++
 			}
 		}
--- a/membership/members.go
+++ b/membership/members.go
@@ -96,8 +96,8 @@
 // Leavings lists the words of processes on leaving that lately changed.
 func (m *Members) Leavings() []*wire.Leaving { return m.leavings }
 
-// Words counts the changed words on leaving that were ever heard.
-func (m *Members) Words() int { return m.words }
+// LeavingChanges counts the changed words on leaving that were ever heard.
+func (m *Members) LeavingChanges() int { return m.words }
 
 // Load returns the newest known load of a VM, or nil. It reads in place and
 // never blocks.
--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -90,7 +90,7 @@
 
 // Every answer carries a load. At the two-year size, a new picture for each
 // would cost more than all else that control does.
-func TestLoadMakesNoPicture(t *testing.T) {
+func TestLoadReportBuildsNoSnapshot(t *testing.T) {
 	is := is.New(t)
 	s := large()
 	e := event.LoadReceived{Now: 1, Load: &wire.Load{Vm: "vm-0007", Epoch: 1}}
--- a/placement/board.go
+++ b/placement/board.go
@@ -222,7 +222,7 @@
 
 // RecordLoad records the requests held and the slots that an endpoint itself reported.
 func (sel *Selector) RecordLoad(id string, held, slots int, now clock.Millis) {
-	sel.inflight.Report(&wire.Load{Vm: id, Held: int32(held), Window: int32(slots)}, now)
+	sel.inflight.RecordLoad(&wire.Load{Vm: id, Held: int32(held), Window: int32(slots)}, now)
 }
 
 const (
--- a/quality/estimate.go
+++ b/quality/estimate.go
@@ -47,7 +47,7 @@
 	// told; both hold at most maxEstimates.
 	own   map[Key]Sum
 	heard map[Key]Sum
-	book  *Book
+	book  *Snapshot
 }
 
 // NewState returns the state of a process that has heard nothing.
@@ -101,12 +101,12 @@
 		within(float64(x.GetPassed()), x.GetJudged()) && within(x.GetPassedSum(), x.GetPassed())
 }
 
-// Book returns what is known, which later events do not change.
-func (s *State) Book() *Book {
+// Snapshot returns what is known, which later events do not change.
+func (s *State) Snapshot() *Snapshot {
 	if s.book != nil {
 		return s.book
 	}
-	b := &Book{sums: maps.Clone(s.own)}
+	b := &Snapshot{sums: maps.Clone(s.own)}
 	for k, h := range s.heard {
 		if h.Ratings > b.sums[k].Ratings {
 			b.sums[k] = h
@@ -116,21 +116,21 @@
 	return b
 }
 
-// Book is an immutable set of sums. The nil value knows nothing.
-type Book struct {
+// Snapshot is an immutable set of sums. The nil value knows nothing.
+type Snapshot struct {
 	sums map[Key]Sum
 }
 
 // Sum returns what is known of a version on a route.
-func (b *Book) Sum(k Key) Sum {
+func (b *Snapshot) Sum(k Key) Sum {
 	if b == nil {
 		return Sum{}
 	}
 	return b.sums[k]
 }
 
-// Wire returns the sums for other processes, sorted.
-func (b *Book) Wire() (out []*wire.Estimate) {
+// Estimates returns the sums for other processes, sorted.
+func (b *Snapshot) Estimates() (out []*wire.Estimate) {
 	if b == nil {
 		return nil
 	}
--- a/quality/plan_test.go
+++ b/quality/plan_test.go
@@ -45,7 +45,7 @@
 
 // A cascade looks cheap by its first step. When that step mostly fails, the
 // request pays for both, and the dear version alone is the cheaper way.
-func TestCascadeCountsTheFailedStep(t *testing.T) {
+func TestCascadeCostIncludesFailedFirstStep(t *testing.T) {
 	is := is.New(t)
 	poor := cheap
 	poor.Sum = Sum{Ratings: 1000, RatingSum: 20, Judged: 1000, Passed: 20, PassedSum: 20}
@@ -70,7 +70,7 @@
 
 // Judges' sums reach an entry twice, late and from a judge that began anew and
 // knows less. The entry must keep the sum that rests on most ratings.
-func TestBestSumIsKept(t *testing.T) {
+func TestSumWithMostRatingsIsKept(t *testing.T) {
 	is := is.New(t)
 	s := NewState()
 	hear := func(n int64, sum float64) {
@@ -81,21 +81,21 @@
 	hear(100, 80)
 	hear(200, 900) // no possible sum
 	s.Reduce(event.Rated{}, []evidence.Delta{{Key: evidence.Key{Route: "r", Version: "m@1"}, Stats: evidence.Stats{Ratings: 1, RatingSum: 1}}})
-	is.Equal(s.Book().Sum(Key{"r", "m@1"}).RatingSum, 80.0)
+	is.Equal(s.Snapshot().Sum(Key{"r", "m@1"}).RatingSum, 80.0)
 }
 
 // Nearly all answers are of a version known well. The few of a young one must
 // still find room in the rater's limit.
-func TestSamplerKeepsRoomForYoungVersions(t *testing.T) {
+func TestSamplerReservesCapacityForNewVersions(t *testing.T) {
 	is := is.New(t)
 	s := NewSampler()
 	for range 10_000 {
-		s.Take(0, youngRatings, false)
+		s.Sample(0, youngRatings, false)
 	}
-	is.True(s.Take(0, 0, false))
+	is.True(s.Sample(0, 0, false))
 	taken := 0
 	for range 10_000 {
-		if s.Take(0, 0, false) {
+		if s.Sample(0, 0, false) {
 			taken++
 		}
 	}
--- a/quality/sampler.go
+++ b/quality/sampler.go
@@ -36,9 +36,9 @@
 // NewSampler makes a sampler with a full bucket.
 func NewSampler() *Sampler { return &Sampler{tokens: sampleBurst} }
 
-// Take reports whether the answer about to be made is sampled. Ratings is how
+// Sample reports whether the answer about to be made is sampled. Ratings is how
 // many ratings the version has; a version on trial is sampled like a young one.
-func (s *Sampler) Take(now clock.Millis, ratings int64, trial bool) bool {
+func (s *Sampler) Sample(now clock.Millis, ratings int64, trial bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.tokens = min(s.tokens+samplesPerSecond*float64(now-s.last)/float64(clock.Second), sampleBurst)
--- a/relay/admit.go
+++ b/relay/admit.go
@@ -46,7 +46,7 @@
 	x.setDeadline()
 	x.session = sessionOf(x.req)
 	x.service = x.route.Service(x.session)
-	s.budget(x.service, x.view.Entries()).Earn(x.startedAt)
+	s.budget(x.service, x.view.Entries()).RecordRequest(x.startedAt)
 	return nil
 }
 
--- a/relay/admit_test.go
+++ b/relay/admit_test.go
@@ -68,7 +68,7 @@
 			if x.status != http.StatusOK {
 				is.True(w.Header().Get("Retry-After") != "")
 				is.True(took <= x.callerTimeout/2+200)
-				is.Equal(e.Seen(), 0)
+				is.Equal(e.Received(), 0)
 			}
 		})
 	}
--- a/relay/attempt.go
+++ b/relay/attempt.go
@@ -71,7 +71,7 @@
 	}
 	defer answer.Close()
 	a.timeToFirstByte = max(s.cfg.Clock.Now()-a.startedAt, 1)
-	x.connectTook += answer.Connected()
+	x.connectTook += answer.ConnectTime()
 	work.FirstByte(s.cfg.Clock.Now())
 	s.latency.addError(x.route, a.plan.model(), a.timeToFirstByte-a.expectedFirstByte)
 	s.board.RecordActivity(a.endpoint.ID, s.cfg.Clock.Now())
@@ -105,11 +105,11 @@
 	}
 	c := x.server.cfg.Dialect.Call(x.req, o, x.req.body)
 	c.HasBody = x.req.hasBody
-	c.Wait = a.firstByteWait
-	if c.Fresh && x.server.cfg.Strategies.For(decision.Connection) == decision.Watched {
-		c.Settle = settleDuration
+	c.FirstByteTimeout = a.firstByteWait
+	if c.NewConnection && x.server.cfg.Strategies.For(decision.Connection) == decision.Watched {
+		c.SettleTime = settleDuration
 	}
-	c.MostIdle = x.server.maxIdle(x.view, x.service)
+	c.MaxIdle = x.server.maxIdle(x.view, x.service)
 	return c
 }
 
@@ -224,7 +224,7 @@
 // mayEscalate reports whether this answer may be dropped for an attempt at a larger model.
 func (a *attempt) mayEscalate() bool {
 	x := a.exchange
-	return !x.written && x.mayRepeat() && x.remaining() > minEscalationTime && x.budget().Has(x.server.cfg.Clock.Now())
+	return !x.written && x.mayRepeat() && x.remaining() > minEscalationTime && x.budget().CanRetry(x.server.cfg.Clock.Now())
 }
 
 // minEscalationTime is the least remaining time in which a larger model is of use.
@@ -237,7 +237,7 @@
 // can be repeated if the connection breaks.
 func (a *attempt) readAnswer(h Head, answer *upstream.Answer) (r result, err error) {
 	x := a.exchange
-	if err = answer.SetPatience(x.eventTimeout()); err != nil {
+	if err = answer.SetReadTimeout(x.eventTimeout()); err != nil {
 		return failed, interrupted(err)
 	}
 	body, err := io.ReadAll(io.LimitReader(answer, maxAnswerBytes))
@@ -253,7 +253,7 @@
 // attempt is made or succeeds.
 func (a *attempt) readFailure(h Head, answer *upstream.Answer) (r result, err error) {
 	x := a.exchange
-	if err = answer.SetPatience(x.eventTimeout()); err != nil {
+	if err = answer.SetReadTimeout(x.eventTimeout()); err != nil {
 		return failed, interrupted(err)
 	}
 	body, err := io.ReadAll(io.LimitReader(answer, maxAnswerBytes))
--- a/relay/run.go
+++ b/relay/run.go
@@ -83,7 +83,7 @@
 		case !x.mayRetry(r):
 			return x.giveUp(failure, x.correctRunState(err))
 		}
-		if !x.budget().Take(x.server.cfg.Clock.Now()) && r != notRun {
+		if !x.budget().TryRetry(x.server.cfg.Clock.Now()) && r != notRun {
 			return x.giveUp(failure, x.correctRunState(err))
 		}
 	}
--- a/relay/run_test.go
+++ b/relay/run_test.go
@@ -74,9 +74,9 @@
 	var changes []fleet.Change
 	for i := range 4 {
 		name := fmt.Sprintf("i-%d", i)
-		e, err := standin.StartEndpoint(name, func(*http.Request) standin.Act {
+		e, err := standin.StartEndpoint(name, func(*http.Request) standin.Reply {
 			now.Store(1501)
-			return standin.Act{Lost: true}
+			return standin.Reply{DropAnswer: true}
 		})
 		is.NoErr(err)
 		defer e.Close()
@@ -109,7 +109,7 @@
 	t.Helper()
 	is := is.New(t)
 	c := clock.Boot()
-	slow, err := standin.StartEndpoint("i-slow", func(*http.Request) standin.Act { return standin.Act{Delay: 900 * time.Millisecond} })
+	slow, err := standin.StartEndpoint("i-slow", func(*http.Request) standin.Reply { return standin.Reply{Delay: 900 * time.Millisecond} })
 	is.NoErr(err)
 	defer slow.Close()
 	other, err := standin.StartEndpoint("i-other", nil)
@@ -157,10 +157,10 @@
 func TestSilentEndpointIsNotRetried(t *testing.T) {
 	is := is.New(t)
 	c := clock.Boot()
-	silent, err := standin.StartEndpoint("i-silent", func(*http.Request) standin.Act { return standin.Act{Delay: 20 * time.Second} })
+	silent, err := standin.StartEndpoint("i-silent", func(*http.Request) standin.Reply { return standin.Reply{Delay: 20 * time.Second} })
 	is.NoErr(err)
 	defer silent.Close()
-	busy, err := standin.StartEndpoint("i-busy", func(*http.Request) standin.Act { return standin.Act{Events: 2, BreakAfter: -1} })
+	busy, err := standin.StartEndpoint("i-busy", func(*http.Request) standin.Reply { return standin.Reply{Events: 2, BreakAfter: -1} })
 	is.NoErr(err)
 	defer busy.Close()
 	route := &catalog.Route{Name: "r", Kind: catalog.Streaming, Resumable: true, Timeout: 5000, LatencyTarget: 300, MaxAttempts: 3, Targets: []catalog.Target{{Service: "app", Weight: 1}}}
@@ -177,6 +177,6 @@
 	is.NoErr(x.run(context.Background()))
 	is.Equal(x.endpoint, "i-busy")
 	is.Equal(x.sends, 2)
-	is.True(silent.Seen() == 1)
+	is.True(silent.Received() == 1)
 	is.True(c.Since(x.startedAt) < clock.Second) // it does not wait until the other endpoint is idle
 }
--- a/relay/stream.go
+++ b/relay/stream.go
@@ -35,7 +35,7 @@
 		x.writeHead(h)
 	}
 	for {
-		if err = answer.SetPatience(x.eventTimeout()); err != nil {
+		if err = answer.SetReadTimeout(x.eventTimeout()); err != nil {
 			return broken, interrupted(err)
 		}
 		e, err := events.next()
--- a/session/session.go
+++ b/session/session.go
@@ -24,10 +24,10 @@
 const (
 	// MaxTokenBytes bounds a token; longer text is rejected unread.
 	MaxTokenBytes = 4096
-	// Tolerance is how far the wall clocks of two entries may differ. Within it
+	// ClockTolerance is how far the wall clocks of two entries may differ. Within it
 	// neither accepts or rejects a token wrongly, but for the token's last
 	// minutes.
-	Tolerance = 10 * clock.Minute
+	ClockTolerance = 10 * clock.Minute
 	// DefaultLifetime is how long a session lasts that nobody uses.
 	DefaultLifetime = 24 * clock.Hour
 	// purpose is signed along, so that no other signature under the same secret
@@ -42,8 +42,8 @@
 	Route        string `json:"route"`
 	// Version is the version that the session keeps.
 	Version string `json:"version"`
-	// Home is the VM that holds the session's cache.
-	Home string `json:"home"`
+	// SessionVM is the VM that holds the session's cache.
+	SessionVM string `json:"home"`
 	// Issued is when the token was signed, in seconds of the signer's wall
 	// clock since 1970. Each answer carries a token signed anew.
 	Issued int64 `json:"issued"`
@@ -82,8 +82,8 @@
 	return k
 }
 
-// WithWall returns the keys with another wall clock, in seconds since 1970.
-func (k *Keys) WithWall(wall func() int64) *Keys {
+// WithWallClock returns the keys with another wall clock, in seconds since 1970.
+func (k *Keys) WithWallClock(wall func() int64) *Keys {
 	k.wall = wall
 	return k
 }
@@ -154,10 +154,10 @@
 func (k *Keys) fresh(issued int64) error {
 	const perSecond = int64(clock.Second)
 	now := k.wall()
-	if now-issued > int64(k.lifetime+Tolerance)/perSecond {
+	if now-issued > int64(k.lifetime+ClockTolerance)/perSecond {
 		return ErrRejected.New("session has expired")
 	}
-	if issued-now > int64(Tolerance)/perSecond {
+	if issued-now > int64(ClockTolerance)/perSecond {
 		return ErrRejected.New("token is from the future")
 	}
 	return nil
--- a/session/session_test.go
+++ b/session/session_test.go
@@ -16,10 +16,10 @@
 )
 
 func keysAt(now *int64, current string, secrets map[string]string) *Keys {
-	return NewKeys(secrets, current).WithWall(func() int64 { return *now })
+	return NewKeys(secrets, current).WithWallClock(func() int64 { return *now })
 }
 
-var token = Token{ID: "s", Organisation: "desk", Route: "dossier", Version: "large@2", Home: "endpoint-1"}
+var token = Token{ID: "s", Organisation: "desk", Route: "dossier", Version: "large@2", SessionVM: "endpoint-1"}
 
 // Operators rotate the key while sessions go on: entries that have the new
 // secret read tokens of the old one until it is taken away.
@@ -44,7 +44,7 @@
 
 // Two entries' wall clocks differ by minutes: neither may cut a session that
 // the other has just signed. A session that is used lasts; an unused one ends.
-func TestExpiryToleratesClocks(t *testing.T) {
+func TestExpiryToleratesClockSkew(t *testing.T) {
 	is := is.New(t)
 	now := start
 	k := keysAt(&now, "a", map[string]string{"a": oldSecret})
--- a/soak/site_test.go
+++ b/soak/site_test.go
@@ -37,7 +37,7 @@
 	log      *os.File
 	// store is the process's own way to the store.
 	store *proxy
-	door  *standin.Door
+	door  *standin.Handler
 	mu    sync.Mutex
 	cmd   *exec.Cmd
 	// ended is closed when the process that runs now has ended.
@@ -58,28 +58,28 @@
 	zone    string
 	proxy   *proxy
 	mu      sync.Mutex
-	fault   func() standin.Act
+	fault   func() standin.Reply
 	// sequence grows with each announcement.
 	sequence int
 	version  string
 }
 
-func (e *endpoint) set(f func() standin.Act) {
+func (e *endpoint) set(f func() standin.Reply) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.fault = f
 }
 
-func (e *endpoint) act(r *http.Request) standin.Act {
+func (e *endpoint) act(r *http.Request) standin.Reply {
 	e.mu.Lock()
 	f := e.fault
 	e.mu.Unlock()
-	a := standin.Act{BreakAfter: -1}
+	a := standin.Reply{BreakAfter: -1}
 	if f != nil {
 		a = f()
 	}
 	if strings.HasPrefix(r.URL.Path, "/chat/") {
-		a.Events, a.Gap, a.Confidence = streamEvents, 15*time.Millisecond, 90
+		a.Events, a.EventDelay, a.Confidence = streamEvents, 15*time.Millisecond, 90
 	}
 	return a
 }
@@ -154,7 +154,7 @@
 func (s *site) announce(e *endpoint, state string) {
 	e.mu.Lock()
 	e.sequence++
-	text := string(e.Entry(e.service, e.zone, e.version, state, e.sequence))
+	text := string(e.Registration(e.service, e.zone, e.version, state, e.sequence))
 	e.mu.Unlock()
 	s.store.Put("keyed.servers", e.name, []byte(strings.Replace(text, e.Address(), e.proxy.address(), 1)))
 }
@@ -194,7 +194,7 @@
 }
 
 func (s *site) addEntry(name, program string) {
-	p := &process{name: name, door: s.store.Door()}
+	p := &process{name: name, door: s.store.Handler()}
 	srv := httptest.NewServer(p.door)
 	s.t.Cleanup(func() { srv.CloseClientConnections(); srv.Close() })
 	var err error
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -270,7 +270,7 @@
 	case 4:
 		f, d := standin.Fault(1+k.rng.IntN(5)), k.span(3*time.Second)
 		k.tell("%s: store fails with %d for %s", p.name, f, d)
-		k.while(d, func() { p.door.Set(f) }, func() { p.door.Set(standin.Open) })
+		k.while(d, func() { p.door.SetFault(f) }, func() { p.door.SetFault(standin.NoFault) })
 	case 5:
 		m, d := mode(1+k.rng.IntN(int(modes)-1)), k.span(2*time.Second)
 		k.tell("%s: way to the endpoint %s for %s", e.name, m, d)
@@ -285,8 +285,8 @@
 		k.while(d, func() { k.store.Put("keyed.op", "evacuate/"+zone, []byte("{}")) }, func() { k.store.Put("keyed.op", "evacuate/"+zone, nil) })
 	case 10:
 		k.tell("store forgets, SIGHUP to %s", p.name)
-		k.store.Forget("keyed.op")
-		k.store.Forget("keyed.servers")
+		k.store.Compact("keyed.op")
+		k.store.Compact("keyed.servers")
 		p.signal(syscall.SIGHUP, false)
 	}
 }
@@ -331,9 +331,9 @@
 
 // misbehave gives an endpoint a fault in a part of its answers.
 func (k *soak) misbehave(e *endpoint) {
-	acts := map[string]standin.Act{
-		"loses answers": {Lost: true}, "fails": {Status: 500}, "refuses": {NotRun: true}, "is slow": {Delay: 600 * time.Millisecond},
-		"breaks streams": {BreakAfter: 3}, "answers others first": {Foreign: true}, "adds answers": {Surplus: true}, "signs nothing": {Unsigned: true},
+	acts := map[string]standin.Reply{
+		"loses answers": {DropAnswer: true}, "fails": {Status: 500}, "refuses": {NotRun: true}, "is slow": {Delay: 600 * time.Millisecond},
+		"breaks streams": {BreakAfter: 3}, "answers others first": {OtherAnswerFirst: true}, "adds answers": {ExtraAnswer: true}, "signs nothing": {NoSignature: true},
 	}
 	names := []string{"loses answers", "fails", "refuses", "is slow", "breaks streams", "answers others first", "adds answers", "signs nothing"}
 	name, d, part := names[k.rng.IntN(len(names))], k.span(2*time.Second), k.rng.Float64()
@@ -341,16 +341,16 @@
 	if name != "breaks streams" {
 		a.BreakAfter = -1
 	}
-	if (a.Foreign || a.Surplus) && e.service == "pool" {
+	if (a.OtherAnswerFirst || a.ExtraAnswer) && e.service == "pool" {
 		return // the stand-in answers so with plain bodies only
 	}
 	k.tell("%s: %s, %.0f%% for %s", e.name, name, 100*part, d)
 	k.while(d, func() {
-		e.set(func() standin.Act {
+		e.set(func() standin.Reply {
 			if rand.Float64() < part {
 				return a
 			}
-			return standin.Act{BreakAfter: -1}
+			return standin.Reply{BreakAfter: -1}
 		})
 	}, func() { e.set(nil) })
 }
@@ -376,7 +376,7 @@
 	}
 	for _, p := range k.entries {
 		p.store.set(pass)
-		p.door.Set(standin.Open)
+		p.door.SetFault(standin.NoFault)
 	}
 	k.waitReady(6 * time.Second)
 	time.Sleep(2 * time.Second)
--- a/spread/counts.go
+++ b/spread/counts.go
@@ -28,9 +28,9 @@
 	maxTold = 4096
 )
 
-// Counts plans which evidence goes to which judge and when. Counts are
+// CountReporter plans which evidence goes to which judge and when. Counts are
 // cumulative, so one that is lost, repeated or late does no harm.
-type Counts struct {
+type CountReporter struct {
 	self string
 	// told holds what each key counted when it was last told, and in which
 	// round.
@@ -54,13 +54,13 @@
 	every  clock.Millis
 }
 
-// NewCounts returns the state of a process that has told nothing.
-func NewCounts(self string) Counts {
-	return Counts{self: self, told: make(map[evidence.Key]toldCount), nextAt: make(map[string]clock.Millis)}
+// NewCountReporter returns the state of a process that has told nothing.
+func NewCountReporter(self string) CountReporter {
+	return CountReporter{self: self, told: make(map[evidence.Key]toldCount), nextAt: make(map[string]clock.Millis)}
 }
 
 // Reduce plans messages at a tick. Report is this process's own evidence.
-func (s *Counts) Reduce(e event.Event, report []*wire.Count, m *membership.Members) (effects []event.Effect) {
+func (s *CountReporter) Reduce(e event.Event, report []*wire.Count, m *membership.Members) (effects []event.Effect) {
 	t, ok := e.(event.Tick)
 	if !ok || len(report) == 0 {
 		return nil
@@ -90,7 +90,7 @@
 }
 
 // due lists the models whose evidence is to be told now, sorted.
-func (s *Counts) due(now clock.Millis, report []*wire.Count) (models []string) {
+func (s *CountReporter) due(now clock.Millis, report []*wire.Count) (models []string) {
 	for _, c := range report {
 		model := modelOf(c)
 		if now >= s.nextAt[model] && !slices.Contains(models, model) {
@@ -113,7 +113,7 @@
 // each second would take a judge at 380 entries over its share of the network,
 // so the pace slows with their number. Their instants are spread over it: a
 // judge hears some at any time.
-func (s *Counts) plan(model string, m *membership.Members) plan {
+func (s *CountReporter) plan(model string, m *membership.Members) plan {
 	if p, ok := s.plans[model]; ok {
 		return p
 	}
@@ -140,7 +140,7 @@
 // choose takes the counts of one message: of each version in turn those that
 // changed and were told least recently. A new version with few requests is so
 // never crowded out by the one it shall replace.
-func (s *Counts) choose(model string, report []*wire.Count) (counts []*wire.Count) {
+func (s *CountReporter) choose(model string, report []*wire.Count) (counts []*wire.Count) {
 	byVersion := make(map[string][]*wire.Count)
 	var versions []string
 	for _, c := range report {
@@ -175,7 +175,7 @@
 	return counts
 }
 
-func (s *Counts) remember(counts []*wire.Count) {
+func (s *CountReporter) remember(counts []*wire.Count) {
 	if len(s.told) > maxTold {
 		clear(s.told)
 	}
@@ -186,7 +186,7 @@
 
 // same reports whether a count was told as it stands within the last rounds.
 // Later it is told once more, which makes a lost message good.
-func (s *Counts) same(c *wire.Count) bool {
+func (s *CountReporter) same(c *wire.Count) bool {
 	const again = 4
 	old := s.told[keyOf(c)]
 	return old.count != nil && s.round-old.round < again && total(old.count) == total(c)
--- a/spread/peers.go
+++ b/spread/peers.go
@@ -22,8 +22,8 @@
 	awayEvery = 3
 )
 
-// First returns the best n VMs for a duty in rendezvous order.
-func First(duty string, n int, vms []provider.VM) []provider.VM {
+// RendezvousTop returns the best n VMs for a duty in rendezvous order.
+func RendezvousTop(duty string, n int, vms []provider.VM) []provider.VM {
 	best := make([]provider.VM, 0, n+1)
 	scores := make([]uint64, 0, n+1)
 	for _, v := range vms {
@@ -74,7 +74,7 @@
 func (s *State) readers(m *membership.Members) []provider.VM {
 	if s.ranked != m {
 		s.ranked = m
-		s.rank = First("read-config", readersPerZone, endpointsFirst(fit(m, m.Zone(s.zone))))
+		s.rank = RendezvousTop("read-config", readersPerZone, endpointsFirst(fit(m, m.Zone(s.zone))))
 	}
 	return s.rank
 }
--- a/spread/spread.go
+++ b/spread/spread.go
@@ -39,8 +39,8 @@
 type Local struct {
 	// Offset is the next offset of the log to reduce.
 	Offset int64
-	// Tables is true once there are tables.
-	Tables bool
+	// HasTables is true once there are tables.
+	HasTables bool
 	// Holds is the set of holds in force; another set is another pointer.
 	Holds *rollout.Holds
 }
@@ -262,7 +262,7 @@
 // stands where the furthest of them stands. Fewer voices could all be behind,
 // and a process without disks has no memory of its own to tell.
 func (s *State) start(l Local, m *membership.Members) {
-	if s.started || !l.Tables || len(s.ahead) > 0 {
+	if s.started || !l.HasTables || len(s.ahead) > 0 {
 		return
 	}
 	others, elsewhere := 0, false
@@ -286,8 +286,8 @@
 // news reports whether peers should hear at once: records that were new here,
 // or a process that says that it leaves.
 func (s *State) news(grown bool, m *membership.Members) bool {
-	more := m.Words() > s.words
-	s.words = m.Words()
+	more := m.LeavingChanges() > s.words
+	s.words = m.LeavingChanges()
 	return grown || more
 }
 
@@ -316,8 +316,8 @@
 	return effects
 }
 
-// Picture is what traffic and peers may know of State; it never changes.
-type Picture struct {
+// Snapshot is what traffic and peers may know of State; it never changes.
+type Snapshot struct {
 	VM    string
 	Zone  string
 	Epoch uint64
@@ -327,7 +327,7 @@
 }
 
 // Digest returns what a process tells its peers, but for its load.
-func (p Picture) Digest(revision int64, staleness clock.Millis, leaving bool, m *membership.Members) *wire.Digest {
+func (p Snapshot) Digest(revision int64, staleness clock.Millis, leaving bool, m *membership.Members) *wire.Digest {
 	return &wire.Digest{
 		Vm: p.VM, Zone: p.Zone, Epoch: p.Epoch,
 		Revision: revision, Offset: p.Tail.End(), Started: !p.Starting,
--- a/upstream/pool.go
+++ b/upstream/pool.go
@@ -42,20 +42,20 @@
 	return &Pool{clock: c, dialer: net.Dialer{Timeout: connectTimeout.Duration(), KeepAlive: -1}, idle: make(map[string][]*conn)}
 }
 
-// Open returns the number of open connections.
-func (p *Pool) Open() int64 { return p.opened.Load() }
+// OpenConns returns the number of open connections.
+func (p *Pool) OpenConns() int64 { return p.opened.Load() }
 
-// Made returns the number of connections ever made.
-func (p *Pool) Made() int64 { return p.made.Load() }
+// TotalConns returns the number of connections ever made.
+func (p *Pool) TotalConns() int64 { return p.made.Load() }
 
 func (p *Pool) take(ctx context.Context, call Call) (c *conn, err error) {
-	for !call.Fresh {
+	for !call.NewConnection {
 		c = p.pop(call.Address)
 		if c == nil {
 			break
 		}
 		if p.clock.Now()-c.idleSince <= c.idleFor && c.quiet() {
-			c.mostIdle = call.MostIdle
+			c.mostIdle = call.MaxIdle
 			return c, nil
 		}
 		c.release(false)
@@ -67,8 +67,8 @@
 	p.opened.Add(1)
 	p.made.Add(1)
 	limitSilence(raw)
-	c = &conn{net: raw, r: bufio.NewReaderSize(raw, readBuffer), pool: p, to: call.Address, mostIdle: call.MostIdle}
-	if err = c.settle(call.Settle); err != nil {
+	c = &conn{net: raw, r: bufio.NewReaderSize(raw, readBuffer), pool: p, to: call.Address, mostIdle: call.MaxIdle}
+	if err = c.settle(call.SettleTime); err != nil {
 		c.release(false)
 		return nil, err
 	}
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -48,20 +48,20 @@
 	Body   []byte
 	// HasBody says that a length is sent although the body is empty.
 	HasBody bool
-	// Fresh asks for a new connection. A kept one may have been closed by the
+	// NewConnection asks for a new connection. A kept one may have been closed by the
 	// other side, which shows only after the request was sent on it.
-	Fresh bool
-	// Settle is how long a new connection is watched before anything is sent on it. An
+	NewConnection bool
+	// SettleTime is how long a new connection is watched before anything is sent on it. An
 	// endpoint that has as many connections as it takes accepts one more and resets it;
 	// a request that was sent by then may have run as far as its caller can know.
-	Settle clock.Millis
-	// MostIdle bounds the idle connections to the address.
-	MostIdle int
-	// Own reports whether an answer belongs to this call.
-	Own func(h http.Header) bool
-	// Wait is asked how long to wait for the answer's first byte, with what has been
+	SettleTime clock.Millis
+	// MaxIdle bounds the idle connections to the address.
+	MaxIdle int
+	// Matches reports whether an answer belongs to this call.
+	Matches func(h http.Header) bool
+	// FirstByteTimeout is asked how long to wait for the answer's first byte, with what has been
 	// waited already; 0 gives the call up.
-	Wait func(waited clock.Millis) clock.Millis
+	FirstByteTimeout func(waited clock.Millis) clock.Millis
 }
 
 // Answer is an endpoint's answer whose body is still to be read.
@@ -113,8 +113,8 @@
 	return nil, ErrLost.Wrap(err, "no answer from %s", call.Address)
 }
 
-// Connected returns how long it took to have a connection; 0 for a kept one.
-func (a *Answer) Connected() clock.Millis { return a.connected }
+// ConnectTime returns how long it took to have a connection; 0 for a kept one.
+func (a *Answer) ConnectTime() clock.Millis { return a.connected }
 
 // headPatience bounds the rest of a head once its first byte is there.
 const headPatience = 2 * clock.Second
@@ -123,16 +123,16 @@
 func (a *Answer) await(call Call) (err error) {
 	begun := a.conn.pool.clock.Now()
 	for {
-		left := call.Wait(a.conn.pool.clock.Since(begun))
+		left := call.FirstByteTimeout(a.conn.pool.clock.Since(begun))
 		if left <= 0 {
 			return os.ErrDeadlineExceeded
 		}
-		if err = a.SetPatience(left); err != nil {
+		if err = a.SetReadTimeout(left); err != nil {
 			return err
 		}
 		_, err = a.conn.r.Peek(1)
 		if err == nil {
-			return a.SetPatience(headPatience)
+			return a.SetReadTimeout(headPatience)
 		}
 		if !TimedOut(err) {
 			return a.cause(err)
@@ -184,7 +184,7 @@
 		if resp.StatusCode >= 100 && resp.StatusCode < 200 {
 			continue
 		}
-		if call.Own == nil || call.Own(resp.Header) {
+		if call.Matches == nil || call.Matches(resp.Header) {
 			a.take(resp)
 			return nil
 		}
@@ -228,8 +228,8 @@
 	return n, err
 }
 
-// SetPatience bounds the wait of the next reads, from now on.
-func (a *Answer) SetPatience(patience clock.Millis) error {
+// SetReadTimeout bounds the wait of the next reads, from now on.
+func (a *Answer) SetReadTimeout(patience clock.Millis) error {
 	return a.conn.net.SetReadDeadline(time.Now().Add(patience.Duration()))
 }
 
--- a/upstream/upstream_test.go
+++ b/upstream/upstream_test.go
@@ -40,9 +40,9 @@
 
 func callTo(address string) Call {
 	return Call{
-		Address: address, Method: http.MethodGet, Target: "/x", Host: "h", Header: http.Header{"Id": {"1"}}, MostIdle: 2,
-		Own:  func(h http.Header) bool { return h.Get("Id") == "1" },
-		Wait: func(waited clock.Millis) clock.Millis { return 300 - waited },
+		Address: address, Method: http.MethodGet, Target: "/x", Host: "h", Header: http.Header{"Id": {"1"}}, MaxIdle: 2,
+		Matches:          func(h http.Header) bool { return h.Get("Id") == "1" },
+		FirstByteTimeout: func(waited clock.Millis) clock.Millis { return 300 - waited },
 	}
 }
 
@@ -50,7 +50,7 @@
 
 // An endpoint closes a kept connection just after its answer. The next request
 // must not be sent on it: it would be lost, and may not be repeated.
-func TestClosedConnectionIsNotUsedAgain(t *testing.T) {
+func TestClosedConnectionIsNotReused(t *testing.T) {
 	is := is.New(t)
 	address := script(t, func(c net.Conn, r *bufio.Reader) {
 		if _, err := http.ReadRequest(r); err == nil {
@@ -67,12 +67,12 @@
 		a.Close()
 		time.Sleep(20 * time.Millisecond)
 	}
-	is.Equal(p.Made(), int64(3))
+	is.Equal(p.TotalConns(), int64(3))
 }
 
 // An answer that nobody asked for comes late, where the next one is due. It is
 // passed over; two bytes too many after an answer cost the connection.
-func TestLateAnswerIsPassedOver(t *testing.T) {
+func TestLateAnswerIsSkipped(t *testing.T) {
 	is := is.New(t)
 	address := script(t, func(c net.Conn, r *bufio.Reader) {
 		if _, err := http.ReadRequest(r); err == nil {
@@ -87,12 +87,12 @@
 	is.NoErr(err)
 	is.Equal(string(body), "own")
 	a.Close()
-	is.Equal(p.Open(), int64(0))
+	is.Equal(p.OpenConns(), int64(0))
 }
 
 // Errors say whether a request may have run: nothing left for an address without
 // a listener, while a silent or broken connection may have carried it.
-func TestErrorsSayWhetherARequestMayHaveRun(t *testing.T) {
+func TestErrorTypesReportWhetherRequestMayHaveRun(t *testing.T) {
 	is := is.New(t)
 	p := NewPool(clock.System())
 	_, err := p.Do(context.Background(), callTo("127.0.0.1:1"))
@@ -103,12 +103,12 @@
 	broken := script(t, func(_ net.Conn, r *bufio.Reader) { _, _ = http.ReadRequest(r) })
 	_, err = p.Do(context.Background(), callTo(broken))
 	is.True(errorx.IsOfType(err, ErrLost) && !errorx.IsOfType(err, ErrSilent))
-	is.Equal(p.Open(), int64(0))
+	is.Equal(p.OpenConns(), int64(0))
 }
 
 // An endpoint refuses a long body before it has read it and reads on. The answer
 // is taken, and the rest of the body is not mistaken for the next request.
-func TestEarlyAnswerToALongBody(t *testing.T) {
+func TestEarlyAnswerToLongBody(t *testing.T) {
 	is := is.New(t)
 	address := script(t, func(c net.Conn, r *bufio.Reader) {
 		req, err := http.ReadRequest(r)
@@ -128,11 +128,11 @@
 	is.NoErr(err)
 	is.Equal(string(body), "own")
 	a.Close()
-	is.Equal(p.Open(), int64(0))
+	is.Equal(p.OpenConns(), int64(0))
 }
 
 // A chunked answer breaks off. It must not look whole.
-func TestAnswerThatBreaksOffIsNotWhole(t *testing.T) {
+func TestTruncatedAnswerIsAnError(t *testing.T) {
 	is := is.New(t)
 	for _, head := range []string{"Content-Length: 10\r\n\r\nown", "Transfer-Encoding: chunked\r\n\r\n3\r\nown\r\n"} {
 		address := script(t, func(c net.Conn, r *bufio.Reader) {
@@ -150,7 +150,7 @@
 
 // A request that may run only once is lost on a connection that a full endpoint accepts
 // and resets.
-func TestConnectionBeyondTheEndpointsBoundCarriesNothing(t *testing.T) {
+func TestNothingIsSentOnConnectionOverLimit(t *testing.T) {
 	is := is.New(t)
 	got := make(chan struct{}, 1)
 	address := script(t, func(c net.Conn, r *bufio.Reader) {
@@ -162,7 +162,7 @@
 		_ = c.Close()
 	})
 	call := callTo(address)
-	call.Fresh, call.Settle = true, 50
+	call.NewConnection, call.SettleTime = true, 50
 	_, err := NewPool(clock.System()).Do(context.Background(), call)
 	is.True(errorx.IsOfType(err, ErrNotSent))
 	is.Equal(len(got), 0)
@@ -181,7 +181,7 @@
 	})
 	p := NewPool(clock.System())
 	call := callTo(address)
-	call.Fresh = true
+	call.NewConnection = true
 	for range 5 {
 		a, err := p.Do(context.Background(), call)
 		is.NoErr(err)
@@ -189,6 +189,6 @@
 		is.NoErr(err)
 		a.Close()
 	}
-	is.Equal(p.Made(), int64(5))
-	is.Equal(p.Open(), int64(2))
+	is.Equal(p.TotalConns(), int64(5))
+	is.Equal(p.OpenConns(), int64(2))
 }
--- a/view/status.go
+++ b/view/status.go
@@ -35,7 +35,7 @@
 func (v *View) RampsStatus(now clock.Millis) map[string]float64 {
 	out := make(map[string]float64)
 	for _, name := range v.zones.Names() {
-		if part := v.zones.Part(name, now); part < 1 {
+		if part := v.zones.Fraction(name, now); part < 1 {
 			out[name] = part
 		}
 	}
@@ -53,7 +53,7 @@
 // RatingsStatus lists what is known of versions' quality.
 func (v *View) RatingsStatus() (out []RatingStatus) {
 	out = []RatingStatus{}
-	for _, e := range v.quality.Wire() {
+	for _, e := range v.quality.Estimates() {
 		out = append(out, RatingStatus{e.GetRoute(), e.GetVersion(), e.GetRatings(), e.GetRatingSum() / float64(max(e.GetRatings(), 1))})
 	}
 	return out
--- a/view/view.go
+++ b/view/view.go
@@ -26,12 +26,12 @@
 	// counts is the report of evidence to other processes.
 	counts []*wire.Count
 	// quality is nil in a view made for a test.
-	quality *quality.Book
+	quality *quality.Snapshot
 	// subsets holds the endpoints this entry works with by pool; nil elsewhere.
 	subsets map[string][]provider.VM
 	// zones is nil in a view made for a test.
 	zones  *zone.Ramps
-	spread spread.Picture
+	spread spread.Snapshot
 	// checkpoint is of the same offset as the tables.
 	checkpoint *table.Checkpoint
 }
@@ -43,7 +43,7 @@
 
 // WithEvidence returns a view that also knows the holds in force, this process's
 // report of evidence and what raters said of the versions.
-func (v *View) WithEvidence(holds *rollout.Holds, counts []*wire.Count, q *quality.Book) *View {
+func (v *View) WithEvidence(holds *rollout.Holds, counts []*wire.Count, q *quality.Snapshot) *View {
 	c := *v
 	c.holds = holds
 	c.counts = counts
@@ -82,7 +82,7 @@
 func (v *View) Holds() *rollout.Holds { return v.holds }
 
 // Quality returns what raters said of the versions.
-func (v *View) Quality() *quality.Book { return v.quality }
+func (v *View) Quality() *quality.Snapshot { return v.quality }
 
 // Counts returns what this process tells others of the versions it used.
 func (v *View) Counts() []*wire.Count { return v.counts }
@@ -107,7 +107,7 @@
 func (v *View) Draining() bool { return v.draining }
 
 // WithSpread adds what peers are told.
-func (v *View) WithSpread(p spread.Picture) *View {
+func (v *View) WithSpread(p spread.Snapshot) *View {
 	next := *v
 	next.spread = p
 	return &next
--- a/zone/zone.go
+++ b/zone/zone.go
@@ -130,8 +130,8 @@
 	ramps map[string]ramp
 }
 
-// Part is the part of its share that a zone gets at an instant, between 0 and 1.
-func (r *Ramps) Part(name string, now clock.Millis) float64 {
+// Fraction is the part of its share that a zone gets at an instant, between 0 and 1.
+func (r *Ramps) Fraction(name string, now clock.Millis) float64 {
 	if r == nil {
 		return 1
 	}
--- a/zone/zone_test.go
+++ b/zone/zone_test.go
@@ -40,22 +40,22 @@
 
 // Operators bring a zone back whose engines are all cold. Were it given its
 // whole share at once, its gates would refuse a third of all requests.
-func TestReturningZoneGetsItsShareStepByStep(t *testing.T) {
+func TestReturningZoneRampsUp(t *testing.T) {
 	is := is.New(t)
 	f := newFixture()
-	is.Equal(f.state.Ramps().Part("b", 0), 1.0) // up since before this process
+	is.Equal(f.state.Ramps().Fraction("b", 0), 1.0) // up since before this process
 	f.place("b", table.Out, 1000)
 	f.place("b", table.In, 5000)
-	is.Equal(f.state.Ramps().Part("b", 5000), rampFirst)
-	is.True(f.state.Ramps().Part("b", 5000+rampSpan/2) < 0.6)
-	is.Equal(f.state.Ramps().Part("b", 5000+rampSpan), 1.0)
-	is.Equal(f.state.Ramps().Part("a", 5000), 1.0)
+	is.Equal(f.state.Ramps().Fraction("b", 5000), rampFirst)
+	is.True(f.state.Ramps().Fraction("b", 5000+rampSpan/2) < 0.6)
+	is.Equal(f.state.Ramps().Fraction("b", 5000+rampSpan), 1.0)
+	is.Equal(f.state.Ramps().Fraction("a", 5000), 1.0)
 }
 
 // A zone's switch fails: all its endpoints can't be reached, while the tables
 // and the list say nothing. When they answer again the zone ramps as a whole; one
 // endpoint alone that comes back is its gate's matter.
-func TestLostZoneRampsToo(t *testing.T) {
+func TestUnreachableZoneRampsUpOnRecovery(t *testing.T) {
 	is := is.New(t)
 	f := newFixture()
 	fail := func(vm string) {
@@ -72,12 +72,12 @@
 		f.members.Reduce(event.Tick{Now: now})
 		f.at(now)
 	}
-	is.True(f.state.Ramps().Part("b", 1200) < 1)
+	is.True(f.state.Ramps().Fraction("b", 1200) < 1)
 }
 
 // Two zones come and go every few seconds. Each return must be trusted less than
 // the one before, or the load would swing with them; a calm time forgives.
-func TestFlappingZoneIsTrustedLessEachTime(t *testing.T) {
+func TestFlappingZoneRampsSlowerEachTime(t *testing.T) {
 	is := is.New(t)
 	f := newFixture()
 	now := clock.Millis(0)
