--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -1,6 +1,7 @@
 // Package daemon runs the entry and endpoint processes: settings, signals, logs
-// and the order of start and stop. It is apart from the operators' command lines,
-// whose plots and fonts would be resident in every process of a site.
+// and the order of start and stop. It does not import the operators' command
+// lines, so that their plotting code and fonts are not resident in every process
+// of a site.
 package daemon
 
 import (
@@ -39,12 +40,12 @@
 
 // Entry runs parsleydeal-entry and returns its exit code.
 func Entry(args []string) int {
-	return exitOf(start("parsleydeal-entry", settings.EntryProgram, args, RunEntry))
+	return exitCode(start("parsleydeal-entry", settings.EntryProgram, args, RunEntry))
 }
 
 // Endpoint runs parsleydeal-endpoint and returns its exit code.
 func Endpoint(args []string) int {
-	return exitOf(start("parsleydeal-endpoint", settings.EndpointProgram, args, RunEndpoint))
+	return exitCode(start("parsleydeal-endpoint", settings.EndpointProgram, args, RunEndpoint))
 }
 
 // Exit codes of the daemons.
@@ -52,15 +53,15 @@
 	exitOK = 0
 	// exitFailed means that the process ran and failed.
 	exitFailed = 1
-	// exitUsage means that the command line or the settings are wrong.
+	// exitUsage means that the command line or the settings are invalid.
 	exitUsage = 2
 )
 
 // errUsage marks errors of the command line.
 var errUsage = errors.New("usage")
 
-// exitOf prints an error and returns the exit code it stands for.
-func exitOf(err error) int {
+// exitCode prints an error and returns the exit code for it.
+func exitCode(err error) int {
 	var f *flags.Error
 	switch {
 	case err == nil:
@@ -76,7 +77,8 @@
 	return exitFailed
 }
 
-// Version returns the module version that the program was built from.
+// Version returns the module version that the program was built from, or "(devel)"
+// if the build does not record one.
 func Version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok || info.Main.Version == "" {
@@ -85,7 +87,7 @@
 	return info.Main.Version
 }
 
-// newLogger makes the structured logger that the settings ask for.
+// newLogger returns a structured logger that writes to w as configured.
 func newLogger(s settings.Log, w io.Writer) (l *log.Logger, err error) {
 	level, err := log.ParseLevel(s.Level)
 	if err != nil {
@@ -114,7 +116,7 @@
 		return nil
 	}
 	if o.Settings == "" {
-		return fmt.Errorf("%s: --settings is needed: %w", name, errUsage)
+		return fmt.Errorf("%s: --settings is required: %w", name, errUsage)
 	}
 	s, err := settings.ReadFor(o.Settings, kind)
 	if err != nil || o.Check {
@@ -132,7 +134,7 @@
 	return run(ctx, s, l)
 }
 
-// newNode makes a node that speaks to the platform in the settings.
+// newNode returns a node that uses the platform named in the settings.
 func newNode(s settings.Settings, l *log.Logger, peers *peer.Pool) *node.Node {
 	h := provider.NewHTTP(s.Platform, &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 16}})
 	return node.New(node.Config{
@@ -147,16 +149,16 @@
 	})
 }
 
-// process is what both daemons run around their own part.
+// process holds what the entry and the endpoint daemon have in common.
 type process struct {
 	settings settings.Settings
 	node     *node.Node
 	log      *log.Logger
-	port     *operations.Port
+	api      *operations.Port
 	listen   ListenFunc
-	// certificates are those of the process's own interfaces.
+	// certificates are those of this process's interfaces.
 	certificates Certificates
-	// leaving is set when the process was asked to stop.
+	// leaving is set once the process has been asked to stop.
 	leaving atomic.Bool
 }
 
@@ -169,19 +171,19 @@
 		return nil, err
 	}
 	p = &process{settings: s, node: newNode(s, l, c.Pool()), log: l, listen: listen, certificates: c}
-	p.port = operations.New(program, Version(), p.node)
-	p.port.SetLeaving(p.leaving.Load)
-	p.port.Add(operations.Section{Name: "bills", Read: p.node.Billing().Status})
-	p.port.Add(operations.Section{Name: "holds", Read: func() any { return p.node.View().HoldsStatus() }})
-	p.port.Add(operations.Section{Name: "ramping-zones", Read: func() any { return p.node.View().RampsStatus(p.node.Clock().Now()) }})
-	p.port.Add(operations.Section{Name: "ratings", Read: func() any { return p.node.View().RatingsStatus() }})
+	p.api = operations.New(program, Version(), p.node)
+	p.api.SetLeaving(p.leaving.Load)
+	p.api.Add(operations.Section{Name: "bills", Read: p.node.Billing().Status})
+	p.api.Add(operations.Section{Name: "holds", Read: func() any { return p.node.View().HoldsStatus() }})
+	p.api.Add(operations.Section{Name: "ramping-zones", Read: func() any { return p.node.View().RampsStatus(p.node.Clock().Now()) }})
+	p.api.Add(operations.Section{Name: "ratings", Read: func() any { return p.node.View().RatingsStatus() }})
 	return p, nil
 }
 
 // start runs the node and the operators' interface until the context ends.
 func (p *process) start(ctx context.Context) (err error) {
 	p.node.Start(ctx)
-	p.watch(ctx)
+	p.watchCertificates(ctx)
 	if p.settings.Operators == "" {
 		return nil
 	}
@@ -189,23 +191,23 @@
 	if err != nil {
 		return err
 	}
-	p.log.Info("Operators' interface is open", "vm", p.settings.VM, "address", lis.Addr())
+	p.log.Info("Operators' interface is listening", "vm", p.settings.VM, "address", lis.Addr())
 	go func() {
-		if err := p.port.Serve(ctx, secure(p.certificates.operators, lis)); err != nil {
+		if err := p.api.Serve(ctx, secure(p.certificates.operators, lis)); err != nil {
 			p.log.Error("Operators' interface failed", "vm", p.settings.VM, "error", logbook.Text(err))
 		}
 	}()
 	return nil
 }
 
-// RunEntry serves as an entry until the context ends, then drains: it is not
-// ready for the leave delay while it still serves, then takes no new work and
+// RunEntry serves as an entry until the context ends, then drains: for the leave
+// delay it reports not ready but still serves, then it accepts no new work and
 // lets the requests in flight finish.
 func RunEntry(ctx context.Context, s settings.Settings, l *log.Logger) (err error) {
 	return RunEntryOn(ctx, s, l, net.Listen)
 }
 
-// RunEntryOn is RunEntry on listeners that a function opens.
+// RunEntryOn is RunEntry with listeners opened by the function listen.
 func RunEntryOn(ctx context.Context, s settings.Settings, l *log.Logger, listen ListenFunc) (err error) {
 	peers, err := listen("tcp", s.Peer)
 	if err != nil {
@@ -220,7 +222,7 @@
 		return err
 	}
 	e := entry.New(p.node)
-	p.port.SetBurn(e.BurnReport)
+	p.api.SetBurn(e.BurnReport)
 	inner, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
 	if err = p.start(inner); err != nil {
@@ -238,15 +240,15 @@
 		time.Sleep(s.Entry.LeaveDelay.Duration())
 		p.node.Drain(inner)
 	}()
-	l.Info("Entry serves callers", "vm", s.VM, "address", callers.Addr())
+	l.Info("Entry is listening for callers", "vm", s.VM, "address", callers.Addr())
 	err = e.Serve(serving, secure(p.certificates.callers, callers))
-	switch handErr := e.HandOverBurnCounts(inner); {
-	case errorx.IsOfType(handErr, node.ErrNoHeir):
-		l.Info("Nobody takes over what was counted for the burn report", "vm", s.VM, "reason", logbook.Text(handErr))
-	case handErr != nil:
-		l.Warn("What was counted for the burn report could not be handed on", "vm", s.VM, "error", logbook.Text(handErr))
+	switch handOverErr := e.HandOverBurnCounts(inner); {
+	case errorx.IsOfType(handOverErr, node.ErrNoHeir):
+		l.Info("No other entry takes over the counts of the burn report", "vm", s.VM, "reason", logbook.Text(handOverErr))
+	case handOverErr != nil:
+		l.Warn("Counts of the burn report could not be handed over", "vm", s.VM, "error", logbook.Text(handOverErr))
 	}
-	settle(inner, p.node, l)
+	waitForBills(inner, p.node, l)
 	l.Info("Entry stopped", "vm", s.VM)
 	return err
 }
@@ -256,7 +258,7 @@
 	return RunEndpointOn(ctx, s, l, net.Listen)
 }
 
-// RunEndpointOn is RunEndpoint on listeners that a function opens.
+// RunEndpointOn is RunEndpoint with listeners opened by the function listen.
 func RunEndpointOn(ctx context.Context, s settings.Settings, l *log.Logger, listen ListenFunc) (err error) {
 	peers, err := listen("tcp", s.Peer)
 	if err != nil {
@@ -268,7 +270,7 @@
 	}
 	e := endpoint.New(p.node)
 	e.RegisterMetrics()
-	p.port.Add(operations.Section{Name: "window", Read: e.WindowStatus})
+	p.api.Add(operations.Section{Name: "window", Read: e.WindowStatus})
 	inner, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
 	if err = p.start(inner); err != nil {
@@ -276,7 +278,7 @@
 	}
 	served := make(chan error, 1)
 	go func() { served <- e.Serve(inner, secure(p.certificates.peers, peers)) }()
-	l.Info("Endpoint serves entries", "vm", s.VM, "address", peers.Addr())
+	l.Info("Endpoint is listening for entries", "vm", s.VM, "address", peers.Addr())
 	select {
 	case err = <-served:
 		return err
@@ -284,51 +286,51 @@
 	}
 	p.leaving.Store(true)
 	p.node.Drain(inner)
-	finishWork(inner, e, s, l)
-	settle(inner, p.node, l)
+	finishRequests(inner, e, s, l)
+	waitForBills(inner, p.node, l)
 	cancel()
 	l.Info("Endpoint stopped", "vm", s.VM)
 	return <-served
 }
 
-// abortLimit bounds how long a stopping endpoint waits until callers have been
-// told of the answers it cut off.
-const abortLimit = 5 * clock.Second
+// abortTimeout bounds how long a stopping endpoint waits until callers have been
+// informed of the answers it cancelled.
+const abortTimeout = 5 * clock.Second
 
-// finishWork waits until everything that a stopping endpoint holds has ended. A
-// second signal, or the limit in the settings, cuts off what is left.
-func finishWork(ctx context.Context, e *endpoint.Endpoint, s settings.Settings, l *log.Logger) {
+// finishRequests waits until all requests at a stopping endpoint have ended. A
+// second signal, or the stop limit in the settings, cancels the remaining ones.
+func finishRequests(ctx context.Context, e *endpoint.Endpoint, s settings.Settings, l *log.Logger) {
 	ctx, cancel := context.WithTimeout(ctx, s.Endpoint.StopLimit.Duration())
 	defer cancel()
-	again := make(chan os.Signal, 1)
-	signal.Notify(again, os.Interrupt, syscall.SIGTERM)
-	defer signal.Stop(again)
+	secondSignal := make(chan os.Signal, 1)
+	signal.Notify(secondSignal, os.Interrupt, syscall.SIGTERM)
+	defer signal.Stop(secondSignal)
 	go func() {
 		select {
-		case <-again:
+		case <-secondSignal:
 			cancel()
 		case <-ctx.Done():
 		}
 	}()
-	left := e.WaitIdle(ctx)
-	if left == 0 {
+	remaining := e.WaitIdle(ctx)
+	if remaining == 0 {
 		return
 	}
-	l.Warn("Endpoint cuts off what it still holds", "vm", s.VM, "held", left)
+	l.Warn("Endpoint cancels unfinished requests", "vm", s.VM, "held", remaining)
 	e.Abort()
-	told, cancelTold := context.WithTimeout(context.WithoutCancel(ctx), abortLimit.Duration())
-	defer cancelTold()
-	e.WaitIdle(told)
+	abortCtx, cancelAbort := context.WithTimeout(context.WithoutCancel(ctx), abortTimeout.Duration())
+	defer cancelAbort()
+	e.WaitIdle(abortCtx)
 }
 
-// settleLimit bounds how long a stopping process waits for its bills. The
-// platform ends it sooner or later, and waiting longer saves no bill that a
-// holder has.
-const settleLimit = 20 * clock.Second
+// settleTimeout bounds how long a stopping process waits for its bills. The
+// platform kills the process sooner or later anyway, and a bill that a holder has
+// a copy of gains nothing from a longer wait.
+const settleTimeout = 20 * clock.Second
 
-// settle waits until the process's bills are safe without it.
-func settle(ctx context.Context, n *node.Node, l *log.Logger) {
-	ctx, cancel := context.WithTimeout(ctx, settleLimit.Duration())
+// waitForBills waits until the process's bills are safe without this process.
+func waitForBills(ctx context.Context, n *node.Node, l *log.Logger) {
+	ctx, cancel := context.WithTimeout(ctx, settleTimeout.Duration())
 	defer cancel()
 	n.Told(ctx)
 	if n.Billing().Settled(ctx) != nil {
--- a/daemon/direct.go
+++ b/daemon/direct.go
@@ -28,44 +28,48 @@
 
 const (
 	// leaseMargin is how much earlier than agreed a key's lease ends here: the
-	// way of a request from this process to the endpoint that runs it.
+	// time that a request takes from this process to the endpoint that runs it.
 	leaseMargin = 300 * clock.Millis(1)
-	// leaveFor is how long a stopping entry is not ready but still takes
-	// connections. Balancers look once a second and believe the second miss.
-	leaveFor = 3 * clock.Second
-	// stopMargin is left of the grace time for the process to end by itself.
+	// leaveDelay is how long a stopping entry reports not ready but still accepts
+	// connections. Load balancers probe once a second and act on the second failed
+	// probe.
+	leaveDelay = 3 * clock.Second
+	// stopMargin is reserved at the end of the grace time for the process to exit by
+	// itself.
 	stopMargin = 400 * clock.Millis(1)
-	// tidyEvery is the span between two looks at what is no longer needed.
-	tidyEvery = 2 * clock.Second
-	// memoryPart is the part of its memory from which the process collects garbage
-	// more often.
-	memoryPart = 0.7
+	// sweepInterval is the interval between two sweeps of state that is no longer
+	// needed.
+	sweepInterval = 2 * clock.Second
+	// memoryLimitRatio is the fraction of the process's memory above which the garbage
+	// collector runs more often.
+	memoryLimitRatio = 0.7
 )
 
-// direct is an entry that sends straight to endpoints.
+// direct is an entry that sends requests straight to endpoints.
 type direct struct {
-	path     string
-	settings settings.Settings
-	log      *log.Logger
-	book     *logbook.Writer
-	clock    clock.Clock
-	loop     *site.Loop
-	server   *relay.Server
-	socket   *gossip.Socket
+	path      string
+	settings  settings.Settings
+	log       *log.Logger
+	logWriter *logbook.Writer
+	clock     clock.Clock
+	loop      *site.Loop
+	server    *relay.Server
+	socket    *gossip.Socket
 }
 
-// RunDirectOn serves callers until the context ends, for the demo; it stops at
-// once.
+// RunDirectOn serves callers directly until the context ends and writes its log
+// lines to out. It closes callers' connections without draining; the demo uses it.
 func RunDirectOn(ctx context.Context, s settings.Settings, out io.Writer) (err error) {
 	d, err := newDirect("", s, out)
 	if err != nil {
 		return err
 	}
-	go d.book.Run(ctx)
+	go d.logWriter.Run(ctx)
 	return d.serve(ctx, nil)
 }
 
-// runDirect serves callers until SIGTERM, then leaves without cutting a request.
+// runDirect serves callers until SIGTERM or SIGINT, then stops without interrupting requests.
+// SIGHUP checks the settings file again.
 func runDirect(ctx context.Context, path string, s settings.Settings) (err error) {
 	d, err := newDirect(path, s, os.Stdout)
 	if err != nil {
@@ -73,34 +77,34 @@
 	}
 	inner, cancel := context.WithCancel(ctx)
 	defer cancel()
-	written := make(chan struct{})
+	logDone := make(chan struct{})
 	go func() {
-		defer close(written)
-		d.book.Run(inner)
+		defer close(logDone)
+		d.logWriter.Run(inner)
 	}()
-	d.log.Info("Entry starts", "zone", s.Zone, "process", d.process(), "callers", s.Entry.Callers, "store", s.Direct.Store, "key-lease", s.Direct.KeyLease, "version", Version())
+	d.log.Info("Entry starts", "zone", s.Zone, "process", d.processID(), "callers", s.Entry.Callers, "store", s.Direct.Store, "key-lease", s.Direct.KeyLease, "version", Version())
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	err = d.serve(inner, signals)
 	d.log.Info("Entry stops", "error", logbook.Text(err))
 	cancel()
-	<-written
+	<-logDone
 	return err
 }
 
-// newDirect makes an entry that writes its log lines to out.
+// newDirect returns an entry that writes its log lines to out.
 func newDirect(path string, s settings.Settings, out io.Writer) (d *direct, err error) {
 	if s.Direct.Memory > 0 {
 		const megabyte = 1 << 20
-		debug.SetMemoryLimit(int64(memoryPart * float64(s.Direct.Memory) * megabyte))
+		debug.SetMemoryLimit(int64(memoryLimitRatio * float64(s.Direct.Memory) * megabyte))
 	}
-	ways, err := decision.Choose(s.Decisions.Ways)
+	strategies, err := decision.Choose(s.Decisions.Ways)
 	if err != nil {
 		return nil, err
 	}
 	d = &direct{path: path, settings: s, clock: clock.Boot()}
-	d.book = logbook.New(d.clock, out)
-	l, err := newLogger(s.Log, d.book)
+	d.logWriter = logbook.New(d.clock, out)
+	l, err := newLogger(s.Log, d.logWriter)
 	if err != nil {
 		return nil, err
 	}
@@ -110,7 +114,7 @@
 	}
 	store := platform.NewStore(s.Direct.Store, &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4, DisableCompression: true}})
 	d.loop = site.NewLoop(site.Config{
-		Self:    site.Self{Name: s.VM, Process: d.process(), Zone: s.Zone, Exposure: s.Direct.Exposure},
+		Self:    site.Self{Name: s.VM, Process: d.processID(), Zone: s.Zone, Exposure: s.Direct.Exposure},
 		Clock:   d.clock,
 		Log:     d.log,
 		Store:   site.Store{Newest: store.Newest, Read: store.Read, Append: store.Append},
@@ -122,27 +126,28 @@
 	d.server = relay.New(relay.Config{
 		Clock: d.clock, Log: d.log, Dialect: platform.Dialect(), View: d.loop.View, Started: d.loop.Started(), Pool: upstream.NewPool(d.clock), Zone: s.Zone,
 		Strict: s.Direct.StrictKeys, KeyLease: s.Direct.KeyLease - leaseMargin, RetryRatio: s.Direct.RetryRatio, RetrySlack: s.Direct.RetrySlack, RetryWindow: s.Direct.RetrySpan,
-		ColdOverage: s.Direct.ColdOverage, ColdSlack: s.Direct.ColdSlack, SessionIdleTimeout: s.Direct.SessionLife, Strategies: ways,
+		ColdOverage: s.Direct.ColdOverage, ColdSlack: s.Direct.ColdSlack, SessionIdleTimeout: s.Direct.SessionLife, Strategies: strategies,
 	})
 	return d, nil
 }
 
-// process names this start of the entry.
-func (d *direct) process() string {
-	return fmt.Sprintf("%s/%d/%d", d.settings.VM, os.Getpid(), started)
+// processID identifies this start of the entry.
+func (d *direct) processID() string {
+	return fmt.Sprintf("%s/%d/%d", d.settings.VM, os.Getpid(), startedAtNanos)
 }
 
-// started tells one start of a process from the next.
-var started = time.Now().UnixNano()
+// startedAtNanos is the start time of the process in ns since the Unix epoch. It
+// distinguishes two starts on the same VM with the same process id.
+var startedAtNanos = time.Now().UnixNano()
 
 func (d *direct) serve(ctx context.Context, signals <-chan os.Signal) (err error) {
 	s := d.settings
-	const slack = 2
+	const headerSlack = 2
 	callers := &http.Server{
 		Handler: d.server, ReadHeaderTimeout: s.Entry.HeaderTimeout.Duration(), IdleTimeout: s.Entry.IdleTimeout.Duration(),
-		MaxHeaderBytes: slack * s.Entry.MaxHeaders, ErrorLog: d.log.StandardLog(log.StandardLogOptions{ForceLevel: log.WarnLevel}),
+		MaxHeaderBytes: headerSlack * s.Entry.MaxHeaders, ErrorLog: d.log.StandardLog(log.StandardLogOptions{ForceLevel: log.WarnLevel}),
 	}
-	idle := newIdlers(d.clock)
+	idle := newIdleConns(d.clock)
 	callers.ConnState = idle.Track
 	lis, err := net.Listen("tcp4", s.Entry.Callers)
 	if err != nil {
@@ -150,17 +155,17 @@
 	}
 	failed := make(chan error, 3)
 	go func() { failed <- callers.Serve(lis) }()
-	go func() { failed <- d.aside(s.Direct.Ready, d.readiness()) }()
+	go func() { failed <- d.serveInternal(s.Direct.Ready, d.readinessHandler()) }()
 	if s.Operators != "" {
-		go func() { failed <- d.aside(s.Operators, d.metrics()) }()
+		go func() { failed <- d.serveInternal(s.Operators, d.metricsHandler()) }()
 	}
 	go d.loop.Run(ctx)
-	go d.socket.Receive(ctx, d.hear)
+	go d.socket.Receive(ctx, d.receive)
 	go d.server.SendReports(ctx, s.VM, d.socket.Send)
 	go d.server.RequestSnapshot(ctx, s.VM, s.Peer, d.socket.Send)
 	go d.server.ServeSnapshots(ctx, s.VM, d.socket.Send)
-	go d.tidy(ctx)
-	go idle.run(ctx, d.idleBound)
+	go d.sweep(ctx)
+	go idle.run(ctx, d.idleTimeout)
 	for {
 		select {
 		case err = <-failed:
@@ -176,9 +181,9 @@
 	}
 }
 
-// hear hands a report of another entry to control, or to traffic when it tells of work
-// at endpoints.
-func (d *direct) hear(r *wire.EntryReport) {
+// receive passes a report of another entry to control, or to the server if it is about work
+// at endpoints. Only reports to control name a zone.
+func (d *direct) receive(r *wire.EntryReport) {
 	if r.GetZone() == "" {
 		d.server.ReceiveReport(r)
 		return
@@ -186,37 +191,39 @@
 	d.loop.Receive(r)
 }
 
-// leave stops without cutting a request: the entry is not ready any more, takes
-// what still comes until balancers have noticed, asks callers to close their
-// connections, and ends when its last request has.
+// leave stops the entry without interrupting requests: it reports not ready,
+// accepts requests until load balancers have noticed, then asks callers to close
+// their connections, and returns when the last request has ended or the grace time
+// is nearly over.
 func (d *direct) leave(ctx context.Context, callers *http.Server) (err error) {
-	begun := d.clock.Now()
+	startedAt := d.clock.Now()
 	d.server.Leave()
 	d.loop.Leave(ctx)
 	d.log.Info("Entry leaves", "active", d.server.Active(), "grace", d.settings.Direct.Grace)
-	clock.Pause(ctx, leaveFor)
-	left := d.settings.Direct.Grace - d.clock.Since(begun) - stopMargin
-	ctx, cancel := context.WithTimeout(ctx, max(left, 1).Duration())
+	clock.Pause(ctx, leaveDelay)
+	remaining := d.settings.Direct.Grace - d.clock.Since(startedAt) - stopMargin
+	ctx, cancel := context.WithTimeout(ctx, max(remaining, 1).Duration())
 	defer cancel()
 	if err = callers.Shutdown(ctx); err != nil {
-		d.log.Warn("Entry stops before its last answer ended", "active", d.server.Active())
+		d.log.Warn("Entry stops with requests still active", "active", d.server.Active())
 	}
 	return nil
 }
 
-// reload checks the settings file anew. What is in it holds for a start of the
-// process, so only its faults are told here.
+// reload checks the settings file again. Settings take effect only when the
+// process starts, so this only logs whether they are valid and whether they differ
+// from those in use.
 func (d *direct) reload() {
 	s, err := settings.ReadFor(d.path, settings.EntryProgram)
 	if err != nil {
-		d.log.Warn("New settings cannot be used, the old ones go on", "error", settings.MessageOf(err))
+		d.log.Warn("New settings are invalid, the old ones remain in force", "error", settings.MessageOf(err))
 		return
 	}
 	d.log.Info("Settings were read again", "changed", fmt.Sprint(s) != fmt.Sprint(d.settings))
 }
 
-// idleBound is how long operators let a caller's connection wait; 0 for any time.
-func (d *direct) idleBound() clock.Millis {
+// idleTimeout returns how long a caller's connection may stay idle; 0 means no timeout.
+func (d *direct) idleTimeout() clock.Millis {
 	c := d.loop.View().Config()
 	if c == nil {
 		return 0
@@ -224,29 +231,29 @@
 	return c.Limits.IdleTimeout
 }
 
-// tidy drops what is no longer needed.
-func (d *direct) tidy(ctx context.Context) {
-	for clock.Pause(ctx, tidyEvery) {
+// sweep removes state that is no longer needed until the context ends.
+func (d *direct) sweep(ctx context.Context) {
+	for clock.Pause(ctx, sweepInterval) {
 		d.server.Sweep()
 	}
 }
 
-// readiness tells the balancer whether to send connections.
-func (d *direct) readiness() http.Handler {
+// readinessHandler answers the load balancer's readiness probe.
+func (d *direct) readinessHandler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != platform.ReadyPath {
 			w.WriteHeader(http.StatusNotFound)
 			return
 		}
-		if ready, why := d.ready(); !ready {
-			http.Error(w, why, http.StatusServiceUnavailable)
+		if ready, reason := d.ready(); !ready {
+			http.Error(w, reason, http.StatusServiceUnavailable)
 			return
 		}
 		w.WriteHeader(http.StatusOK)
 	})
 }
 
-func (d *direct) ready() (ready bool, why string) {
+func (d *direct) ready() (ready bool, reason string) {
 	v := d.loop.View()
 	switch {
 	case v.Leaving():
@@ -257,32 +264,32 @@
 	return true, ""
 }
 
-func (d *direct) metrics() http.Handler {
+func (d *direct) metricsHandler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		v := d.loop.View()
 		d.server.WriteMetrics(w)
 		ready, _ := d.ready()
-		fmt.Fprintf(w, "parsleydeal_ready %d\n", flag(ready))
-		fmt.Fprintf(w, "parsleydeal_draining %d\n", flag(v.Leaving()))
+		fmt.Fprintf(w, "parsleydeal_ready %d\n", boolToInt(ready))
+		fmt.Fprintf(w, "parsleydeal_draining %d\n", boolToInt(v.Leaving()))
 		fmt.Fprintf(w, "parsleydeal_tables_staleness_ms %d\n", d.clock.Since(v.ConfirmedAt()))
-		fmt.Fprintf(w, "parsleydeal_store_reader %d\n", flag(v.Reader()))
+		fmt.Fprintf(w, "parsleydeal_store_reader %d\n", boolToInt(v.Reader()))
 		fmt.Fprintf(w, "parsleydeal_members{role=\"endpoint\"} %d\n", v.Fleet().Size())
 		fmt.Fprintf(w, "parsleydeal_members{role=\"entry\"} %d\n", v.Entries())
-		fmt.Fprintf(w, "parsleydeal_log_lines_lost_total %d\n", d.book.Lost())
+		fmt.Fprintf(w, "parsleydeal_log_lines_lost_total %d\n", d.logWriter.Lost())
 		fmt.Fprintf(w, "parsleydeal_reports_lost_total %d\n", d.socket.Lost()+d.loop.Dropped())
 		metrics.WriteProcessMetrics(w)
 	})
 }
 
-func flag(b bool) int {
+func boolToInt(b bool) int {
 	if b {
 		return 1
 	}
 	return 0
 }
 
-// aside serves an interface beside the callers'.
-func (d *direct) aside(address string, h http.Handler) (err error) {
+// serveInternal serves an interface other than the callers', such as readiness or metrics.
+func (d *direct) serveInternal(address string, h http.Handler) (err error) {
 	lis, err := net.Listen("tcp4", address)
 	if err != nil {
 		return err
--- a/daemon/direct_test.go
+++ b/daemon/direct_test.go
@@ -16,17 +16,17 @@
 	"github.com/parsleydeal/parsleydeal/platform/standin"
 )
 
-// A caller sends one request of each kind on a calm day, and tries to pass for
-// another organisation. It gets the endpoint's own answer, and the endpoint sees
-// the organisation of the key and never the key.
+// A caller sends one request of each kind and claims to be another organisation.
+// It must get the endpoint's answer, and the endpoint must see the organisation
+// that the key belongs to and never the key.
 func TestRequestsOfEachKind(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	w := newTown(t)
-	app := w.endpoint("i-app", "app", "v1", nil)
-	pool := w.endpoint("i-pool", "pool", "v1", always(standin.Reply{Events: 3, Confidence: 90}))
-	w.publish()
-	e := w.entry("entry-a")
+	ts := newTestSite(t)
+	app := ts.endpoint("i-app", "app", "v1", nil)
+	pool := ts.endpoint("i-pool", "pool", "v1", always(standin.Reply{Events: 3, Confidence: 90}))
+	ts.publish()
+	e := ts.entry("entry-a")
 
 	r := e.send("POST", "/fee/x?y=%2F", "paid", func(r *http.Request) {
 		r.Header.Set("Tenant-Id", "org-2")
@@ -43,7 +43,7 @@
 
 	r = e.send("POST", "/chat/1", "hello")
 	is.NoErr(r.err)
-	is.True(pieces(r.body, 3))
+	is.True(hasEvents(r.body, 3))
 	is.Equal(pool.Runs()[0].Model, "small")
 
 	is.Equal(e.send("GET", "/none/1", "").status, 404)
@@ -54,27 +54,27 @@
 	is.Equal(len(app.Runs()), 1)
 }
 
-// The small model thinks little of its answer. The caller sees only the large
-// model's; an answer in which the small one is confident is handed on.
+// The small model reports low confidence in an answer. The caller must get only the
+// large model's answer; a confident answer of the small model is passed on.
 func TestLowConfidenceEscalatesToLargerModel(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	w := newTown(t)
-	act := func(r *http.Request) standin.Reply {
+	ts := newTestSite(t)
+	respond := func(r *http.Request) standin.Reply {
 		a := standin.Reply{Events: 2, BreakAfter: -1, Confidence: 95}
 		if r.Header.Get("Model") == "small" && strings.HasSuffix(r.URL.Path, "hard") {
 			a.Confidence = 10
 		}
 		return a
 	}
-	w.endpoint("i-1", "pool", "v1", act)
-	w.endpoint("i-2", "pool", "v1", act)
-	w.publish()
-	e := w.entry("entry-a")
-	is.True(pieces(e.send("POST", "/chat/easy", "x").body, 2))
-	is.True(pieces(e.send("POST", "/chat/hard", "x").body, 2))
+	ts.endpoint("i-1", "pool", "v1", respond)
+	ts.endpoint("i-2", "pool", "v1", respond)
+	ts.publish()
+	e := ts.entry("entry-a")
+	is.True(hasEvents(e.send("POST", "/chat/easy", "x").body, 2))
+	is.True(hasEvents(e.send("POST", "/chat/hard", "x").body, 2))
 	models := make(map[string]int)
-	for _, endpoint := range w.endpoints {
+	for _, endpoint := range ts.endpoints {
 		for _, run := range endpoint.Runs() {
 			models[run.Path+" "+run.Model]++
 		}
@@ -82,59 +82,60 @@
 	is.Equal(models, map[string]int{"/chat/easy small": 1, "/chat/hard small": 1, "/chat/hard large": 1})
 }
 
-// An endpoint dies in the middle of an event. The stream goes on at another one
-// after the last whole event; the caller sees each event once.
+// An endpoint fails in the middle of an event. The stream must resume at another
+// endpoint after the last complete event, so that the caller sees each event once.
 func TestBrokenStreamResumesAtAnotherEndpoint(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	w := newTown(t)
+	ts := newTestSite(t)
 	var mu sync.Mutex
-	broke := false
-	act := func(*http.Request) standin.Reply {
+	broken := false
+	respond := func(*http.Request) standin.Reply {
 		mu.Lock()
 		defer mu.Unlock()
 		a := standin.Reply{Events: 6, BreakAfter: -1, Confidence: 95}
-		if !broke {
-			broke = true
+		if !broken {
+			broken = true
 			a.BreakAfter = 3
 		}
 		return a
 	}
-	w.endpoint("i-1", "pool", "v1", act)
-	w.endpoint("i-2", "pool", "v1", act)
-	w.publish()
-	r := w.entry("entry-a").send("POST", "/chat/1", "x")
+	ts.endpoint("i-1", "pool", "v1", respond)
+	ts.endpoint("i-2", "pool", "v1", respond)
+	ts.publish()
+	r := ts.entry("entry-a").send("POST", "/chat/1", "x")
 	is.NoErr(r.err)
-	is.True(pieces(r.body, 6))
+	is.True(hasEvents(r.body, 6))
 }
 
-// A stream breaks at every endpoint. The caller must see that its answer is not
-// whole: the connection breaks without the mark of a complete body.
+// A stream breaks at every endpoint. The caller must be able to see that its answer
+// is incomplete: the connection closes without the end marker of the body.
 func TestUnresumableStreamBreaksConnection(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	w := newTown(t)
+	ts := newTestSite(t)
 	for i := range 3 {
-		w.endpoint(fmt.Sprintf("i-%d", i), "pool", "v1", func(*http.Request) standin.Reply {
+		ts.endpoint(fmt.Sprintf("i-%d", i), "pool", "v1", func(*http.Request) standin.Reply {
 			return standin.Reply{Events: 9, BreakAfter: 2, Confidence: 95}
 		})
 	}
-	w.publish()
-	r := w.entry("entry-a").send("POST", "/chat/1", "x")
+	ts.publish()
+	r := ts.entry("entry-a").send("POST", "/chat/1", "x")
 	is.True(r.err != nil)
 }
 
-// An endpoint's kept connection brings an answer to somebody else's request
-// first, or one more after the own. Neither reaches a caller.
+// On a kept-alive connection an endpoint first sends the answer to another request,
+// or an extra answer after the right one, or one without a length. No caller may get
+// the answer to another request.
 func TestMisdirectedAnswersAreDiscarded(t *testing.T) {
 	t.Parallel()
 	for name, a := range map[string]standin.Reply{"foreign": {OtherAnswerFirst: true}, "surplus": {ExtraAnswer: true}, "unframed": {NoLength: true}} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			w := newTown(t)
-			w.endpoint("i-app", "app", "v1", always(a))
-			w.publish()
-			e := w.entry("entry-a")
+			ts := newTestSite(t)
+			ts.endpoint("i-app", "app", "v1", always(a))
+			ts.publish()
+			e := ts.entry("entry-a")
 			for range 4 {
 				req := e.request("GET", "/read/1", "")
 				id := req.Header.Get("Request-Id")
@@ -147,53 +148,54 @@
 	}
 }
 
-// An endpoint takes a fee and its answer is lost. The caller gets a status that
-// promises nothing, and the fee is not taken a second time.
+// An endpoint runs a non-idempotent request and its answer is lost. The caller must
+// get a status that does not promise that the request did not run, and the request
+// must not run a second time.
 func TestLostNonIdempotentAnswerIsNotRetried(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	w := newTown(t)
-	one := w.endpoint("i-1", "app", "v1", always(standin.Reply{DropAnswer: true}))
-	two := w.endpoint("i-2", "app", "v1", always(standin.Reply{DropAnswer: true}))
-	w.publish()
-	r := w.entry("entry-a").send("POST", "/fee/1", "x")
+	ts := newTestSite(t)
+	one := ts.endpoint("i-1", "app", "v1", always(standin.Reply{DropAnswer: true}))
+	two := ts.endpoint("i-2", "app", "v1", always(standin.Reply{DropAnswer: true}))
+	ts.publish()
+	r := ts.entry("entry-a").send("POST", "/fee/1", "x")
 	is.NoErr(r.err)
 	is.Equal(r.status, 502)
 	is.Equal(r.header.Get("Retry-After"), "")
 	is.Equal(len(one.Runs())+len(two.Runs()), 1)
 }
 
-// All endpoints refuse a fee without running it. The caller is told so at once,
-// with the time to come back.
+// All endpoints refuse a non-idempotent request without running it. The caller must
+// get the refusal at once, with the time after which to retry.
 func TestNotRunRefusalIsReturnedAtOnce(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	w := newTown(t)
-	w.endpoint("i-1", "app", "v1", always(standin.Reply{NotRun: true}))
-	w.endpoint("i-2", "app", "v1", always(standin.Reply{NotRun: true}))
-	w.publish()
-	e := w.entry("entry-a")
-	begun := time.Now()
+	ts := newTestSite(t)
+	ts.endpoint("i-1", "app", "v1", always(standin.Reply{NotRun: true}))
+	ts.endpoint("i-2", "app", "v1", always(standin.Reply{NotRun: true}))
+	ts.publish()
+	e := ts.entry("entry-a")
+	startedAt := time.Now()
 	r := e.send("POST", "/fee/1", "x")
-	is.True(time.Since(begun) < 300*time.Millisecond)
+	is.True(time.Since(startedAt) < 300*time.Millisecond)
 	is.True(r.status == 503 || r.status == 429)
 	after, err := strconv.ParseFloat(r.header.Get("Retry-After"), 64)
 	is.NoErr(err)
 	is.True(after > 0 && after <= 1)
 }
 
-// A read runs into an endpoint that has fallen silent, and into one that fails.
-// It is asked elsewhere while it can still be in time.
+// An idempotent request reaches an endpoint that is silent, fails, loses the answer
+// or does not sign it. It must be retried at another endpoint before its timeout.
 func TestIdempotentRequestIsRetriedInTime(t *testing.T) {
 	t.Parallel()
 	for name, a := range map[string]standin.Reply{"silent": {Delay: 5 * time.Second}, "failing": {Status: 500}, "lost": {DropAnswer: true}, "unsigned": {NoSignature: true}} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			w := newTown(t)
-			w.endpoint("i-bad", "app", "v1", always(a))
-			w.endpoint("i-good", "app", "v1", nil)
-			w.publish()
-			e := w.entry("entry-a")
+			ts := newTestSite(t)
+			ts.endpoint("i-bad", "app", "v1", always(a))
+			ts.endpoint("i-good", "app", "v1", nil)
+			ts.publish()
+			e := ts.entry("entry-a")
 			for range 6 {
 				r := e.send("GET", "/read/1", "")
 				is.NoErr(r.err)
@@ -204,27 +206,27 @@
 	}
 }
 
-// Every endpoint fails a read. The caller gets the endpoint's own failure,
-// unchanged and signed.
+// Every endpoint fails an idempotent request. The caller must get the endpoint's
+// failure unchanged and signed.
 func TestEndpointFailureIsPassedThrough(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	w := newTown(t)
-	w.endpoint("i-1", "app", "v1", always(standin.Reply{Status: 500}))
-	w.publish()
-	r := w.entry("entry-a").send("GET", "/read/1", "")
+	ts := newTestSite(t)
+	ts.endpoint("i-1", "app", "v1", always(standin.Reply{Status: 500}))
+	ts.publish()
+	r := ts.entry("entry-a").send("GET", "/read/1", "")
 	is.Equal(r.status, 500)
 	is.True(strings.HasPrefix(r.header.Get("Response-Signature"), "sig.i-1"))
 }
 
-// A caller closes its connection in the middle of a stream. The endpoint's work
-// is stopped at once.
+// A caller closes its connection in the middle of a stream. The run at the endpoint
+// must be cancelled at once.
 func TestCallerDisconnectCancelsRun(t *testing.T) {
 	t.Parallel()
-	w := newTown(t)
-	pool := w.endpoint("i-1", "pool", "v1", always(standin.Reply{Events: 100, EventDelay: 100 * time.Millisecond, Confidence: 95}))
-	w.publish()
-	e := w.entry("entry-a")
+	ts := newTestSite(t)
+	pool := ts.endpoint("i-1", "pool", "v1", always(standin.Reply{Events: 100, EventDelay: 100 * time.Millisecond, Confidence: 95}))
+	ts.publish()
+	e := ts.entry("entry-a")
 	ctx, cancel := context.WithCancel(context.Background())
 	resp, err := http.DefaultClient.Do(e.request("POST", "/chat/1", "x").WithContext(ctx))
 	if err != nil {
@@ -234,92 +236,93 @@
 		t.Fatal(err)
 	}
 	cancel()
-	w.eventually(400*time.Millisecond, "the run is cut", func() bool { return pool.Runs()[0].Disconnected })
+	ts.eventually(400*time.Millisecond, "the run is cancelled", func() bool { return pool.Runs()[0].Disconnected })
 }
 
-// A request outlasts its route's bound. It is ended at the bound, not at the
-// caller's own deadline.
+// A request takes longer than its route's timeout. It must end at that timeout, not
+// at the longer one that the caller asked for.
 func TestRequestEndsAtRouteTimeout(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	w := newTown(t)
-	w.endpoint("i-1", "app", "v1", always(standin.Reply{Delay: 10 * time.Second}))
-	w.publish()
-	e := w.entry("entry-a")
-	begun := time.Now()
+	ts := newTestSite(t)
+	ts.endpoint("i-1", "app", "v1", always(standin.Reply{Delay: 10 * time.Second}))
+	ts.publish()
+	e := ts.entry("entry-a")
+	startedAt := time.Now()
 	r := e.send("POST", "/fee/1", "x", func(r *http.Request) { r.Header.Set("Request-Timeout-Ms", "8000") })
-	took := time.Since(begun)
+	elapsed := time.Since(startedAt)
 	is.Equal(r.status, 504)
-	is.True(took > 1400*time.Millisecond && took < 1800*time.Millisecond)
+	is.True(elapsed > 1400*time.Millisecond && elapsed < 1800*time.Millisecond)
 }
 
-// A key is taken away while the store turns this entry away. The entry cannot
-// hear of it, so that it stops serving keyed requests before the key's time is
-// up, and serves them again when the store has confirmed the configuration.
+// A key is revoked while the store does not answer this entry. The entry cannot
+// learn of it, so it must stop serving requests with a key before the key lease
+// expires, and serve them again once the store has confirmed the configuration.
 func TestKeyLeaseExpiresWithoutStore(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	w := newTown(t)
-	w.lease = 2500
-	app := w.endpoint("i-1", "app", "v1", nil)
-	w.publish()
-	e := w.entry("entry-a")
+	ts := newTestSite(t)
+	ts.keyLease = 2500
+	app := ts.endpoint("i-1", "app", "v1", nil)
+	ts.publish()
+	e := ts.entry("entry-a")
 	is.Equal(e.send("GET", "/read/1", "").status, 200)
-	e.door.SetFault(standin.Silent)
-	taken := time.Now()
-	w.keys = []string{"key-2"}
-	w.publish()
-	for time.Since(taken) < 3*time.Second {
+	e.storeHandler.SetFault(standin.Silent)
+	revokedAt := time.Now()
+	ts.keys = []string{"key-2"}
+	ts.publish()
+	for time.Since(revokedAt) < 3*time.Second {
 		before := len(app.Runs())
 		sent := time.Now()
 		r := e.send("GET", "/read/1", "")
-		if sent.Sub(taken) > 2500*time.Millisecond && len(app.Runs()) > before {
-			t.Fatalf("a request ran %s after its key was taken away", sent.Sub(taken))
+		if sent.Sub(revokedAt) > 2500*time.Millisecond && len(app.Runs()) > before {
+			t.Fatalf("a request ran %s after its key was revoked", sent.Sub(revokedAt))
 		}
-		if sent.Sub(taken) > 2500*time.Millisecond {
+		if sent.Sub(revokedAt) > 2500*time.Millisecond {
 			is.Equal(r.status, 503)
 			is.True(r.header.Get("Retry-After") != "")
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	e.door.SetFault(standin.NoFault)
-	w.eventually(4*time.Second, "the store is read again", func() bool {
+	e.storeHandler.SetFault(standin.NoFault)
+	ts.eventually(4*time.Second, "the store is read again", func() bool {
 		return e.send("GET", "/read/1", "", func(r *http.Request) { r.Header.Set("Api-Key", "key-2") }).status == 200
 	})
 	is.Equal(e.send("GET", "/read/1", "").status, 401)
 }
 
-// The store forgets its history while an entry reads it. The entry must read the
-// streams anew: one that asks for the forgotten records again and again would
-// stay on its old configuration for good, with routes unknown and keys expired.
+// The store compacts its history while an entry cannot read it. The entry must read
+// the streams again from the start: if it kept requesting the compacted records, it
+// would keep its old configuration for good, with new routes unknown and its key lease
+// expired.
 func TestStreamsAreReadAgainAfterCompaction(t *testing.T) {
 	t.Parallel()
-	w := newTown(t)
-	w.endpoint("i-1", "app", "v1", nil)
-	w.publish()
-	e := w.entry("entry-a")
-	e.door.SetFault(standin.Down)
-	w.publish()
-	w.publish()
-	w.store.Compact("keyed.op")
-	w.store.Compact("keyed.servers")
-	e.door.SetFault(standin.NoFault)
-	w.eventually(3*time.Second, "the newest configuration is in force", func() bool {
+	ts := newTestSite(t)
+	ts.endpoint("i-1", "app", "v1", nil)
+	ts.publish()
+	e := ts.entry("entry-a")
+	e.storeHandler.SetFault(standin.Down)
+	ts.publish()
+	ts.publish()
+	ts.store.Compact("keyed.op")
+	ts.store.Compact("keyed.servers")
+	e.storeHandler.SetFault(standin.NoFault)
+	ts.eventually(3*time.Second, "the newest configuration is in force", func() bool {
 		c := e.loop.View().Config()
-		return c != nil && c.Version == int64(w.version)
+		return c != nil && c.Version == int64(ts.version)
 	})
 }
 
-// Entries start at the same moment, before any has written its address. They must
-// find one another all the same: entries that do not know of each other each take
-// the whole bound of an endpoint in cold start, and judge upgrades alone.
+// Entries start at the same moment, before any has written its address to the store.
+// They must still discover each other: otherwise each would use the full rate limit of
+// an endpoint in cold start, and judge upgrades alone.
 func TestEntriesThatStartTogetherDiscoverEachOther(t *testing.T) {
 	t.Parallel()
-	w := newTown(t)
-	w.endpoint("i-1", "app", "v1", nil)
-	w.publish()
-	all := []*entryAt{w.start("entry-a"), w.start("entry-b"), w.start("entry-c"), w.start("entry-d")}
-	w.eventually(4*time.Second, "all entries know of four", func() bool {
+	ts := newTestSite(t)
+	ts.endpoint("i-1", "app", "v1", nil)
+	ts.publish()
+	all := []*testEntry{ts.startEntry("entry-a"), ts.startEntry("entry-b"), ts.startEntry("entry-c"), ts.startEntry("entry-d")}
+	ts.eventually(4*time.Second, "all entries count four entries", func() bool {
 		for _, e := range all {
 			if e.loop.View().Entries() != len(all) {
 				return false
@@ -329,19 +332,19 @@
 	})
 }
 
-// An endpoint says that it leaves, another's entry is removed. Both get nothing
-// new soon after.
+// One endpoint's registration says that it is draining, another's is removed. Soon
+// after, both must get no new requests.
 func TestLeavingEndpointsGetNoNewRequests(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	w := newTown(t)
-	leaving := w.endpoint("i-1", "app", "v1", nil)
-	removed := w.endpoint("i-2", "app", "v1", nil)
-	w.endpoint("i-3", "app", "v1", nil)
-	w.publish()
-	e := w.entry("entry-a")
-	w.store.Put("keyed.servers", "i-1", leaving.Registration("app", "a", "v1", "draining", 2))
-	w.store.Put("keyed.servers", "i-2", nil)
+	ts := newTestSite(t)
+	leaving := ts.endpoint("i-1", "app", "v1", nil)
+	removed := ts.endpoint("i-2", "app", "v1", nil)
+	ts.endpoint("i-3", "app", "v1", nil)
+	ts.publish()
+	e := ts.entry("entry-a")
+	ts.store.Put("keyed.servers", "i-1", leaving.Registration("app", "a", "v1", "draining", 2))
+	ts.store.Put("keyed.servers", "i-2", nil)
 	time.Sleep(1500 * time.Millisecond)
 	before := leaving.Received() + removed.Received()
 	for range 30 {
@@ -350,44 +353,43 @@
 	is.Equal(leaving.Received()+removed.Received(), before)
 }
 
-// Another writer puts entries into the store that name no endpoint, and takes
-// the name of one. The others go on being used and the bad ones are named in the
-// log.
+// Another writer puts registrations into the store that describe no usable endpoint.
+// The valid endpoint must still be used, and each invalid registration be logged.
 func TestInvalidRegistrationsAreIgnored(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	w := newTown(t)
-	good := w.endpoint("i-1", "app", "v1", nil)
+	ts := newTestSite(t)
+	good := ts.endpoint("i-1", "app", "v1", nil)
 	for i, text := range []string{`{`, `[]`, `{"service":7}`, `{"service":"app","address":"nowhere","zone":"a","version":"v1","slots":4,"state":"ready","coldRemainingMs":0,"sequence":1}`, `{"service":"app","address":"127.0.0.1:1","zone":"a","version":"v1","slots":4,"state":"odd","coldRemainingMs":0,"sequence":1}`} {
-		w.store.Put("keyed.servers", fmt.Sprintf("i-bad-%d", i), []byte(text))
+		ts.store.Put("keyed.servers", fmt.Sprintf("i-bad-%d", i), []byte(text))
 	}
-	w.publish()
-	e := w.entry("entry-a")
+	ts.publish()
+	e := ts.entry("entry-a")
 	is.Equal(e.loop.View().Fleet().Size(), 1)
 	for range 5 {
 		is.Equal(e.send("GET", "/read/1", "").status, 200)
 	}
 	is.Equal(good.Received(), 5)
-	w.eventually(time.Second, "five faults are logged", func() bool {
+	ts.eventually(time.Second, "five invalid registrations are logged", func() bool {
 		return strings.Count(e.log.String(), "Endpoint's entry cannot be used") == 5
 	})
 }
 
-// An entry is stopped while it streams and while a caller goes on using its
-// connection. It is not ready at once, ends what it has, and goes when it is idle.
+// An entry is stopped while it streams an answer and while a caller keeps sending
+// requests. It must report not ready at once, finish its requests, and stop when idle.
 func TestPlannedStopFinishesRequests(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	w := newTown(t)
-	w.endpoint("i-1", "pool", "v1", always(standin.Reply{Events: 12, EventDelay: 300 * time.Millisecond, Confidence: 95}))
-	w.endpoint("i-2", "app", "v1", nil)
-	w.publish()
-	e := w.entry("entry-a")
-	stream := make(chan reply, 1)
+	ts := newTestSite(t)
+	ts.endpoint("i-1", "pool", "v1", always(standin.Reply{Events: 12, EventDelay: 300 * time.Millisecond, Confidence: 95}))
+	ts.endpoint("i-2", "app", "v1", nil)
+	ts.publish()
+	e := ts.entry("entry-a")
+	stream := make(chan response, 1)
 	go func() { stream <- e.send("POST", "/chat/1", "x") }()
 	time.Sleep(400 * time.Millisecond)
 	e.signals <- syscall.SIGTERM
-	w.eventually(500*time.Millisecond, "the entry is not ready", func() bool { ready, _ := e.ready(); return !ready })
+	ts.eventually(500*time.Millisecond, "the entry is not ready", func() bool { ready, _ := e.ready(); return !ready })
 	for range 20 {
 		r := e.send("GET", "/read/1", "")
 		is.NoErr(r.err)
@@ -396,7 +398,7 @@
 	}
 	r := <-stream
 	is.NoErr(r.err)
-	is.True(pieces(r.body, 12))
+	is.True(hasEvents(r.body, 12))
 	select {
 	case err := <-e.done:
 		is.NoErr(err)
@@ -405,32 +407,32 @@
 	}
 }
 
-// Many entries run beside one store whose calls are paid for. A few of them read
-// it and the others hear from these; a change is in force at all of them at once,
-// and goes on reaching them when the readers stop and when the store turns the
-// readers away.
+// Calls to the store cost money, so only a few of many entries read it and pass
+// updates on to the others. A change must be in force at all entries soon, also after
+// the readers have stopped and after the store has become unreachable for the next
+// readers.
 func TestFewEntriesReadTheStore(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	w := newTown(t)
-	leaving := w.endpoint("i-1", "app", "v1", nil)
-	w.endpoint("i-2", "app", "v1", nil)
-	w.publish()
-	var all []*entryAt
+	ts := newTestSite(t)
+	leaving := ts.endpoint("i-1", "app", "v1", nil)
+	ts.endpoint("i-2", "app", "v1", nil)
+	ts.publish()
+	var all []*testEntry
 	for i := range 8 {
-		all = append(all, w.entry(fmt.Sprintf("entry-%d", i)))
+		all = append(all, ts.entry(fmt.Sprintf("entry-%d", i)))
 	}
-	inForce := func(entries []*entryAt) func() bool {
+	inForce := func(entries []*testEntry) func() bool {
 		return func() bool {
 			for _, e := range entries {
-				if e.loop.View().Config().Version != int64(w.version) {
+				if e.loop.View().Config().Version != int64(ts.version) {
 					return false
 				}
 			}
 			return true
 		}
 	}
-	w.eventually(4*time.Second, "all know of eight", func() bool {
+	ts.eventually(4*time.Second, "all know of eight", func() bool {
 		for _, e := range all {
 			if e.loop.View().Entries() != len(all) {
 				return false
@@ -439,14 +441,14 @@
 		return true
 	})
 	time.Sleep(time.Second)
-	before := w.store.Calls()
+	before := ts.store.Calls()
 	time.Sleep(3 * time.Second)
 	// Two readers of two streams each make about 15 calls; eight make 60.
-	is.True(w.store.Calls()-before < 25)
-	w.publish()
-	w.eventually(300*time.Millisecond, "the change is in force everywhere", inForce(all))
-	w.store.Put("keyed.servers", "i-1", leaving.Registration("app", "a", "v1", "draining", 2))
-	w.eventually(1500*time.Millisecond, "all know that an endpoint leaves", func() bool {
+	is.True(ts.store.Calls()-before < 25)
+	ts.publish()
+	ts.eventually(300*time.Millisecond, "the change is in force everywhere", inForce(all))
+	ts.store.Put("keyed.servers", "i-1", leaving.Registration("app", "a", "v1", "draining", 2))
+	ts.eventually(1500*time.Millisecond, "all entries see that an endpoint leaves", func() bool {
 		for _, e := range all {
 			if !e.loop.View().Fleet().Find("i-1").Leaving {
 				return false
@@ -459,53 +461,53 @@
 		e.signals <- syscall.SIGTERM
 	}
 	time.Sleep(200 * time.Millisecond)
-	w.publish()
-	w.eventually(2*time.Second, "the change is in force without the first readers", inForce(all[2:]))
+	ts.publish()
+	ts.eventually(2*time.Second, "the change is in force without the first readers", inForce(all[2:]))
 	for _, e := range all[2:4] {
-		e.door.SetFault(standin.Down)
+		e.storeHandler.SetFault(standin.Down)
 	}
 	time.Sleep(1500 * time.Millisecond)
-	w.publish()
-	w.eventually(2*time.Second, "the change is in force with the next readers turned away", inForce(all[2:]))
+	ts.publish()
+	ts.eventually(2*time.Second, "the change is in force with the store unreachable for the next readers", inForce(all[2:]))
 	for _, e := range all[2:] {
 		is.Equal(e.send("GET", "/read/1", "").status, 200)
 	}
 }
 
-// A zone is taken out of service and brought back. Its endpoints get nothing new
-// from any entry while it is out, also at the entries that only hear of it.
+// A zone is taken out of service and brought back. While it is out, its endpoints must
+// get no new requests from any entry, including those that do not read the store.
 func TestZoneTakenOutGetsNothingNew(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	w := newTown(t)
-	w.endpoint("i-1", "app", "v1", nil)
-	other := w.endpoint("i-2", "app", "v1", nil)
-	w.store.Put("keyed.servers", "i-2", other.Registration("app", "b", "v1", "ready", 2))
-	w.publish()
-	entries := []*entryAt{w.entry("entry-a"), w.entry("entry-b"), w.entry("entry-c")}
-	w.store.Put("keyed.op", "evacuate/a", []byte("{}"))
+	ts := newTestSite(t)
+	ts.endpoint("i-1", "app", "v1", nil)
+	other := ts.endpoint("i-2", "app", "v1", nil)
+	ts.store.Put("keyed.servers", "i-2", other.Registration("app", "b", "v1", "ready", 2))
+	ts.publish()
+	entries := []*testEntry{ts.entry("entry-a"), ts.entry("entry-b"), ts.entry("entry-c")}
+	ts.store.Put("keyed.op", "evacuate/a", []byte("{}"))
 	for _, e := range entries {
-		w.eventually(time.Second, "the zone is out", func() bool { return e.loop.View().Fleet().ZoneOut("a") })
+		ts.eventually(time.Second, "the zone is out", func() bool { return e.loop.View().Fleet().ZoneOut("a") })
 	}
-	before := w.endpoints["i-1"].Received()
+	before := ts.endpoints["i-1"].Received()
 	for i := range 30 {
 		is.Equal(entries[i%3].send("GET", "/read/1", "").status, 200)
 	}
-	is.Equal(w.endpoints["i-1"].Received(), before)
-	w.store.Put("keyed.op", "evacuate/a", nil)
+	is.Equal(ts.endpoints["i-1"].Received(), before)
+	ts.store.Put("keyed.op", "evacuate/a", nil)
 	for _, e := range entries {
-		w.eventually(time.Second, "the zone is back", func() bool { return !e.loop.View().Fleet().ZoneOut("a") })
+		ts.eventually(time.Second, "the zone is back", func() bool { return !e.loop.View().Fleet().ZoneOut("a") })
 	}
 }
 
-// Endpoints turn slow under load while their streams go on. A request that waits
-// there is not taken elsewhere to the end of another queue: that would double the
-// work when there is least room for it.
+// Endpoints become slow under load but their streams continue. A request that waits
+// there must not be moved to the end of another endpoint's queue: that would double the
+// work when capacity is scarcest.
 func TestRequestStaysQueuedAtSlowEndpoint(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	w := newTown(t)
-	act := func(r *http.Request) standin.Reply {
+	ts := newTestSite(t)
+	respond := func(r *http.Request) standin.Reply {
 		switch {
 		case strings.HasPrefix(r.URL.Path, "/chat/long"):
 			return standin.Reply{Events: 80, EventDelay: 40 * time.Millisecond, Confidence: 95, BreakAfter: -1}
@@ -515,10 +517,10 @@
 		return standin.Reply{Events: 2, Confidence: 95, BreakAfter: -1}
 	}
 	for i := range 2 {
-		w.endpoint(fmt.Sprintf("i-%d", i), "pool", "v1", act)
+		ts.endpoint(fmt.Sprintf("i-%d", i), "pool", "v1", respond)
 	}
-	w.publish()
-	e := w.entry("entry-a")
+	ts.publish()
+	e := ts.entry("entry-a")
 	for range 20 {
 		e.send("POST", "/chat/quick", "x")
 	}
@@ -533,51 +535,51 @@
 	}
 	wg.Wait()
 	slow := 0
-	for _, endpoint := range w.endpoints {
+	for _, endpoint := range ts.endpoints {
 		for _, run := range endpoint.Runs() {
 			if strings.HasPrefix(run.Path, "/chat/slow") {
 				slow++
 			}
 		}
 	}
-	is.Equal(slow, 40) // about 80 when each leaves after 360 ms
+	is.Equal(slow, 40) // about 80 if each request is moved after 360 ms
 }
 
-// A read's time is up while its last endpoint is silent. It is ended, and not sent
-// to the other endpoints with no time left, each of which would run it in vain.
+// An idempotent request times out while its last endpoint is silent. It must end, and
+// not be sent to the other endpoints with no time remaining: each would run it in vain.
 func TestNoAttemptAfterTimeout(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	w := newTown(t)
-	w.routes[1]["maxAttempts"] = 5
+	ts := newTestSite(t)
+	ts.routes[1]["maxAttempts"] = 5
 	for i := range 5 {
-		w.endpoint(fmt.Sprintf("i-%d", i), "app", "v1", always(standin.Reply{Delay: 3 * time.Second}))
+		ts.endpoint(fmt.Sprintf("i-%d", i), "app", "v1", always(standin.Reply{Delay: 3 * time.Second}))
 	}
-	w.publish()
-	e := w.entry("entry-a")
+	ts.publish()
+	e := ts.entry("entry-a")
 	r := e.send("GET", "/read/1", "", func(r *http.Request) { r.Header.Set("Request-Timeout-Ms", "300") })
 	is.Equal(r.status, 504)
 	seen := 0
-	for _, endpoint := range w.endpoints {
+	for _, endpoint := range ts.endpoints {
 		seen += endpoint.Received()
 	}
-	is.True(seen <= 2) // 200 ms at the first, the rest at the second
+	is.True(seen <= 2) // 200 ms at the first, the remaining time at the second
 }
 
-// The small model thinks little of its answer, but no endpoint has room for the
-// larger one. The caller gets the answer that there is, and not nothing.
+// The small model reports low confidence, but no endpoint has capacity for the large
+// model. The caller must get the small model's answer instead of an error.
 func TestLowConfidenceAnswerIsUsedWithoutLargerModel(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	w := newTown(t)
-	w.cold = 3 // requests a second that the endpoint takes
-	w.endpoint("i-1", "pool", "v1", always(standin.Reply{Events: 2, Confidence: 5}))
-	w.publish()
-	e := w.entry("entry-a")
-	ends := make(map[int]int)
+	ts := newTestSite(t)
+	ts.coldPerSecond = 3 // few enough that there is no capacity for the large model
+	ts.endpoint("i-1", "pool", "v1", always(standin.Reply{Events: 2, Confidence: 5}))
+	ts.publish()
+	e := ts.entry("entry-a")
+	counts := make(map[int]int)
 	for range 6 {
-		ends[e.send("POST", "/chat/1", "x").status]++
+		counts[e.send("POST", "/chat/1", "x").status]++
 	}
-	is.Equal(ends[http.StatusBadGateway], 0)
-	is.True(ends[http.StatusOK] >= 2)
+	is.Equal(counts[http.StatusBadGateway], 0)
+	is.True(counts[http.StatusOK] >= 2)
 }
--- a/daemon/idle.go
+++ b/daemon/idle.go
@@ -10,58 +10,57 @@
 	"github.com/parsleydeal/parsleydeal/clock"
 )
 
-// idleLook is the span between two looks at idle connections: little beside the
-// seconds that operators allow.
-const idleLook = 500 * clock.Millis(1)
+// idleCheckInterval is the interval between two checks of idle connections: short compared
+// with the idle timeouts that operators set, which are seconds.
+const idleCheckInterval = 500 * clock.Millis(1)
 
-// idlers holds the callers' connections that wait for a request. Operators bound that
-// wait and change the bound while connections are open, which the server's own bound
-// cannot follow.
-type idlers struct {
+// idleConns tracks the callers' connections that wait for a request. Operators can change
+// the idle timeout while connections are open, which http.Server.IdleTimeout cannot follow.
+type idleConns struct {
 	clock clock.Clock
 	mu    sync.Mutex
-	// since holds when each connection became idle.
-	since map[net.Conn]clock.Millis
+	// idleSince is when each idle connection became idle.
+	idleSince map[net.Conn]clock.Millis
 }
 
-func newIdlers(c clock.Clock) *idlers {
-	return &idlers{clock: c, since: make(map[net.Conn]clock.Millis)}
+func newIdleConns(c clock.Clock) *idleConns {
+	return &idleConns{clock: c, idleSince: make(map[net.Conn]clock.Millis)}
 }
 
-// Track follows a connection's state, for http.Server.ConnState.
-func (i *idlers) Track(c net.Conn, state http.ConnState) {
+// Track records a connection's state; it is called as http.Server.ConnState.
+func (i *idleConns) Track(c net.Conn, state http.ConnState) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	if state == http.StateIdle {
-		i.since[c] = i.clock.Now()
+		i.idleSince[c] = i.clock.Now()
 	} else {
-		delete(i.since, c)
+		delete(i.idleSince, c)
 	}
 }
 
-// expire ends the wait of connections that were idle for longer than a bound; 0 is no
-// bound. The read that waits times out, and the server closes the connection. A
-// request under way is not cut: it makes its connection active first, which takes it
-// from the list.
-func (i *idlers) expire(bound clock.Millis) (ended int) {
-	if bound <= 0 {
+// expire ends the wait of connections that have been idle for longer than timeout; 0 means
+// no timeout. The pending read times out, and the server closes the connection. A request
+// in progress is not interrupted: it made its connection active first, which removed the
+// connection from idleSince.
+func (i *idleConns) expire(timeout clock.Millis) (expired int) {
+	if timeout <= 0 {
 		return 0
 	}
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	now := i.clock.Now()
-	for c, since := range i.since {
-		if now-since > bound && c.SetReadDeadline(time.Unix(1, 0)) == nil {
-			delete(i.since, c)
-			ended++
+	for c, since := range i.idleSince {
+		if now-since > timeout && c.SetReadDeadline(time.Unix(1, 0)) == nil {
+			delete(i.idleSince, c)
+			expired++
 		}
 	}
-	return ended
+	return expired
 }
 
 // run expires connections until the context ends.
-func (i *idlers) run(ctx context.Context, bound func() clock.Millis) {
-	for clock.Pause(ctx, idleLook) {
-		i.expire(bound())
+func (i *idleConns) run(ctx context.Context, timeout func() clock.Millis) {
+	for clock.Pause(ctx, idleCheckInterval) {
+		i.expire(timeout())
 	}
 }
--- a/daemon/idle_test.go
+++ b/daemon/idle_test.go
@@ -14,41 +14,41 @@
 	"github.com/parsleydeal/parsleydeal/clock"
 )
 
-// Operators shorten the time for which callers' connections may stay idle. One that
-// is idle for longer is closed, while one whose answer is still being made goes on:
-// a caller that waits longer than the bound for its answer must get it.
+// Operators shorten the idle timeout while connections are open. A connection that has
+// been idle for longer must be closed, but not one whose request is still being served:
+// a caller that waits longer than the timeout for its answer must get it.
 func TestIdleTimeoutOfOpenConnectionsCanChange(t *testing.T) {
 	is := is.New(t)
 	var now atomic.Int64
 	now.Store(1000)
-	i := newIdlers(clock.New(func() clock.Millis { return clock.Millis(now.Load()) }))
-	begun, goOn := make(chan struct{}), make(chan struct{})
+	i := newIdleConns(clock.New(func() clock.Millis { return clock.Millis(now.Load()) }))
+	running, finish := make(chan struct{}), make(chan struct{})
 	srv := httptest.NewUnstartedServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/slow" {
-			close(begun)
-			<-goOn
+			close(running)
+			<-finish
 		}
 	}))
 	srv.Config.ConnState = i.Track
 	srv.Start()
 	defer srv.Close()
 	idle, busy := dial(t, srv), dial(t, srv)
-	is.Equal(ask(t, idle, "/quick"), http.StatusOK)
-	answered := make(chan int)
-	go func() { answered <- ask(t, busy, "/slow") }()
-	<-begun
-	waitFor(t, func() bool { i.mu.Lock(); defer i.mu.Unlock(); return len(i.since) == 1 })
+	is.Equal(get(t, idle, "/quick"), http.StatusOK)
+	status := make(chan int)
+	go func() { status <- get(t, busy, "/slow") }()
+	<-running
+	eventually(t, func() bool { i.mu.Lock(); defer i.mu.Unlock(); return len(i.idleSince) == 1 })
 
 	now.Store(5900)
-	is.Equal(i.expire(5000), 0) // idle for less than the bound
-	is.Equal(i.expire(0), 0)    // no bound
+	is.Equal(i.expire(5000), 0) // idle for less than the timeout
+	is.Equal(i.expire(0), 0)    // no timeout
 	now.Store(6100)
 	is.Equal(i.expire(5000), 1)
 	_ = idle.SetReadDeadline(time.Now().Add(5 * time.Second))
 	_, err := idle.Read(make([]byte, 1))
 	is.Equal(err, io.EOF)
-	close(goOn)
-	is.Equal(<-answered, http.StatusOK)
+	close(finish)
+	is.Equal(<-status, http.StatusOK)
 }
 
 func dial(t *testing.T, srv *httptest.Server) net.Conn {
@@ -61,8 +61,8 @@
 	return c
 }
 
-// ask sends a request on a connection and returns the status; 0 when it broke.
-func ask(t *testing.T, c net.Conn, path string) int {
+// get sends a request on a connection and returns the status, or 0 if the connection failed.
+func get(t *testing.T, c net.Conn, path string) int {
 	t.Helper()
 	if _, err := io.WriteString(c, "GET "+path+" HTTP/1.1\r\nHost: h\r\n\r\n"); err != nil {
 		return 0
@@ -76,7 +76,7 @@
 	return resp.StatusCode
 }
 
-func waitFor(t *testing.T, ok func() bool) {
+func eventually(t *testing.T, ok func() bool) {
 	t.Helper()
 	for range 500 {
 		if ok() {
@@ -84,5 +84,5 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Fatal("it did not come about within 5 s")
+	t.Fatal("the condition was not met within 5 s")
 }
--- a/daemon/secure.go
+++ b/daemon/secure.go
@@ -12,13 +12,14 @@
 	"github.com/parsleydeal/parsleydeal/settings"
 )
 
-// Certificates holds the keepers of a process; one is nil where its interface
-// speaks plain TCP.
+// Certificates holds the certificates of a process's interfaces. A nil one means
+// that the interface uses plain TCP. The zero value uses plain TCP everywhere.
 type Certificates struct {
 	callers, operators, peers *certificate.Keeper
 }
 
-// OpenCertificates reads the certificates that the settings name.
+// OpenCertificates loads the certificates that the settings name. It fails if one
+// of them cannot be loaded.
 func OpenCertificates(s settings.TLS) (c Certificates, err error) {
 	open := func(files settings.Certificate) (k *certificate.Keeper) {
 		if err != nil || files.Certificate == "" {
@@ -31,7 +32,8 @@
 	return c, err
 }
 
-// Pool makes the connections to other processes of the system.
+// Pool returns a pool of connections to other processes of the system, with TLS
+// if there is a certificate for peers.
 func (c Certificates) Pool() *peer.Pool {
 	if c.peers == nil {
 		return peer.NewPool()
@@ -39,7 +41,7 @@
 	return peer.NewPoolWith(c.peers.Dial)
 }
 
-// secure speaks TLS on a listener if there is a certificate for it.
+// secure wraps a listener in TLS if there is a certificate for it.
 func secure(k *certificate.Keeper, lis net.Listener) net.Listener {
 	if k == nil {
 		return lis
@@ -47,8 +49,9 @@
 	return k.Listener(lis)
 }
 
-// named returns the keepers by interface.
-func (c Certificates) named() map[string]*certificate.Keeper {
+// byInterface returns the certificates by the name of their interface; interfaces
+// without one are left out.
+func (c Certificates) byInterface() map[string]*certificate.Keeper {
 	out := make(map[string]*certificate.Keeper)
 	for name, k := range map[string]*certificate.Keeper{"callers": c.callers, "operators": c.operators, "peers": c.peers} {
 		if k != nil {
@@ -58,19 +61,19 @@
 	return out
 }
 
-// watch takes new certificates from their files until the context ends.
-func (p *process) watch(ctx context.Context) {
-	for name, k := range p.certificates.named() {
+// watchCertificates reloads certificates when their files change, until the context ends.
+func (p *process) watchCertificates(ctx context.Context) {
+	for name, k := range p.certificates.byInterface() {
 		p.node.Metrics().GetOrCreateGauge(`parsleydeal_certificate_seconds_left{interface="`+name+`"}`, func() float64 {
 			return time.Until(k.NotAfter()).Seconds()
 		})
-		go k.Watch(ctx, p.settings.TLS.ReloadEvery, func(err error) { reportCertificate(p.log, name, k, err) })
+		go k.Watch(ctx, p.settings.TLS.ReloadEvery, func(err error) { logReload(p.log, name, k, err) })
 	}
 }
 
-func reportCertificate(l *log.Logger, name string, k *certificate.Keeper, err error) {
+func logReload(l *log.Logger, name string, k *certificate.Keeper, err error) {
 	if err != nil {
-		l.Error("New certificate is not taken, the old one goes on", "interface", name, "expires", k.NotAfter(), "error", logbook.Text(err))
+		l.Error("New certificate is not taken, the old one stays in use", "interface", name, "expires", k.NotAfter(), "error", logbook.Text(err))
 		return
 	}
 	l.Info("New certificate is in use", "interface", name, "expires", k.NotAfter())
--- a/daemon/upgrade_test.go
+++ b/daemon/upgrade_test.go
@@ -13,14 +13,14 @@
 	"github.com/parsleydeal/parsleydeal/platform/standin"
 )
 
-// upgradeOrder asks for an upgrade of the pool.
-func (w *town) upgradeOrder(seconds float64) {
-	w.store.Put("keyed.op", "rollout/pool", fmt.Appendf(nil, `{"service":"pool","target":"v2","durationS":%g}`, seconds))
+// orderUpgrade orders an upgrade of the service "pool" to version v2.
+func (ts *testSite) orderUpgrade(seconds float64) {
+	ts.store.Put("keyed.op", "rollout/pool", fmt.Appendf(nil, `{"service":"pool","target":"v2","durationS":%g}`, seconds))
 }
 
-// load sends chats of many sessions through entries until the test ends. A
-// session has a number of requests.
-func (w *town) load(ctx context.Context, entries []*entryAt, requests int) {
+// sendChats sends chats of 40 sessions at a time through entries until ctx ends.
+// Each session has the given number of requests.
+func (ts *testSite) sendChats(ctx context.Context, entries []*testEntry, requests int) {
 	for n := range 40 {
 		go func() {
 			for i := 0; ctx.Err() == nil; i++ {
@@ -31,27 +31,27 @@
 	}
 }
 
-// A new version fails half of its requests. Entries judge it together by what
-// each of them saw, stop using it and say so to the operator, long before the
-// order's time is up, and it got few of the requests.
+// A new version fails half of its requests. The entries must judge it by their
+// combined counts, stop using it and report the rollback to the operator, long before
+// the duration of the order has passed and after few requests.
 func TestBadVersionIsRolledBack(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	w := newTown(t)
+	ts := newTestSite(t)
 	var old []*standin.Endpoint
 	for i := range 3 {
-		old = append(old, w.endpoint(fmt.Sprintf("i-old-%d", i), "pool", "v1", always(standin.Reply{Events: 2, Confidence: 95})))
+		old = append(old, ts.endpoint(fmt.Sprintf("i-old-%d", i), "pool", "v1", always(standin.Reply{Events: 2, Confidence: 95})))
 	}
-	w.publish()
-	entries := []*entryAt{w.entry("entry-a"), w.entry("entry-b")}
+	ts.publish()
+	entries := []*testEntry{ts.entry("entry-a"), ts.entry("entry-b")}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	w.load(ctx, entries, 5)
+	ts.sendChats(ctx, entries, 5)
 	time.Sleep(500 * time.Millisecond)
-	w.upgradeOrder(20)
+	ts.orderUpgrade(20)
 	var mu sync.Mutex
 	n := 0
-	bad := w.endpoint("i-new", "pool", "v2", func(*http.Request) standin.Reply {
+	bad := ts.endpoint("i-new", "pool", "v2", func(*http.Request) standin.Reply {
 		mu.Lock()
 		defer mu.Unlock()
 		n++
@@ -60,8 +60,8 @@
 		}
 		return standin.Reply{Events: 2, Confidence: 95, BreakAfter: -1}
 	})
-	w.eventually(10*time.Second, "the version is rolled back", func() bool {
-		return strings.Contains(string(w.store.Newest("keyed.status", "rollout/pool")), `"rolled_back"`)
+	ts.eventually(10*time.Second, "the version is rolled back", func() bool {
+		return strings.Contains(string(ts.store.Newest("keyed.status", "rollout/pool")), `"rolled_back"`)
 	})
 	before := len(bad.Runs())
 	time.Sleep(500 * time.Millisecond)
@@ -73,31 +73,31 @@
 	is.True(float64(before) < 0.2*float64(all)+30)
 }
 
-// A new version is good. Sessions keep the version that they had through the
-// first half, then all move, and the operator is told when nothing runs on the
-// old version any more.
+// A new version is good. Sessions must keep their version during the first half of
+// the order's duration, then all change to the new one, and completion must be reported
+// to the operator once nothing runs on the old version any more.
 func TestGoodVersionIsCompleted(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	w := newTown(t)
-	old := w.endpoint("i-old", "pool", "v1", always(standin.Reply{Events: 2, Confidence: 95}))
-	w.publish()
-	entries := []*entryAt{w.entry("entry-a"), w.entry("entry-b")}
+	ts := newTestSite(t)
+	old := ts.endpoint("i-old", "pool", "v1", always(standin.Reply{Events: 2, Confidence: 95}))
+	ts.publish()
+	entries := []*testEntry{ts.entry("entry-a"), ts.entry("entry-b")}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	w.load(ctx, entries, 100000)
+	ts.sendChats(ctx, entries, 100000)
 	time.Sleep(500 * time.Millisecond)
-	fresh := w.endpoint("i-new", "pool", "v2", always(standin.Reply{Events: 2, Confidence: 95}))
-	begun := time.Now()
-	w.upgradeOrder(6)
-	w.eventually(8*time.Second, "the upgrade is completed", func() bool {
-		return strings.Contains(string(w.store.Newest("keyed.status", "rollout/pool")), `"completed"`)
+	updated := ts.endpoint("i-new", "pool", "v2", always(standin.Reply{Events: 2, Confidence: 95}))
+	orderedAt := time.Now()
+	ts.orderUpgrade(6)
+	ts.eventually(8*time.Second, "the upgrade is completed", func() bool {
+		return strings.Contains(string(ts.store.Newest("keyed.status", "rollout/pool")), `"completed"`)
 	})
-	is.True(time.Since(begun) < 6*time.Second)
-	for _, run := range fresh.Runs() {
+	is.True(time.Since(orderedAt) < 6*time.Second)
+	for _, run := range updated.Runs() {
 		// All forty sessions were in use before the order.
-		if run.At.Sub(begun) < 2800*time.Millisecond {
-			t.Fatalf("a session moved %s after the order", run.At.Sub(begun))
+		if run.At.Sub(orderedAt) < 2800*time.Millisecond {
+			t.Fatalf("a session changed its version %s after the order", run.At.Sub(orderedAt))
 		}
 	}
 	done := time.Now()
