--- a/meter/meter.go
+++ b/meter/meter.go
@@ -10,13 +10,13 @@
 	"github.com/parsleydeal/parsleydeal/refusal"
 )
 
-// maxSeries bounds the series that callers' requests can make; later ones are
-// counted under the route "other". Routes come from the tables only, never
-// from what callers send.
+// maxSeries bounds the time series per metric; requests beyond it are counted
+// under the route "other". Routes come from the tables only, never from what
+// callers send.
 const maxSeries = 2048
 
-// whole is the code of a request that got its whole answer.
-const whole = "whole"
+// codeWhole is the code of a request whose answer was sent in full.
+const codeWhole = "whole"
 
 // Meter counts requests by route and code.
 type Meter struct {
@@ -32,7 +32,7 @@
 
 type seriesKey struct{ route, code, run string }
 
-// New makes a meter in a set of metrics.
+// New returns a meter that registers its metrics in set.
 func New(set *metrics.Set) *Meter {
 	return &Meter{
 		set: set, requests: make(map[seriesKey]*metrics.Counter), durations: make(map[string]*metrics.Histogram),
@@ -41,8 +41,10 @@
 	}
 }
 
-// Begin counts a request as active until the function it returns is called
-// with the request's end. Route is empty while none was admitted.
+// Begin counts a request as active until the returned function end is called with
+// its outcome: the route, which is empty if the request was not admitted, the
+// number of attempts, and nil or the error that the caller got. End must be called
+// exactly once. The duration of failed requests is not recorded.
 func (m *Meter) Begin() (end func(route string, attempts uint32, err error)) {
 	start := time.Now()
 	m.active.Inc()
@@ -52,7 +54,7 @@
 		if route == "" {
 			route = "none"
 		}
-		code, run := whole, string(refusal.Ran)
+		code, run := codeWhole, string(refusal.Ran)
 		if err != nil {
 			r := refusal.Of(err)
 			code, run = string(r.Code()), string(r.Run())
