--- a/logbook/logbook.go
+++ b/logbook/logbook.go
@@ -1,6 +1,6 @@
-// Package logbook writes log lines without ever holding up the work that they
-// tell of: lines wait in a bounded queue, a goroutine of its own writes them, and
-// a budget bounds how many are written a second.
+// Package logbook writes log lines without ever blocking the code that logs them:
+// lines wait in a bounded queue, a separate goroutine writes them, and a token
+// bucket limits how many are written per second.
 package logbook
 
 import (
@@ -14,99 +14,103 @@
 )
 
 const (
-	// queueLength bounds the lines that wait: two seconds of the budget.
+	// queueLength bounds the waiting lines: two seconds at linesPerSecond.
 	queueLength = 2 * linesPerSecond
-	// linesPerSecond is the budget. An entry at its usual peak of 50 requests a
-	// second writes about a hundred.
+	// linesPerSecond is the rate limit. An entry at its usual peak of 50 requests
+	// per second writes about 100 lines per second.
 	linesPerSecond = 600
-	// burst is how many lines may be saved up, so that the first second of a
-	// failure is told in full.
+	// burst is the capacity of the token bucket in lines, so that the first second
+	// of a failure is logged in full.
 	burst = 2 * linesPerSecond
-	// drainTimeout bounds the wait for the queue when the process stops.
+	// drainTimeout bounds how long queued lines are still written when the process
+	// stops.
 	drainTimeout = 200 * clock.Millis(1)
 )
 
-// Writer is a writer of log lines that never blocks.
+// Writer writes log lines without blocking. It may be used by several goroutines.
 type Writer struct {
 	clock clock.Clock
 	out   io.Writer
 	lines chan []byte
-	// lost counts lines that found the queue full or the budget spent; told is
-	// how many of them were told of.
-	lost atomic.Int64
-	told int64
-	// tokens is what is left of the budget as of refilledAt.
+	// lost counts lines that were dropped because the queue was full or the rate
+	// limit reached; reported is how many of them the log has mentioned.
+	lost     atomic.Int64
+	reported int64
+	// tokens is the number of lines that could be written at refilledAt.
 	tokens     float64
 	refilledAt clock.Millis
 }
 
-// New makes a book that writes to out once Run is called.
+// New returns a writer that writes to out while Run runs.
 func New(c clock.Clock, out io.Writer) *Writer {
 	return &Writer{clock: c, out: out, lines: make(chan []byte, queueLength), tokens: burst, refilledAt: c.Now()}
 }
 
-// Write takes one line. It never blocks and never fails.
-func (b *Writer) Write(line []byte) (n int, err error) {
+// Write queues a copy of one line, or drops it if the queue is full. It never
+// blocks and never fails.
+func (w *Writer) Write(line []byte) (n int, err error) {
 	select {
-	case b.lines <- append([]byte(nil), line...):
+	case w.lines <- append([]byte(nil), line...):
 	default:
-		b.lost.Add(1)
+		w.lost.Add(1)
 	}
 	return len(line), nil
 }
 
-// Lost returns how many lines were not written.
-func (b *Writer) Lost() int64 { return b.lost.Load() }
+// Lost returns how many lines have been dropped.
+func (w *Writer) Lost() int64 { return w.lost.Load() }
 
-// Run writes lines until the context ends, and then what still waits.
-func (b *Writer) Run(ctx context.Context) {
+// Run writes lines until the context ends, then the lines still queued, for up to
+// drainTimeout. It must run only once at a time.
+func (w *Writer) Run(ctx context.Context) {
 	for {
 		select {
-		case line := <-b.lines:
-			b.write(line)
+		case line := <-w.lines:
+			w.write(line)
 		case <-ctx.Done():
-			b.drain()
+			w.drain()
 			return
 		}
 	}
 }
 
-func (b *Writer) drain() {
-	end := b.clock.Now() + drainTimeout
-	for b.clock.Now() < end {
+func (w *Writer) drain() {
+	end := w.clock.Now() + drainTimeout
+	for w.clock.Now() < end {
 		select {
-		case line := <-b.lines:
-			b.write(line)
+		case line := <-w.lines:
+			w.write(line)
 		default:
 			return
 		}
 	}
 }
 
-func (b *Writer) write(line []byte) {
-	if !b.spend() {
-		b.lost.Add(1)
+func (w *Writer) write(line []byte) {
+	if !w.takeToken() {
+		w.lost.Add(1)
 		return
 	}
-	if lost := b.lost.Load(); lost > b.told {
-		fmt.Fprintf(b.out, "Log lines were left out lost=%d in-all=%d\n", lost-b.told, lost)
-		b.told = lost
+	if lost := w.lost.Load(); lost > w.reported {
+		fmt.Fprintf(w.out, "Log lines were left out lost=%d in-all=%d\n", lost-w.reported, lost)
+		w.reported = lost
 	}
-	_, _ = b.out.Write(line)
+	_, _ = w.out.Write(line)
 }
 
-func (b *Writer) spend() bool {
-	now := b.clock.Now()
-	b.tokens = min(b.tokens+float64(now-b.refilledAt)*linesPerSecond/float64(clock.Second), burst)
-	b.refilledAt = now
-	if b.tokens < 1 {
+func (w *Writer) takeToken() bool {
+	now := w.clock.Now()
+	w.tokens = min(w.tokens+float64(now-w.refilledAt)*linesPerSecond/float64(clock.Second), burst)
+	w.refilledAt = now
+	if w.tokens < 1 {
 		return false
 	}
-	b.tokens--
+	w.tokens--
 	return true
 }
 
-// Text is an error as one line; loggers write some errors with their stack.
+// Text returns the text of an error as one line, or "" for nil. Use it for log
+// fields, since loggers write some errors with their stack trace.
 func Text(err error) string {
 	if err == nil {
 		return ""
--- a/logbook/logbook_test.go
+++ b/logbook/logbook_test.go
@@ -13,59 +13,59 @@
 	"github.com/parsleydeal/parsleydeal/clock"
 )
 
-// stuck is a standard output that nobody reads.
-type stuck struct{ free chan struct{} }
+// stuckWriter is an output that blocks until unblock is closed.
+type stuckWriter struct{ unblock chan struct{} }
 
-func (s stuck) Write(p []byte) (n int, err error) {
-	<-s.free
+func (s stuckWriter) Write(p []byte) (n int, err error) {
+	<-s.unblock
 	return len(p), nil
 }
 
-// Whatever collects the lines hangs. Requests go on: writing a line takes no
-// longer than before, and those that found no room are counted.
+// The log collector hangs, so that writes to the output block. Write must still
+// return at once, so that requests are not delayed, and count the dropped lines.
 func TestStuckOutputDoesNotBlockWrite(t *testing.T) {
 	is := is.New(t)
-	out := stuck{make(chan struct{})}
+	out := stuckWriter{make(chan struct{})}
 	b := New(clock.System(), out)
 	ctx, cancel := context.WithCancel(context.Background())
 	go b.Run(ctx)
-	begun := time.Now()
+	startedAt := time.Now()
 	for range 10 * queueLength {
 		_, err := b.Write([]byte("line\n"))
 		is.NoErr(err)
 	}
-	is.True(time.Since(begun) < time.Second)
+	is.True(time.Since(startedAt) < time.Second)
 	is.True(b.Lost() >= 8*queueLength)
 	cancel()
-	close(out.free)
+	close(out.unblock)
 }
 
-// buffer is a standard output that a test reads.
-type buffer struct {
+// lockedBuffer is an output that a test can read while lines are written.
+type lockedBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
 }
 
-func (b *buffer) Write(p []byte) (n int, err error) {
+func (b *lockedBuffer) Write(p []byte) (n int, err error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.b.Write(p)
 }
 
-func (b *buffer) String() string {
+func (b *lockedBuffer) String() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.b.String()
 }
 
-// Ten times the usual load writes ten times the lines. The budget holds, and the
-// loss is told as soon as there is room for it.
+// Under overload far more lines are logged than usual. The rate limit must hold, and
+// the number of dropped lines must be written before the next line that passes it.
 func TestLineRateIsBounded(t *testing.T) {
 	is := is.New(t)
 	var mu sync.Mutex
 	now := clock.Millis(0)
 	c := clock.New(func() clock.Millis { mu.Lock(); defer mu.Unlock(); return now })
-	out := &buffer{}
+	out := &lockedBuffer{}
 	b := New(c, out)
 	for range 2 {
 		for i := range burst {
