--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -154,7 +154,7 @@
 	settings settings.Settings
 	node     *node.Node
 	log      *log.Logger
-	api      *operations.Port
+	api      *operations.API
 	listen   ListenFunc
 	// certificates are those of this process's interfaces.
 	certificates Certificates
@@ -243,7 +243,7 @@
 	l.Info("Entry is listening for callers", "vm", s.VM, "address", callers.Addr())
 	err = e.Serve(serving, secure(p.certificates.callers, callers))
 	switch handOverErr := e.HandOverBurnCounts(inner); {
-	case errorx.IsOfType(handOverErr, node.ErrNoHeir):
+	case errorx.IsOfType(handOverErr, node.ErrNoSuccessor):
 		l.Info("No other entry takes over the counts of the burn report", "vm", s.VM, "reason", logbook.Text(handOverErr))
 	case handOverErr != nil:
 		l.Warn("Counts of the burn report could not be handed over", "vm", s.VM, "error", logbook.Text(handOverErr))
@@ -332,8 +332,8 @@
 func waitForBills(ctx context.Context, n *node.Node, l *log.Logger) {
 	ctx, cancel := context.WithTimeout(ctx, settleTimeout.Duration())
 	defer cancel()
-	n.Told(ctx)
-	if n.Billing().Settled(ctx) != nil {
+	n.WaitLeaveReported(ctx)
+	if n.Billing().WaitSafe(ctx) != nil {
 		own, held := n.Billing().Waiting()
 		l.Warn("Process stops with bills that only one other process has", "own", own, "held", held)
 	}
