--- a/cli/account.go
+++ b/cli/account.go
@@ -26,7 +26,8 @@
 	return err
 }
 
-// account reads the files that can be read, and fails when none can.
+// account skips files that cannot be read, with a warning for each, and fails if none can be
+// read.
 func (c *accountCommand) account(out, warnings io.Writer) (err error) {
 	defer func() {
 		if err != nil {
@@ -36,19 +37,19 @@
 	l := &account.Log{}
 	read := 0
 	for _, path := range c.Args.Files {
-		if readErr := accountOf(l, path); readErr != nil {
+		if readErr := readAccountLog(l, path); readErr != nil {
 			fmt.Fprintln(warnings, "account:", readErr)
 			continue
 		}
 		read++
 	}
 	if read == 0 {
-		return errors.New("no log can be read")
+		return errors.New("no log file can be read")
 	}
 	return l.Print(out)
 }
 
-func accountOf(l *account.Log, path string) (err error) {
+func readAccountLog(l *account.Log, path string) (err error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return err
--- a/cli/bills.go
+++ b/cli/bills.go
@@ -15,12 +15,13 @@
 	"github.com/parsleydeal/parsleydeal/table"
 )
 
-// errAnomalies marks a statement with anomalies, which a person shall look at.
+// errAnomalies makes the command fail if the statement has anomalies, so that scripts notice
+// them.
 var errAnomalies = fmt.Errorf("cli: bills: the statement has anomalies")
 
 type billsCommand struct {
 	command
-	site
+	platformOptions
 	From int64 `long:"from" description:"first offset of the stream of bills to read" default:"0"`
 	To   int64 `long:"to" description:"offset before which to stop; 0 reads to the end" default:"0"`
 	JSON bool  `long:"json" description:"print the whole statement as JSON"`
@@ -43,15 +44,15 @@
 	return Bills(ctx, w, op.Log, BillsQuery{From: c.From, To: c.To, JSON: c.JSON, Each: c.Each})
 }
 
-// BillsQuery says which bills to read and how to print them.
+// BillsQuery selects the bills to read and the output format.
 type BillsQuery struct {
-	// From and To are offsets; To 0 reads to the end.
+	// From and To are offsets on the stream of bills. To is exclusive; 0 reads to the end.
 	From, To int64
 	JSON     bool
 	Each     bool
 }
 
-// statementBill is one bill as printed.
+// statementBill is the JSON form of one bill.
 type statementBill struct {
 	Request      string `json:"request"`
 	Organisation string `json:"organisation"`
@@ -69,23 +70,24 @@
 	Totals    []bill.Total    `json:"totals"`
 	Bills     []statementBill `json:"bills,omitempty"`
 	Anomalies []bill.Anomaly  `json:"anomalies"`
-	// MoreAnomalies counts those beyond the list's bound.
+	// MoreAnomalies counts the anomalies left out because the list is bounded.
 	MoreAnomalies int `json:"more-anomalies"`
 }
 
-// Bills prints a statement of the bills on the log.
+// Bills prints a statement of the bills on the log. It returns an error after printing if the
+// statement has anomalies.
 func Bills(ctx context.Context, w io.Writer, log provider.Log, q BillsQuery) (err error) {
 	s := bill.NewStatement()
 	first, next, err := readStream(ctx, log, provider.BillStream, q.From, q.To, s.Add)
 	if err != nil {
 		return err
 	}
-	known, err := organisations(ctx, log)
+	known, err := knownOrganisations(ctx, log)
 	if err != nil {
 		return err
 	}
 	s.Finish(known)
-	report := reportOf(s, first, next, q.Each)
+	report := newStatementReport(s, first, next, q.Each)
 	if q.JSON {
 		enc := json.NewEncoder(w)
 		enc.SetIndent("", "  ")
@@ -99,10 +101,11 @@
 	return err
 }
 
-// readStream hands each record from an offset on to take, until the offset to
-// or the head that the first page showed.
-func readStream(ctx context.Context, log provider.Log, stream string, from, to int64, take func(offset int64, data []byte)) (first, next int64, err error) {
-	const beyondHead = int64(1) << 62
+// readStream calls handle for each record from the offset from up to, but not including, the
+// offset to. If to is 0 or beyond the head that the log had at the start, it stops at that head. It
+// returns the offset of the first record read and the offset to continue at.
+func readStream(ctx context.Context, log provider.Log, stream string, from, to int64, handle func(offset int64, data []byte)) (first, next int64, err error) {
+	const beyondHead = int64(1) << 62 // a read from here returns the stream's bounds and no records
 	head, err := log.Read(ctx, stream, beyondHead, 0)
 	if err != nil {
 		return 0, 0, err
@@ -124,7 +127,7 @@
 		}
 		for _, r := range page.Records {
 			if r.Offset < to {
-				take(r.Offset, r.Data)
+				handle(r.Offset, r.Data)
 			}
 			next = r.Offset + 1
 		}
@@ -132,10 +135,10 @@
 	return first, min(next, to), nil
 }
 
-// organisations tells which organisations the kept configuration ever had. It
-// returns nil when the log keeps no tables to begin from: calling every
-// organisation unknown would hide what is wrong.
-func organisations(ctx context.Context, log provider.Log) (known func(name string) bool, err error) {
+// knownOrganisations returns a function that reports whether the retained configuration ever had
+// an organisation. The function is nil if the log has no tables to start from: reporting every
+// organisation as unknown would hide the real anomalies.
+func knownOrganisations(ctx context.Context, log provider.Log) (known func(name string) bool, err error) {
 	var state table.State
 	names := make(map[string]bool)
 	_, _, err = readStream(ctx, log, provider.ConfigStream, 0, 0, func(offset int64, data []byte) {
@@ -151,7 +154,7 @@
 	return func(name string) bool { return names[name] }, err
 }
 
-func reportOf(s *bill.Statement, first, next int64, each bool) (r statementReport) {
+func newStatementReport(s *bill.Statement, first, next int64, each bool) (r statementReport) {
 	r.First, r.Next = first, next
 	r.Records, r.Repeats = s.Counts()
 	r.Totals = s.Totals()
--- a/cli/bills_test.go
+++ b/cli/bills_test.go
@@ -14,8 +14,8 @@
 	"github.com/parsleydeal/parsleydeal/provider"
 )
 
-// logOf is a log that keeps records from an offset on, two to a page.
-func logOf(first int64, streams map[string][][]byte) provider.Log {
+// newLog returns a log that retains the records from the offset first on and returns two per page.
+func newLog(first int64, streams map[string][][]byte) provider.Log {
 	return provider.Log{Read: func(_ context.Context, stream string, from int64, _ clock.Millis) (p provider.Page, err error) {
 		all := streams[stream]
 		p = provider.Page{First: min(first, int64(len(all))), Head: int64(len(all))}
@@ -39,16 +39,16 @@
 	return data
 }
 
-// The log has dropped its first bills, a takeover wrote one bill twice, and two
-// processes gave another two costs. Operators get one bill a request and a
-// command that fails, so that a script notices.
-func TestBillsReducesTheStreamAndNamesAnomalies(t *testing.T) {
+// The first record of the stream has expired, a takeover wrote one bill twice, and two processes
+// billed another request with different costs. The command must merge the records into one bill
+// per request and fail on the conflict, so that scripts notice it.
+func TestBillsMergesRecordsAndReportsAnomalies(t *testing.T) {
 	is := is.New(t)
 	config := []byte("id=\"a\"\nauthor=\"ops\"\nkind=\"whole\"\nbase=-1\n[tables.organisations.desk]\nweight=1\n")
 	stream := [][]byte{nil, billRecord(t, "r1", 5), billRecord(t, "r2", 7), billRecord(t, "r1", 5)}
-	whole := logOf(1, map[string][][]byte{provider.BillStream: stream, provider.ConfigStream: {config, config}})
+	consistent := newLog(1, map[string][][]byte{provider.BillStream: stream, provider.ConfigStream: {config, config}})
 	var out bytes.Buffer
-	is.NoErr(Bills(t.Context(), &out, whole, BillsQuery{JSON: true, Each: true}))
+	is.NoErr(Bills(t.Context(), &out, consistent, BillsQuery{JSON: true, Each: true}))
 	var report statementReport
 	is.NoErr(json.Unmarshal(out.Bytes(), &report))
 	is.Equal(len(report.Bills), 2)
@@ -57,7 +57,7 @@
 	is.Equal(report.Totals[0].Cost, int64(12))
 
 	stream = append(stream, billRecord(t, "r2", 9))
-	broken := logOf(1, map[string][][]byte{provider.BillStream: stream, provider.ConfigStream: {config, config}})
-	is.True(errors.Is(Bills(t.Context(), &out, broken, BillsQuery{}), errAnomalies))
-	is.NoErr(Bills(t.Context(), &out, broken, BillsQuery{To: 4})) // the span before it is sound
+	conflicting := newLog(1, map[string][][]byte{provider.BillStream: stream, provider.ConfigStream: {config, config}})
+	is.True(errors.Is(Bills(t.Context(), &out, conflicting, BillsQuery{}), errAnomalies))
+	is.NoErr(Bills(t.Context(), &out, conflicting, BillsQuery{To: 4})) // the records before the conflict have no anomaly
 }
--- a/cli/burn.go
+++ b/cli/burn.go
@@ -20,13 +20,13 @@
 )
 
 const (
-	burnTimeout = 3 * clock.Second
-	burnAtOnce  = 32
+	burnTimeout              = 3 * clock.Second
+	maxConcurrentBurnQueries = 32
 )
 
 type burnCommand struct {
 	command
-	site
+	platformOptions
 	JSON bool   `long:"json" description:"print the verdict as JSON"`
 	HTML string `long:"html" description:"write one self-contained page to a file"`
 }
@@ -63,7 +63,9 @@
 	return v.WriteText(w)
 }
 
-// Burn asks all entries of a VM list for their burn and judges the sum.
+// Burn queries all entries of a VM list for their burn reports and returns the verdict on the
+// merged report. Entries that do not reply are listed in Verdict.Missing; it is an error if none
+// replies.
 func Burn(ctx context.Context, list provider.VMList, peers *peer.Pool) (v *burn.Verdict, err error) {
 	vms, err := list.List(ctx)
 	if err != nil {
@@ -73,13 +75,13 @@
 	var reports []*burn.Report
 	var missing []string
 	var g errgroup.Group
-	g.SetLimit(burnAtOnce)
+	g.SetLimit(maxConcurrentBurnQueries)
 	for _, vm := range vms {
 		if vm.Role != provider.EntryRole {
 			continue
 		}
 		g.Go(func() error {
-			r, err := askBurn(ctx, peers, vm)
+			r, err := queryBurn(ctx, peers, vm)
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
@@ -103,7 +105,7 @@
 	return v, nil
 }
 
-func askBurn(ctx context.Context, peers *peer.Pool, vm provider.VM) (r *burn.Report, err error) {
+func queryBurn(ctx context.Context, peers *peer.Pool, vm provider.VM) (r *burn.Report, err error) {
 	ctx, cancel := context.WithTimeout(ctx, burnTimeout.Duration())
 	defer cancel()
 	reply, err := peers.Peer(ctx, vm.Address).Inspect(ctx, &wire.InspectRequest{Report: operations.BurnReport})
--- a/cli/check.go
+++ b/cli/check.go
@@ -43,7 +43,7 @@
 	for _, path := range c.Settings {
 		s, err := settings.Read(path)
 		if err == nil && t != nil {
-			err = against(path, s, t)
+			err = checkAgainstTables(path, s, t)
 		}
 		errs = append(errs, err)
 	}
@@ -54,7 +54,8 @@
 	return nil
 }
 
-// joinFaults makes one error of several, each on lines of its own.
+// joinFaults joins errors into one, with each on separate lines. It returns nil if there are
+// none.
 func joinFaults(errs []error) error {
 	var lines []string
 	for _, err := range errs {
@@ -68,7 +69,7 @@
 	return settings.ErrInvalid.New("%s", strings.Join(lines, "\n"))
 }
 
-// tables applies the files of tables one after the other.
+// tables applies the changes of all table files in order and returns the resulting tables.
 func (c *checkCommand) tables() (t *table.Tables, err error) {
 	var state table.State
 	for i, path := range c.Tables {
@@ -84,7 +85,8 @@
 	return state.Tables(), nil
 }
 
-// preview applies a change to a state as the log's readers will.
+// preview applies a change to a state as the readers of the log will. It returns an error if
+// they will reject the change.
 func preview(path string, state *table.State, c *table.Change) (err error) {
 	data, err := c.Encode()
 	if err != nil {
@@ -94,29 +96,29 @@
 	if o.Accepted {
 		return nil
 	}
-	return settings.ErrInvalid.New("%s", withLines(path, o.Reason))
+	return settings.ErrInvalid.New("%s", addLineNumbers(path, o.Reason))
 }
 
-// withLines sets file and line before each fault of tables, whose first word
-// is the key.
-func withLines(path, reason string) string {
+// addLineNumbers prefixes each fault in tables with file and line. Each line of reason starts
+// with the key at fault.
+func addLineNumbers(path, reason string) string {
 	data, err := os.ReadFile(path)
 	if err != nil {
 		return path + ": " + reason
 	}
-	at := settings.Lines(data)
+	lineNumbers := settings.Lines(data)
 	faults := strings.Split(strings.TrimPrefix(reason, table.ErrInvalid.FullName()+": "), "\n")
 	for i, f := range faults {
 		key, _, _ := strings.Cut(f, ": ")
-		faults[i] = fmt.Sprintf("%s:%d: %s", path, lineOf(at, "tables."+key), f)
+		faults[i] = fmt.Sprintf("%s:%d: %s", path, lineOf(lineNumbers, "tables."+key), f)
 	}
 	return strings.Join(faults, "\n")
 }
 
-// lineOf finds the line of a key or of the nearest table above it.
-func lineOf(at map[string]int, key string) int {
+// lineOf returns the line of a key, or else of the nearest table that contains it.
+func lineOf(lineNumbers map[string]int, key string) int {
 	for key != "" {
-		if line := at[key]; line > 0 {
+		if line := lineNumbers[key]; line > 0 {
 			return line
 		}
 		key = key[:max(strings.LastIndex(key, "."), 0)]
@@ -124,8 +126,8 @@
 	return 1
 }
 
-// readChange reads a file of tables. Its id, author and base may be left out;
-// base is -2 then, which no revision has.
+// readChange reads a change from a file. The file may omit id, author and base; an omitted base
+// is set to noBase.
 func readChange(path string) (c *table.Change, err error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -144,9 +146,10 @@
 	return c, nil
 }
 
+// noBase is the base of a change that names none. No revision has this value.
 const noBase = -2
 
-// parseFaults formats what the TOML library found, with file and line.
+// parseFaults formats errors of the TOML library with file and line.
 func parseFaults(path string, err error) string {
 	var strict *toml.StrictMissingError
 	var decode *toml.DecodeError
@@ -169,9 +172,9 @@
 	return path + ": " + err.Error()
 }
 
-// against checks settings against tables: an endpoint of a pool that the tables
-// do not have, or have for another kind of endpoint, would never get work.
-func against(path string, s settings.Settings, t *table.Tables) error {
+// checkAgainstTables checks settings against tables. An endpoint would never get a request if
+// its pool is missing from the tables or is for another kind of endpoint.
+func checkAgainstTables(path string, s settings.Settings, t *table.Tables) error {
 	if s.Endpoint.Pool == "" {
 		return nil
 	}
--- a/cli/cli.go
+++ b/cli/cli.go
@@ -1,4 +1,4 @@
-// Package cli holds the command lines of the three programs.
+// Package cli implements the commands of parsleydeal, the operators' program.
 package cli
 
 import (
@@ -15,27 +15,28 @@
 	"github.com/parsleydeal/parsleydeal/table"
 )
 
-// Exit codes of all programs.
+// Exit codes of the operators' program.
 const (
-	// ExitOK means that everything asked for was done.
+	// ExitOK means that the command succeeded.
 	ExitOK = 0
 	// ExitFailed means that the command ran and failed.
 	ExitFailed = 1
-	// ExitUsage means that the command line, settings or tables given are
-	// wrong, and that nothing was done.
+	// ExitUsage means that the command line, settings or tables are invalid and
+	// that nothing was done.
 	ExitUsage = 2
-	// ExitRejected means that a change stands on the log and was rejected.
+	// ExitRejected means that a change is on the log and was rejected.
 	ExitRejected = 3
-	// ExitUncertain means that a change was not seen in force everywhere, or
-	// that it is not known whether it stands on the log.
+	// ExitUncertain means that a change was not confirmed to be in force
+	// everywhere, or that it is unknown whether it is on the log.
 	ExitUncertain = 4
 )
 
-// errUsage marks errors of the command line.
+// errUsage marks an invalid command line.
 var errUsage = errors.New("usage")
 
-// exitOf prints an error and returns the exit code it stands for.
-func exitOf(err error) int {
+// printError writes an error to standard error, or help to standard output, and returns the
+// exit code for it.
+func printError(err error) int {
 	var f *flags.Error
 	switch {
 	case err == nil:
@@ -45,10 +46,10 @@
 		return ExitOK
 	}
 	fmt.Fprintln(os.Stderr, settings.MessageOf(err))
-	return codeOf(err)
+	return exitCode(err)
 }
 
-func codeOf(err error) int {
+func exitCode(err error) int {
 	var f *flags.Error
 	switch {
 	case errors.As(err, &f), errors.Is(err, errUsage),
--- a/cli/compare.go
+++ b/cli/compare.go
@@ -8,7 +8,7 @@
 	"github.com/parsleydeal/parsleydeal/comparison"
 )
 
-type waysCommand struct {
+type compareStrategiesCommand struct {
 	command
 	Repository string `long:"repository" default:"." value-name:"FOLDER" description:"checkout whose commit is played"`
 	Args       struct {
@@ -17,7 +17,7 @@
 }
 
 func addCompare(p *flags.Parser) error {
-	c := &waysCommand{}
+	c := &compareStrategiesCommand{}
 	c.run = func(ctx context.Context, _ []string) error {
 		plan, err := comparison.ReadPlan(c.Args.Plan)
 		if err != nil {
--- a/cli/decision_test.go
+++ b/cli/decision_test.go
@@ -18,19 +18,20 @@
 	"github.com/parsleydeal/parsleydeal/standin"
 )
 
-// startDemo runs the demo's processes with its tables changed by replacements.
+// startDemo starts the demo's system. The replacements are pairs of old and new text in its
+// tables.
 func startDemo(t *testing.T, replacements ...string) *local {
-	return startSlowDemo(t, 0, replacements...)
+	return startDemoWithSlowLog(t, 0, replacements...)
 }
 
-// startSlowDemo is startDemo with a log that answers endpoints late.
-func startSlowDemo(t *testing.T, late time.Duration, replacements ...string) *local {
+// startDemoWithSlowLog is startDemo with a log that delays its replies to endpoints.
+func startDemoWithSlowLog(t *testing.T, logDelay time.Duration, replacements ...string) *local {
 	is := is.New(t)
 	d := newLocal()
 	d.log = log.New(io.Discard)
 	log := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if strings.HasPrefix(r.URL.Path, "/streams/") {
-			time.Sleep(late)
+			time.Sleep(logDelay)
 		}
 		d.platform.Handler().ServeHTTP(w, r)
 	}))
@@ -39,7 +40,7 @@
 			s.Platform = log.URL
 		}
 	}
-	is.NoErr(d.start(context.WithoutCancel(t.Context()), localShape{first: 20, gap: 5, tokens: 12}))
+	is.NoErr(d.start(context.WithoutCancel(t.Context()), engineParams{firstToken: 20, tokenGap: 5, tokens: 12}))
 	t.Cleanup(func() { d.stop(); log.CloseClientConnections(); log.Close() })
 	tables := strings.NewReplacer(replacements...).Replace(string(demoTables))
 	_, err := provider.NewHTTP(d.base, http.DefaultClient).Log().Append(t.Context(), provider.ConfigStream, []byte(tables))
@@ -48,8 +49,9 @@
 	return d
 }
 
-// answerTo sends one chat completion and returns the response's headers.
-func (d *local) answerTo(ctx context.Context, route, session string) (h http.Header, status int, err error) {
+// sendChat sends a chat completion to the first entry and returns the response's headers and
+// status. An empty session starts a new one.
+func (d *local) sendChat(ctx context.Context, route, session string) (h http.Header, status int, err error) {
 	body := strings.NewReader(`{"model":"` + route + `","messages":[{"role":"user","content":"Is it due?"}]}`)
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+d.callers[0]+"/v1/chat/completions", body)
 	if err != nil {
@@ -68,20 +70,20 @@
 	return resp.Header, resp.StatusCode, err
 }
 
-// Endpoints read the log later than the entries, as on a busy machine. The demo said
-// that it was ready once entries could name a route, and its first caller got 503:
-// no endpoint had its tables yet, and each refused.
-func TestDemoIsReadyWhenItsEndpointsAre(t *testing.T) {
+// Endpoints read the log later than the entries, as on a busy machine. If the demo waited only
+// until the entries list a model, its first request would get 503, since endpoints without tables
+// refuse it.
+func TestDemoWaitsForEndpoints(t *testing.T) {
 	is := is.New(t)
-	d := startSlowDemo(t, 400*time.Millisecond)
-	_, status, err := d.answerTo(t.Context(), "dossier", "")
+	d := startDemoWithSlowLog(t, 400*time.Millisecond)
+	_, status, err := d.sendChat(t.Context(), "dossier", "")
 	is.NoErr(err)
 	is.Equal(status, http.StatusOK)
 }
 
-func billOf(t *testing.T, d *local, request string) (b *wire.Bill) {
-	const patience = 30 * time.Second
-	for deadline := time.Now().Add(patience); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
+func waitForBill(t *testing.T, d *local, request string) (b *wire.Bill) {
+	const timeout = 30 * time.Second
+	for deadline := time.Now().Add(timeout); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
 		for _, data := range d.platform.Records(provider.BillStream) {
 			bills, err := bill.Decode(data)
 			if err != nil {
@@ -100,29 +102,29 @@
 
 const cascadeRoute = "quality-target = 0.9\ncascade = true"
 
-// The cheap version's answer is poor. The caller must see the dear version's
-// answer alone, and pay for both in one bill.
+// The cheap version's answer is poor. The caller must get only the expensive version's answer, and
+// one bill for both runs.
 func TestPoorFirstAnswerEscalatesUnderOneBill(t *testing.T) {
 	is := is.New(t)
 	d := startDemo(t, "quality-target = 0.9", cascadeRoute)
 	d.platform.SetQuality("large@1", 1)
-	h, status, err := d.answerTo(t.Context(), "dossier", "")
+	h, status, err := d.sendChat(t.Context(), "dossier", "")
 	is.NoErr(err)
 	is.Equal(status, http.StatusOK)
 	is.Equal(h.Get("Parsleydeal-Version"), "large@1")
-	steps := billOf(t, d, h.Get("Parsleydeal-Request")).GetSteps()
+	steps := waitForBill(t, d, h.Get("Parsleydeal-Request")).GetSteps()
 	is.Equal(len(steps), 2)
 	is.Equal(steps[0].GetVersion()+" "+steps[1].GetVersion(), "small@1 large@1")
-	h, _, err = d.answerTo(t.Context(), "dossier", h.Get("Parsleydeal-Session"))
+	h, _, err = d.sendChat(t.Context(), "dossier", h.Get("Parsleydeal-Session"))
 	is.NoErr(err)
-	is.Equal(h.Get("Parsleydeal-Version"), "large@1") // the session stays there
-	is.Equal(len(billOf(t, d, h.Get("Parsleydeal-Request")).GetSteps()), 1)
+	is.Equal(h.Get("Parsleydeal-Version"), "large@1") // the session keeps the version
+	is.Equal(len(waitForBill(t, d, h.Get("Parsleydeal-Request")).GetSteps()), 1)
 }
 
-// The cheap version's answer is poor, and the dear version's engines take nothing.
-// The caller gets no answer, but the first version ran and is billed: "not run"
-// would be false, and a caller that believed it would not look for the bill.
-func TestFailedEscalationSaysThatItRan(t *testing.T) {
+// The cheap version's answer is poor, and the engines of the expensive version refuse every
+// request. The caller gets no answer, but the cheap version ran and is billed. The response must
+// not report "not-run": the caller would not expect a bill.
+func TestFailedEscalationReportsRan(t *testing.T) {
 	is := is.New(t)
 	d := startDemo(t, "quality-target = 0.9", cascadeRoute)
 	d.platform.SetQuality("small@1", 0)
@@ -131,30 +133,30 @@
 			e.SetFaults(standin.EngineFaults{Refuse: true})
 		}
 	}
-	h, status, err := d.answerTo(t.Context(), "dossier", "")
+	h, status, err := d.sendChat(t.Context(), "dossier", "")
 	is.NoErr(err)
 	is.True(status != http.StatusOK)
 	is.Equal(h.Get("Parsleydeal-Run"), "ran")
-	b := billOf(t, d, h.Get("Parsleydeal-Request"))
+	b := waitForBill(t, d, h.Get("Parsleydeal-Request"))
 	is.Equal(len(b.GetSteps()), 1)
 	is.Equal(b.GetSteps()[0].GetVersion(), "small@1")
 }
 
-// The cheap version's answer is good: it is delivered, and nothing else is paid.
+// The cheap version's answer is good: the caller gets it and pays for nothing else.
 func TestGoodFirstAnswerIsDelivered(t *testing.T) {
 	is := is.New(t)
 	d := startDemo(t, "quality-target = 0.9", cascadeRoute)
 	d.platform.SetQuality("small@1", 1)
-	h, status, err := d.answerTo(t.Context(), "dossier", "")
+	h, status, err := d.sendChat(t.Context(), "dossier", "")
 	is.NoErr(err)
 	is.Equal(status, http.StatusOK)
 	is.Equal(h.Get("Parsleydeal-Version"), "small@1")
-	is.Equal(len(billOf(t, d, h.Get("Parsleydeal-Request")).GetSteps()), 1)
+	is.Equal(len(waitForBill(t, d, h.Get("Parsleydeal-Request")).GetSteps()), 1)
 }
 
-// A new version's streams break in every engine. Callers see errors until its
-// hold is on the log; then all processes leave it alone and its sessions move,
-// and the answer says so.
+// The streams of a new version break in every engine. Callers get errors until a hold for it is on
+// the log. Then no process selects the version any more, its sessions move to another version, and
+// the response reports the move.
 func TestFailingVersionIsHeldEverywhere(t *testing.T) {
 	is := is.New(t)
 	d := startDemo(t, `[tables.versions."large@1"]`, `[tables.versions."small@2"]
@@ -168,7 +170,7 @@
 	d.platform.SetQuality("small@2", 1)
 	session := ""
 	for session == "" {
-		h, _, err := d.answerTo(t.Context(), "quick", "")
+		h, _, err := d.sendChat(t.Context(), "quick", "")
 		is.NoErr(err)
 		if h.Get("Parsleydeal-Version") == "small@2" {
 			session = h.Get("Parsleydeal-Session")
@@ -177,9 +179,9 @@
 	for _, e := range d.engines {
 		e.SetFaults(standin.EngineFaults{BreakVersion: "small@2"})
 	}
-	const most = 400
-	for range most {
-		_, _, err := d.answerTo(t.Context(), "quick", "")
+	const maxRequests = 400
+	for range maxRequests {
+		_, _, err := d.sendChat(t.Context(), "quick", "")
 		is.NoErr(err)
 		if len(d.platform.Records(provider.HoldStream)) > 0 {
 			break
@@ -187,7 +189,7 @@
 	}
 	is.True(len(d.platform.Records(provider.HoldStream)) > 0)
 	for range 20 {
-		h, status, err := d.answerTo(t.Context(), "quick", session)
+		h, status, err := d.sendChat(t.Context(), "quick", session)
 		is.NoErr(err)
 		if status == http.StatusOK {
 			is.Equal(h.Get("Parsleydeal-Version"), "small@1")
@@ -198,10 +200,10 @@
 	t.Fatal("the session of the held version was never moved")
 }
 
-// All engines refuse. Each request could try four times, and the engines would
-// get four times the load while they are down. Callers must hear at once that
-// nothing ran and when to come back, after no more tries than the budget allows.
-func TestDryPoolGetsNoRetryStorm(t *testing.T) {
+// All engines refuse. With up to four attempts per request, the engines would get four times the
+// load while they are down. The attempts must stay within the retry budget, and callers must be
+// told at once that nothing ran and when to retry.
+func TestRefusingPoolGetsNoRetryStorm(t *testing.T) {
 	is := is.New(t)
 	d := startDemo(t)
 	for _, e := range d.engines {
@@ -209,16 +211,16 @@
 	}
 	const requests, burst = 60, 10
 	for range requests {
-		h, status, err := d.answerTo(t.Context(), "dossier", "")
+		h, status, err := d.sendChat(t.Context(), "dossier", "")
 		is.NoErr(err)
 		is.True(status >= http.StatusInternalServerError || status == http.StatusTooManyRequests)
 		is.Equal(h.Get("Parsleydeal-Run"), "not-run")
 		is.True(h.Get("Retry-After") != "")
 	}
-	tries := 0
+	attempts := 0
 	for _, e := range d.engines {
-		tries += e.Refused()
+		attempts += e.Refused()
 	}
-	is.True(tries > 0)
-	is.True(tries <= requests+requests/10+burst)
+	is.True(attempts > 0)
+	is.True(attempts <= requests+requests/10+burst)
 }
--- a/cli/demo.go
+++ b/cli/demo.go
@@ -23,7 +23,7 @@
 //go:embed demo.toml
 var demoTables []byte
 
-// demoKey is the bearer key whose hash stands in the demo's tables.
+// demoKey is the bearer key whose hash is in the demo's tables.
 const demoKey = "demo-key"
 
 type demoCommand struct {
@@ -44,13 +44,13 @@
 	return err
 }
 
-// Demo runs the whole system in this process, serves requests and prints what
-// became of them.
+// Demo runs the whole system in this process, sends requests to it and prints their outcomes and
+// bills.
 func Demo(ctx context.Context, w io.Writer) (err error) {
 	l := newLocal()
 	l.platform.SetQuality("small@1", 0.72)
 	l.platform.SetQuality("large@1", 0.95)
-	if err = l.start(ctx, localShape{first: 20, gap: 5, tokens: 12}); err != nil {
+	if err = l.start(ctx, engineParams{firstToken: 20, tokenGap: 5, tokens: 12}); err != nil {
 		return err
 	}
 	defer l.stop()
@@ -60,7 +60,7 @@
 	if err = l.waitReady(ctx, demoKey); err != nil {
 		return err
 	}
-	served, err := l.serveDemo(ctx)
+	served, err := l.sendDemoRequests(ctx)
 	if err != nil {
 		return err
 	}
@@ -76,7 +76,7 @@
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(ctx, localPatience.Duration())
+	ctx, cancel := context.WithTimeout(ctx, localTimeout.Duration())
 	defer cancel()
 	verdict, err := op.Publish(ctx, change)
 	if err != nil {
@@ -86,23 +86,23 @@
 	return err
 }
 
-// servedRequest is one request of the demo.
+// servedRequest is the outcome of one request of the demo.
 type servedRequest struct {
 	id, route, version, entry string
-	first, total              time.Duration
+	firstByte, total          time.Duration
 }
 
-// serveDemo sends a request over each route and service to each entry.
-func (l *local) serveDemo(ctx context.Context) (served []servedRequest, err error) {
+// sendDemoRequests sends a request for each route and service to each entry.
+func (l *local) sendDemoRequests(ctx context.Context) (served []servedRequest, err error) {
 	for i := range l.callers {
 		for _, route := range []string{"quick", "dossier"} {
-			s, err := l.askDemo(ctx, i, route)
+			s, err := l.sendDemoChat(ctx, i, route)
 			if err != nil {
 				return nil, fmt.Errorf("cli: demo: route %s: %w", route, err)
 			}
 			served = append(served, s)
 		}
-		s, err := l.callDemo(ctx, i)
+		s, err := l.sendDemoCall(ctx, i)
 		if err != nil {
 			return nil, fmt.Errorf("cli: demo: service records: %w", err)
 		}
@@ -111,7 +111,7 @@
 	return served, nil
 }
 
-func (l *local) askDemo(ctx context.Context, entry int, route string) (s servedRequest, err error) {
+func (l *local) sendDemoChat(ctx context.Context, entry int, route string) (s servedRequest, err error) {
 	body := fmt.Sprintf(`{"model":%q,"stream":true,"messages":[{"role":"user","content":"When is my licence due for renewal?"}]}`, route)
 	start := time.Now()
 	first := time.Duration(0)
@@ -120,10 +120,10 @@
 			first = time.Since(start)
 		}
 	})
-	return servedRequest{id: a.Request, route: route, version: a.Version, entry: fmt.Sprint("entry-", entry), first: first, total: time.Since(start)}, err
+	return servedRequest{id: a.Request, route: route, version: a.Version, entry: fmt.Sprint("entry-", entry), firstByte: first, total: time.Since(start)}, err
 }
 
-func (l *local) callDemo(ctx context.Context, entry int) (s servedRequest, err error) {
+func (l *local) sendDemoCall(ctx context.Context, entry int) (s servedRequest, err error) {
 	start := time.Now()
 	resp, err := l.caller(entry, demoKey).Do(ctx, http.MethodPost, "/v1/services/records/renewals", strings.NewReader("renew"), client.Options{})
 	if err != nil {
@@ -134,13 +134,13 @@
 	if _, err = io.Copy(io.Discard, resp.Body); err != nil {
 		return s, err
 	}
-	return servedRequest{id: resp.Header.Get("Parsleydeal-Request"), route: "records", version: "-", entry: fmt.Sprint("entry-", entry), first: first, total: time.Since(start)}, nil
+	return servedRequest{id: resp.Header.Get("Parsleydeal-Request"), route: "records", version: "-", entry: fmt.Sprint("entry-", entry), firstByte: first, total: time.Since(start)}, nil
 }
 
-// printDemo shows each request with its one bill.
+// printDemo waits for the bills of all requests and prints each request with its bill.
 func (l *local) printDemo(ctx context.Context, w io.Writer, served []servedRequest) (err error) {
 	var bills map[string]*wire.Bill
-	err = until(ctx, func() bool {
+	err = waitUntil(ctx, func() bool {
 		bills, err = l.bills()
 		return err != nil || len(bills) >= len(served)
 	})
@@ -150,10 +150,10 @@
 	for _, s := range served {
 		b, ok := bills[s.id]
 		if !ok {
-			return fmt.Errorf("cli: demo: request %s has no bill; billed are %v", s.id, slices.Sorted(maps.Keys(bills)))
+			return fmt.Errorf("cli: demo: request %s has no bill; requests with a bill: %v", s.id, slices.Sorted(maps.Keys(bills)))
 		}
 		if _, err = fmt.Fprintf(w, "route %-8s %s version %-8s cost %5d micro-units, first token %4d ms, whole after %4d ms, 1 bill of %d step\n",
-			s.route, s.entry, s.version, bill.Cost(b), s.first.Milliseconds(), s.total.Milliseconds(), len(b.GetSteps())); err != nil {
+			s.route, s.entry, s.version, bill.Cost(b), s.firstByte.Milliseconds(), s.total.Milliseconds(), len(b.GetSteps())); err != nil {
 			return err
 		}
 	}
@@ -161,7 +161,7 @@
 	return err
 }
 
-// bills reduces the log's bills to one a request.
+// bills merges the bills on the log into one per request.
 func (l *local) bills() (out map[string]*wire.Bill, err error) {
 	out = make(map[string]*wire.Bill)
 	for _, data := range l.platform.Records(provider.BillStream) {
--- a/cli/direct.go
+++ b/cli/direct.go
@@ -12,8 +12,9 @@
 	"github.com/parsleydeal/parsleydeal/settings"
 )
 
-// DirectDemo runs an entry that sends straight to endpoints, over stand-ins of a
-// platform's store and endpoints, and shows what became of a few requests.
+// DirectDemo runs an entry that sends requests directly to endpoints, with stand-ins for the
+// platform's store and the endpoints. It sends a few requests and prints their outcomes and what
+// ran on which endpoint.
 func DirectDemo(ctx context.Context, w io.Writer) (err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -32,12 +33,12 @@
 		return err
 	}
 	for _, path := range []string{"/chat/easy", "/chat/hard", "/fees/renewal-17"} {
-		begun := time.Now()
+		start := time.Now()
 		status, body, err := site.Send(ctx, s.Entry.Callers, path, "When is the renewal due?")
 		if err != nil {
 			return err
 		}
-		fmt.Fprintf(w, "%-18s %d, %d bytes in %s\n", path, status, len(body), time.Since(begun).Round(time.Millisecond))
+		fmt.Fprintf(w, "%-18s %d, %d bytes in %s\n", path, status, len(body), time.Since(start).Round(time.Millisecond))
 	}
 	for _, e := range site.Endpoints() {
 		for _, r := range e.Runs() {
--- a/cli/direct_test.go
+++ b/cli/direct_test.go
@@ -8,8 +8,8 @@
 	"github.com/matryer/is"
 )
 
-// A newcomer tries the platform's path on one machine. A hard chat runs on the
-// larger model, a stream that breaks off goes on elsewhere, a fee runs once.
+// The direct entry runs on one machine against stand-ins of the platform. A hard chat runs on the
+// large model, a stream that breaks is continued on another endpoint, and the fee runs only once.
 func TestDirectDemo(t *testing.T) {
 	is := is.New(t)
 	var b bytes.Buffer
--- a/cli/example_test.go
+++ b/cli/example_test.go
@@ -11,7 +11,7 @@
 	"github.com/parsleydeal/parsleydeal/table"
 )
 
-// examplesOf returns the files of one example whose names end so.
+// examplesOf returns the files of one example site whose names have this ending.
 func examplesOf(t *testing.T, site, ending string) (paths []string) {
 	t.Helper()
 	paths, err := filepath.Glob(filepath.Join("..", "examples", site, "*"+ending))
@@ -21,9 +21,9 @@
 	return paths
 }
 
-// The examples are what a new site starts from. One that does not load, or
-// whose parts do not fit together, would fail at its first start.
-func TestExamplesFitTogether(t *testing.T) {
+// New sites start from the examples. A site whose settings, tables or load plan do not load, or
+// contradict one another, would fail at its first start.
+func TestExamplesAreConsistent(t *testing.T) {
 	for _, site := range []string{"vakif", "capricorn"} {
 		t.Run(site, func(t *testing.T) {
 			is := is.New(t)
@@ -35,7 +35,7 @@
 			tables, err := c.tables()
 			is.NoErr(err)
 			is.Equal(len(tables.Organisations), 10)
-			checkPlanAgainst(t, examplesOf(t, site, "load.toml")[0], tables)
+			checkPlan(t, examplesOf(t, site, "load.toml")[0], tables)
 			for _, path := range c.Settings {
 				program := settings.EndpointProgram
 				if strings.HasSuffix(path, "entry.toml") {
@@ -48,8 +48,9 @@
 	}
 }
 
-// checkPlanAgainst checks that each caller of a plan may reach what it asks for.
-func checkPlanAgainst(t *testing.T, path string, tables *table.Tables) {
+// checkPlan checks that the tables have the keys, route versions and services that a load plan
+// uses.
+func checkPlan(t *testing.T, path string, tables *table.Tables) {
 	t.Helper()
 	is := is.New(t)
 	p, err := load.ReadPlan(path)
--- a/cli/explain.go
+++ b/cli/explain.go
@@ -48,7 +48,7 @@
 		return err
 	}
 	if len(lines) == 0 {
-		return fmt.Errorf("no line names %s", c.Args.Subject)
+		return fmt.Errorf("no log line mentions %s", c.Args.Subject)
 	}
 	if err = explain.Story(out, lines); err != nil {
 		return err
--- a/cli/limit_test.go
+++ b/cli/limit_test.go
@@ -17,8 +17,8 @@
 	"github.com/parsleydeal/parsleydeal/settings"
 )
 
-// exchange writes raw bytes to an entry and reads one response. It keeps the
-// connection open while it waits, as a slow caller does.
+// exchange writes raw bytes to an entry and reads one response. It keeps the connection open until
+// then, as a slow caller does.
 func (l *local) exchange(t *testing.T, raw string) (status int, h http.Header, e chat.Error) {
 	t.Helper()
 	conn, err := net.Dial("tcp", l.callers[0])
@@ -26,7 +26,7 @@
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	_ = conn.SetDeadline(time.Now().Add(localPatience.Duration()))
+	_ = conn.SetDeadline(time.Now().Add(localTimeout.Duration()))
 	if _, err = io.WriteString(conn, raw); err != nil {
 		t.Fatal(err)
 	}
@@ -44,12 +44,12 @@
 	return fmt.Sprintf("POST %s HTTP/1.1\r\nHost: entry\r\nAuthorization: Bearer %s\r\nContent-Length: %d\r\n%s\r\n%s", path, demoKey, length, headers, body)
 }
 
-// Callers send what the entry cannot serve: too large, too slow, cut, unknown.
-// Each must hear why in a typed error that says "not run", no engine may see
-// any of it, and the entry must serve the next caller as before.
-func TestUnfitRequestsGetTypedErrors(t *testing.T) {
+// Callers send requests that are too large, too slow, malformed or unauthorised, or name something
+// unknown. Each must get a typed error with the reason and "not-run", none may reach an engine or
+// the plain service, and the entry must still serve the next request.
+func TestInvalidRequestsGetTypedErrors(t *testing.T) {
 	is := is.New(t)
-	l := startLocal(t, localShape{tokens: 1}, func(l *local) {
+	l := startLocal(t, engineParams{tokens: 1}, func(l *local) {
 		l.adjust = func(s *settings.Settings) {
 			s.Entry.MaxBody, s.Entry.MaxHeaders, s.Entry.BodyTimeout = 2000, 6000, 200*clock.Millis(1)
 		}
@@ -63,13 +63,13 @@
 		{"body too large", post(completions, "", strings.Repeat(" ", 2001), 2001), 413, "too-large"},
 		{"headers too large", post(completions, "X-Long: "+strings.Repeat("x", 6001)+"\r\n", good, len(good)), 413, "too-large"},
 		{"body too slow", post(completions, "", good[:10], len(good)), 408, "slow-body"},
-		{"no JSON", post(completions, "", `{"model":`, 9), 400, "malformed"},
+		{"malformed JSON", post(completions, "", `{"model":`, 9), 400, "malformed"},
 		{"unknown priority", post(completions, "Parsleydeal-Priority: top\r\n", good, len(good)), 400, "malformed"},
 		{"key too long", post(completions, "Idempotency-Key: "+strings.Repeat("k", 256)+"\r\n", good, len(good)), 400, "malformed"},
 		{"forged session", post(completions, "Parsleydeal-Session: demo.e30.AAAA\r\n", good, len(good)), 400, "session-rejected"},
 		{"unknown path", post("/v1/embeddings", "", good, len(good)), 404, "no-interface"},
 		{"unknown service", post("/v1/services/ledger/x", "", "", 0), 404, "no-route"},
-		{"path out of the service", post("/v1/services/records/a/%2e%2e/b", "", "", 0), 400, "malformed"},
+		{"path outside the service", post("/v1/services/records/a/%2e%2e/b", "", "", 0), 400, "malformed"},
 		{"wrong key", strings.Replace(post(completions, "", good, len(good)), demoKey, "wrong", 1), 401, "unauthorised"},
 	} {
 		status, h, e := l.exchange(t, c.raw)
@@ -85,11 +85,11 @@
 	is.Equal(status, 200)
 }
 
-// A caller asks for a long answer and then reads nothing of it. Its request
-// must end, or the endpoint's place stays taken for as long as it likes.
-func TestCallerThatReadsNothingLosesItsPlace(t *testing.T) {
+// A caller requests a long answer and never reads it. Unless the write timeout ends the request,
+// the caller could occupy a slot of the endpoint forever.
+func TestRequestOfStalledReaderEnds(t *testing.T) {
 	is := is.New(t)
-	l := startLocal(t, localShape{gap: 0, tokens: 5_000_000}, func(l *local) {
+	l := startLocal(t, engineParams{tokenGap: 0, tokens: 5_000_000}, func(l *local) {
 		l.adjust = func(s *settings.Settings) { s.Entry.WriteTimeout = 200 * clock.Millis(1) }
 	})
 	conn, err := net.Dial("tcp", l.callers[0])
@@ -104,26 +104,26 @@
 		}
 		return n
 	}
-	is.NoErr(until(t.Context(), func() bool { return running() == 1 }))
-	is.NoErr(until(t.Context(), func() bool { return running() == 0 }))
+	is.NoErr(waitUntil(t.Context(), func() bool { return running() == 1 }))
+	is.NoErr(waitUntil(t.Context(), func() bool { return running() == 0 }))
 }
 
-func TestServicesTakeAnyMethodAndPath(t *testing.T) {
+func TestServicesAcceptAnyMethodAndPath(t *testing.T) {
 	is := is.New(t)
-	l := startLocal(t, localShape{tokens: 1})
+	l := startLocal(t, engineParams{tokens: 1})
 	raw := fmt.Sprintf("PROPFIND /v1/services/records/a%%2Fb?depth=1 HTTP/1.1\r\nHost: e\r\nAuthorization: Bearer %s\r\n\r\n", demoKey)
 	status, _, _ := l.exchange(t, raw)
 	is.Equal(status, 200)
 	is.Equal(l.plain.Calls("PROPFIND", "/a/b"), 1)
 }
 
-// A service's only endpoint is out, so a call is refused before its body was
-// read. The next caller on the same connection must be answered too: net/http
-// panics there unless the connection is closed.
-func TestConnectionOutlivesACallRefusedBeforeItsBody(t *testing.T) {
+// The only endpoint of a service is out, so its calls are refused before their bodies are read. The
+// next call on the same connection must get its response as well: net/http panics there unless the
+// connection is closed.
+func TestConnectionSurvivesCallRefusedBeforeBodyIsRead(t *testing.T) {
 	is := is.New(t)
-	l := startLocal(t, localShape{tokens: 1})
-	_, err := l.publishFile(write(t, "kind = \"patch\"\n[tables.vms.records-0]\nstate = \"out\"\n"), "20s")
+	l := startLocal(t, engineParams{tokens: 1})
+	_, err := l.publishFile(writeFile(t, "kind = \"patch\"\n[tables.vms.records-0]\nstate = \"out\"\n"), "20s")
 	is.NoErr(err)
 	h := &http.Client{Transport: &http.Transport{}}
 	for range 20 {
--- a/cli/load.go
+++ b/cli/load.go
@@ -22,14 +22,14 @@
 	"github.com/parsleydeal/parsleydeal/provider"
 )
 
-// errBroken marks a run in which a promise was broken or nothing was served.
-var errBroken = errors.New("load: a promise was broken, or no request got a whole answer")
+// errPromiseBroken marks a run that broke a promise or got no complete answer.
+var errPromiseBroken = errors.New("load: a promise was broken, or no request got a complete answer")
 
-// errWorse marks a comparison in which something got worse.
-var errWorse = errors.New("load: something is worse")
+// errWorse marks a comparison in which a quantity got worse.
+var errWorse = errors.New("load: at least one quantity is worse")
 
-// billPatience bounds the wait for the bills of answered requests.
-const billPatience = 30 * clock.Second
+// billTimeout limits the wait for the bills of answered requests.
+const billTimeout = 30 * clock.Second
 
 type loadCommand struct {
 	command
@@ -44,7 +44,7 @@
 	JSON     bool     `long:"json" description:"write the result as JSON in place of TOML"`
 }
 
-type compareCommand struct {
+type compareResultsCommand struct {
 	command
 	Tolerance float64 `long:"tolerance" default:"0.1" description:"relative change from which a quantity counts as worse"`
 	Args      struct {
@@ -62,7 +62,7 @@
 		return err
 	}
 	parent.SubcommandsOptional = true
-	d := &compareCommand{}
+	d := &compareResultsCommand{}
 	d.run = func(context.Context, []string) error { return d.compare(os.Stdout) }
 	_, err = parent.AddCommand("compare", "Compare the results of two builds",
 		"Compare sets two results of the same plan side by side. It exits with 1 when something is worse.", d)
@@ -80,7 +80,7 @@
 			return err
 		}
 		defer l.stop()
-		l.localPlan(&plan)
+		l.fillPlan(&plan)
 		c.Platform = l.base
 	}
 	cfg := load.Config{Build: daemon.Version(), HTTP: load.NewHTTP(&plan)}
@@ -89,7 +89,7 @@
 		cfg.Unbilled = func(ctx context.Context, requests []string) ([]string, error) { return unbilled(ctx, log, requests) }
 	}
 	if len(c.Measure) > 0 {
-		cfg.Seconds = func(ctx context.Context) (float64, error) { return processorSeconds(ctx, c.Measure) }
+		cfg.Seconds = func(ctx context.Context) (float64, error) { return cpuSeconds(ctx, c.Measure) }
 	}
 	res, err := load.Run(ctx, &plan, cfg)
 	if err != nil {
@@ -131,12 +131,12 @@
 		}
 	}
 	if res.Broken() > 0 || res.Whole == 0 {
-		return errBroken
+		return errPromiseBroken
 	}
 	return nil
 }
 
-func (c *compareCommand) compare(w io.Writer) (err error) {
+func (c *compareResultsCommand) compare(w io.Writer) (err error) {
 	before, err := load.ReadResult(c.Args.Before)
 	if err != nil {
 		return err
@@ -157,8 +157,8 @@
 }
 
 func (l *local) startForLoad(ctx context.Context) (err error) {
-	l.rateWell()
-	if err = l.start(ctx, localShape{first: 20, gap: 5, tokens: 12}); err != nil {
+	l.setGoodQuality()
+	if err = l.start(ctx, engineParams{firstToken: 20, tokenGap: 5, tokens: 12}); err != nil {
 		return err
 	}
 	if err = l.publishDemo(ctx); err == nil {
@@ -170,8 +170,9 @@
 	return err
 }
 
-// localPlan fills in what only the demo's system knows.
-func (l *local) localPlan(p *load.Plan) {
+// fillPlan adds the entries of the local system and the callers and routes of the demo's tables
+// to a plan.
+func (l *local) fillPlan(p *load.Plan) {
 	for _, address := range l.callers {
 		p.Entries = append(p.Entries, l.scheme+address)
 	}
@@ -183,24 +184,24 @@
 	p.Services = []load.Service{{Name: "records", Method: http.MethodPost, Path: "renewals", Weight: 2}}
 }
 
-// unbilled returns which requests have no bill on the log, once the bills of
-// all are there or the time is over.
+// unbilled returns the requests that have no bill on the log. It polls the log until all have one
+// or billTimeout has passed.
 func unbilled(ctx context.Context, log provider.Log, requests []string) (missing []string, err error) {
-	ctx, cancel := context.WithTimeout(ctx, billPatience.Duration())
+	ctx, cancel := context.WithTimeout(ctx, billTimeout.Duration())
 	defer cancel()
-	left := make(map[string]bool, len(requests))
+	remaining := make(map[string]bool, len(requests))
 	for _, id := range requests {
-		left[id] = true
+		remaining[id] = true
 	}
 	from := int64(0)
-	for len(left) > 0 {
+	for len(remaining) > 0 {
 		_, next, err := readStream(ctx, log, provider.BillStream, from, 0, func(_ int64, data []byte) {
 			bills, err := bill.Decode(data)
 			if err != nil {
 				return
 			}
 			for _, b := range bills {
-				delete(left, b.GetRequest())
+				delete(remaining, b.GetRequest())
 			}
 		})
 		if err == nil {
@@ -210,13 +211,14 @@
 			break
 		}
 	}
-	return slices.Sorted(maps.Keys(left)), nil
+	return slices.Sorted(maps.Keys(remaining)), nil
 }
 
-// processorSeconds sums the processor time of processes by their metrics.
-func processorSeconds(ctx context.Context, urls []string) (sum float64, err error) {
+// cpuSeconds returns the total processor time of processes in seconds, read from their metrics
+// interfaces.
+func cpuSeconds(ctx context.Context, urls []string) (sum float64, err error) {
 	for _, base := range urls {
-		s, err := metricOf(ctx, base, "process_cpu_seconds_total")
+		s, err := readMetric(ctx, base, "process_cpu_seconds_total")
 		if err != nil {
 			return 0, fmt.Errorf("load: measure %s: %w", base, err)
 		}
@@ -225,7 +227,7 @@
 	return sum, nil
 }
 
-func metricOf(ctx context.Context, base, name string) (value float64, err error) {
+func readMetric(ctx context.Context, base, name string) (value float64, err error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, base+"/metrics", nil)
 	if err != nil {
 		return 0, err
--- a/cli/load_test.go
+++ b/cli/load_test.go
@@ -14,17 +14,16 @@
 	"github.com/parsleydeal/parsleydeal/settings"
 )
 
-// balancer stands before the entries as the platform's does: it sends nothing to
-// an entry that says it is not ready, and its idle limit lies below the leave
-// delay. Without it a connection may stand in the kernel's backlog, unaccepted,
-// at the moment at which the entry closes its listener; it is reset then, though
-// no request of it ever reached the entry.
+// balancer does what the platform's load balancer does in front of the entries: it sends nothing
+// to an entry that is not ready, and its idle timeout is shorter than the leave delay. Without it,
+// a connection could wait in the kernel's backlog when the entry closes its listener. It would be
+// reset although the entry never got a request from it.
 type balancer struct {
 	next http.RoundTripper
-	// operators maps an entry's callers' address to its operators' address; it is
-	// complete before watch.
+	// operators maps an entry's callers' address to its operators' address. It must be complete
+	// before watch is called.
 	operators map[string]string
-	// out holds the entries that are not ready.
+	// out has the callers' addresses of entries that are not ready.
 	out sync.Map
 }
 
@@ -52,13 +51,12 @@
 	return b.next.RoundTrip(r)
 }
 
-// An entry and an endpoint are stopped while callers send at a steady rate. A
-// planned stop cuts no request: every caller gets its whole answer, and each
-// promise holds as the callers see it.
+// An entry and an endpoint are stopped while callers send at a constant rate. A planned stop must
+// not interrupt any request: every caller gets its complete answer, and no promise is broken.
 func TestPlannedStopsUnderLoadBreakNoPromise(t *testing.T) {
 	is := is.New(t)
 	balancer := &balancer{next: &http.Transport{MaxIdleConnsPerHost: 64, IdleConnTimeout: 100 * time.Millisecond}, operators: map[string]string{}}
-	l := startLocal(t, localShape{first: 5, gap: 10, tokens: 30}, func(l *local) {
+	l := startLocal(t, engineParams{firstToken: 5, tokenGap: 10, tokens: 30}, func(l *local) {
 		l.adjust = func(s *settings.Settings) {
 			s.Entry.LeaveDelay = 600
 			balancer.operators[s.Entry.Callers] = s.Operators
@@ -67,9 +65,9 @@
 	balancer.watch(t)
 	p := load.DefaultPlan()
 	p.Rate, p.Duration, p.Retries = 40, 2000, 10
-	l.localPlan(&p)
-	time.AfterFunc(500*time.Millisecond, l.stops["entry-1"])
-	time.AfterFunc(900*time.Millisecond, l.stops["endpoint-0-0"])
+	l.fillPlan(&p)
+	time.AfterFunc(500*time.Millisecond, l.cancelByVM["entry-1"])
+	time.AfterFunc(900*time.Millisecond, l.cancelByVM["endpoint-0-0"])
 	cfg := load.Config{HTTP: &http.Client{Transport: balancer}}
 	res, err := load.Run(t.Context(), &p, cfg)
 	is.NoErr(err)
--- a/cli/local.go
+++ b/cli/local.go
@@ -21,12 +21,11 @@
 	"github.com/parsleydeal/parsleydeal/standin"
 )
 
-// localPatience bounds the wait for a condition that a healthy system reaches
-// in a moment.
-const localPatience = 60 * clock.Second
+// localTimeout limits the wait for a condition. A healthy system meets it almost at once.
+const localTimeout = 60 * clock.Second
 
-// local is a whole system in one process over loopback: stand-ins of the
-// platform, engines and a plain service, and the daemons' own code.
+// local is a whole system in one process over loopback: the code of the daemons with stand-ins for
+// the platform, the engines and a plain service.
 type local struct {
 	platform *standin.Platform
 	engines  map[string]*standin.Engine
@@ -34,60 +33,60 @@
 	vms      []provider.VM
 	base     string
 	callers  []string
-	// scheme and http are how callers reach the entries.
+	// scheme and http are the URL scheme of all interfaces and the callers' HTTP client.
 	scheme string
 	http   *http.Client
-	// watch asks the operators' interfaces.
-	watch *http.Client
-	log   *log.Logger
+	// operatorsHTTP is the HTTP client for the operators' interfaces.
+	operatorsHTTP *http.Client
+	log           *log.Logger
 	// tables is the change that is published first.
 	tables []byte
-	// adjust changes each process's settings before it starts.
+	// adjust changes the settings of each process, and of the operators' client, before use.
 	adjust func(s *settings.Settings)
-	// stops ends one process each, by VM.
-	stops     map[string]context.CancelFunc
-	processes []func()
-	// standins is the context of the stand-ins, which outlive the processes.
-	standins                    context.Context
+	// cancelByVM stops a single process, by VM.
+	cancelByVM map[string]context.CancelFunc
+	processes  []func()
+	// standinsCtx is the context of the stand-ins, which run until all processes have stopped.
+	standinsCtx                 context.Context
 	stopProcesses, stopStandins context.CancelFunc
 	wg                          sync.WaitGroup
 	mu                          sync.Mutex
-	// operators holds the addresses of the processes' operators' interfaces.
+	// operators has the addresses of the operators' interfaces of all processes.
 	operators []string
-	// reserved holds listeners by address until their process takes them.
+	// reserved has the open listeners that no process uses yet, by address.
 	reserved map[string]net.Listener
 }
 
-// localFunc runs a daemon over listeners that are already open.
-type localFunc func(ctx context.Context, s settings.Settings, l *log.Logger, listen daemon.ListenFunc) (err error)
+// daemonFunc runs a daemon that opens its listeners with listen.
+type daemonFunc func(ctx context.Context, s settings.Settings, l *log.Logger, listen daemon.ListenFunc) (err error)
 
-// localShape says what the engines answer.
-type localShape struct {
-	first, gap clock.Millis
-	tokens     int
+// engineParams are the latencies and the answer length of the stand-in engines.
+type engineParams struct {
+	firstToken, tokenGap clock.Millis
+	tokens               int
 }
 
 func newLocal() *local {
 	return &local{
-		scheme: "http://", http: http.DefaultClient, watch: http.DefaultClient, tables: demoTables, platform: standin.NewPlatform(), engines: make(map[string]*standin.Engine), plain: standin.NewPlain(),
-		log: log.NewWithOptions(os.Stderr, log.Options{Level: log.WarnLevel}), adjust: func(*settings.Settings) {}, stops: make(map[string]context.CancelFunc), reserved: make(map[string]net.Listener),
+		scheme: "http://", http: http.DefaultClient, operatorsHTTP: http.DefaultClient, tables: demoTables, platform: standin.NewPlatform(), engines: make(map[string]*standin.Engine), plain: standin.NewPlain(),
+		log: log.NewWithOptions(os.Stderr, log.Options{Level: log.WarnLevel}), adjust: func(*settings.Settings) {}, cancelByVM: make(map[string]context.CancelFunc), reserved: make(map[string]net.Listener),
 	}
 }
 
-// start runs two availability zones with an entry and two model endpoints
-// each, and a plain service in the first.
-func (l *local) start(ctx context.Context, shape localShape) (err error) {
+// start runs two availability zones, each with an entry and two model endpoints. The first zone
+// also has a plain service.
+func (l *local) start(ctx context.Context, params engineParams) (err error) {
 	ctx, l.stopProcesses = context.WithCancel(ctx)
-	l.standins, l.stopStandins = context.WithCancel(context.WithoutCancel(ctx))
-	if l.base, err = serve(l.standins, l.platform.Handler()); err != nil {
+	l.standinsCtx, l.stopStandins = context.WithCancel(context.WithoutCancel(ctx))
+	if l.base, err = serve(l.standinsCtx, l.platform.Handler()); err != nil {
 		return err
 	}
 	for i, zone := range []string{"zone-a", "zone-b"} {
-		if err = l.startZone(ctx, zone, i, shape); err != nil {
+		if err = l.startZone(ctx, zone, i, params); err != nil {
 			return err
 		}
 	}
-	if err = l.startGate(ctx, "records-0", "zone-a", settings.Endpoint{Pool: "records", Plain: true}, l.plain.Handler()); err != nil {
+	if err = l.startEndpoint(ctx, "records-0", "zone-a", settings.Endpoint{Pool: "records", Plain: true}, l.plain.Handler()); err != nil {
 		return err
 	}
 	l.platform.SetVMs(l.vms)
@@ -97,27 +96,27 @@
 	return nil
 }
 
-// rateWell has the stand-in rater find both versions good, so that no route of
-// the demo's tables runs out of versions that meet its target.
-func (l *local) rateWell() {
+// setGoodQuality sets a high true quality for both versions in the stand-in rater, so that each
+// route of the demo's tables always has a version that meets its target.
+func (l *local) setGoodQuality() {
 	const good = 0.98
 	l.platform.SetQuality("small@1", good)
 	l.platform.SetQuality("large@1", good)
 }
 
-// stop stops the processes, and the stand-ins once no process needs them: a
-// stopping process hands its bills to the log.
+// stop stops the processes and then the stand-ins: a stopping process still writes its bills to
+// the log.
 func (l *local) stop() {
 	l.stopProcesses()
 	l.wg.Wait()
 	l.stopStandins()
 }
 
-func (l *local) startZone(ctx context.Context, zone string, number int, shape localShape) (err error) {
+func (l *local) startZone(ctx context.Context, zone string, number int, params engineParams) (err error) {
 	for i, pool := range []string{"small", "large"} {
 		vm := fmt.Sprintf("endpoint-%d-%d", number, i)
-		l.engines[vm] = standin.NewEngine(shape.first, shape.gap, shape.tokens)
-		if err = l.startGate(ctx, vm, zone, settings.Endpoint{Pool: pool}, l.engines[vm].Handler()); err != nil {
+		l.engines[vm] = standin.NewEngine(params.firstToken, params.tokenGap, params.tokens)
+		if err = l.startEndpoint(ctx, vm, zone, settings.Endpoint{Pool: pool}, l.engines[vm].Handler()); err != nil {
 			return err
 		}
 	}
@@ -126,26 +125,26 @@
 	l.adjust(&s)
 	l.vms = append(l.vms, provider.VM{ID: s.VM, Role: provider.EntryRole, Zone: zone, Region: s.Region, Address: s.Peer})
 	l.callers = append(l.callers, s.Entry.Callers)
-	l.spawn(ctx, s, daemon.RunEntryOn)
+	l.addProcess(ctx, s, daemon.RunEntryOn)
 	return nil
 }
 
-func (l *local) startGate(ctx context.Context, vm, zone string, e settings.Endpoint, engine http.Handler) (err error) {
+func (l *local) startEndpoint(ctx context.Context, vm, zone string, e settings.Endpoint, engine http.Handler) (err error) {
 	s := l.settings(vm, zone)
 	s.Endpoint = e
-	if s.Endpoint.Engine, err = serve(l.standins, engine); err != nil {
+	if s.Endpoint.Engine, err = serve(l.standinsCtx, engine); err != nil {
 		return err
 	}
 	l.adjust(&s)
 	l.vms = append(l.vms, provider.VM{ID: s.VM, Role: provider.EndpointRole, Pool: e.Pool, Zone: zone, Region: s.Region, Address: s.Peer})
-	l.spawn(ctx, s, daemon.RunEndpointOn)
+	l.addProcess(ctx, s, daemon.RunEndpointOn)
 	return nil
 }
 
-// spawn keeps a process until the VM list is complete, so that none reads an
-// empty one first.
-func (l *local) spawn(ctx context.Context, s settings.Settings, run localFunc) {
-	ctx, l.stops[s.VM] = context.WithCancel(ctx)
+// addProcess registers a process to be started once the VM list is complete, so that no process
+// reads an incomplete list.
+func (l *local) addProcess(ctx context.Context, s settings.Settings, run daemonFunc) {
+	ctx, l.cancelByVM[s.VM] = context.WithCancel(ctx)
 	l.operators = append(l.operators, s.Operators)
 	l.processes = append(l.processes, func() {
 		if err := run(ctx, s, l.log, l.listen); err != nil {
@@ -165,7 +164,7 @@
 	return s
 }
 
-// operator returns the operators' client of the system.
+// operator returns an operators' client for the system.
 func (l *local) operator() (*client.Operator, error) {
 	s := settings.Default()
 	s.Platform = l.base
@@ -173,23 +172,23 @@
 	return newOperator(s)
 }
 
-// caller returns a callers' client of one entry.
+// caller returns a client for one entry with a caller's bearer key.
 func (l *local) caller(entry int, key string) *client.Caller {
 	return &client.Caller{Base: l.scheme + l.callers[entry], Key: key, HTTP: l.http}
 }
 
-// waitReady waits until every process is ready and a route can be named at every
-// entry. An entry is ready without its endpoints, as it must be where all of a pool
-// are out; a request sent before these are would be refused.
+// waitReady waits until every process is ready and every entry lists a model. It waits for the
+// endpoints as well: an entry must be ready even if all endpoints of a pool are out, so its
+// readiness does not include theirs, and a request sent before they are ready is refused.
 func (l *local) waitReady(ctx context.Context, key string) (err error) {
 	for _, address := range l.operators {
-		if err = until(ctx, func() bool { return l.isReady(ctx, address) }); err != nil {
+		if err = waitUntil(ctx, func() bool { return l.isReady(ctx, address) }); err != nil {
 			return err
 		}
 	}
 	for i := range l.callers {
 		c := l.caller(i, key)
-		err = until(ctx, func() bool {
+		err = waitUntil(ctx, func() bool {
 			names, err := c.Models(ctx)
 			return err == nil && len(names) > 0
 		})
@@ -200,13 +199,13 @@
 	return nil
 }
 
-// isReady asks a process at its operators' address.
+// isReady queries the readiness of the process with this operators' address.
 func (l *local) isReady(ctx context.Context, address string) bool {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, l.scheme+address+"/readyz", nil)
 	if err != nil {
 		return false
 	}
-	resp, err := l.watch.Do(r)
+	resp, err := l.operatorsHTTP.Do(r)
 	if err != nil {
 		return false
 	}
@@ -214,19 +213,20 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// until polls for a condition.
-func until(ctx context.Context, ok func() bool) (err error) {
-	const every = 20 * clock.Millis(1)
-	end := time.Now().Add(localPatience.Duration())
+// waitUntil polls a condition until it is met. It returns an error after localTimeout or when the
+// context ends.
+func waitUntil(ctx context.Context, ok func() bool) (err error) {
+	const pollInterval = 20 * clock.Millis(1)
+	end := time.Now().Add(localTimeout.Duration())
 	for !ok() {
-		if time.Now().After(end) || !clock.Pause(ctx, every) {
-			return errors.New("cli: the system did not get ready")
+		if time.Now().After(end) || !clock.Pause(ctx, pollInterval) {
+			return errors.New("cli: the system did not become ready")
 		}
 	}
 	return nil
 }
 
-// serve runs a handler on a free port until the context ends.
+// serve serves a handler on a free loopback port until the context ends and returns its base URL.
 func serve(ctx context.Context, h http.Handler) (url string, err error) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -238,13 +238,13 @@
 	return "http://" + lis.Addr().String(), nil
 }
 
-// reserve opens a listener on a free port and keeps it for the process that
-// will listen there. An address that is only found free and closed again may be
-// taken by another program before the process starts.
+// reserve opens a listener on a free loopback port for a process that starts later and returns its
+// address. The listener stays open, as another program could otherwise take the port before the
+// process starts.
 func (l *local) reserve() (address string) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		l.log.Error("No address is free", "error", logbook.Text(err))
+		l.log.Error("Opening a listener on a free port failed", "error", logbook.Text(err))
 		return ""
 	}
 	address = lis.Addr().String()
@@ -254,7 +254,7 @@
 	return address
 }
 
-// listen hands out a reserved listener.
+// listen returns the reserved listener for an address and opens a new one if there is none.
 func (l *local) listen(network, address string) (lis net.Listener, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/cli/openai_test.go
+++ b/cli/openai_test.go
@@ -13,7 +13,7 @@
 	"github.com/parsleydeal/parsleydeal/standin"
 )
 
-// openaiClient is the client library that most callers use.
+// openaiClient returns a client of OpenAI's Go library for the first entry, without retries.
 func (l *local) openaiClient(key string) openai.Client {
 	return openai.NewClient(option.WithBaseURL("http://"+l.callers[0]+"/v1/"), option.WithAPIKey(key), option.WithMaxRetries(0))
 }
@@ -25,9 +25,9 @@
 	}
 }
 
-func TestOpenAIClientGetsAWholeAnswer(t *testing.T) {
+func TestOpenAIClientGetsCompleteAnswer(t *testing.T) {
 	is := is.New(t)
-	l := startLocal(t, localShape{first: 1, gap: 1, tokens: 5})
+	l := startLocal(t, engineParams{firstToken: 1, tokenGap: 1, tokens: 5})
 	c := l.openaiClient(demoKey)
 	a, err := c.Chat.Completions.New(t.Context(), question("quick"))
 	is.NoErr(err)
@@ -40,7 +40,7 @@
 
 func TestOpenAIClientStreams(t *testing.T) {
 	is := is.New(t)
-	l := startLocal(t, localShape{first: 1, gap: 1, tokens: 5})
+	l := startLocal(t, engineParams{firstToken: 1, tokenGap: 1, tokens: 5})
 	c := l.openaiClient(demoKey)
 	p := question("dossier")
 	p.StreamOptions.IncludeUsage = openai.Bool(true)
@@ -56,9 +56,9 @@
 	is.Equal(acc.Usage.CompletionTokens, int64(5))
 }
 
-func TestOpenAIClientSeesItsModelsOnly(t *testing.T) {
+func TestOpenAIClientListsOnlyItsModels(t *testing.T) {
 	is := is.New(t)
-	l := startLocal(t, localShape{tokens: 1}, func(l *local) {
+	l := startLocal(t, engineParams{tokens: 1}, func(l *local) {
 		l.tables = slices.Concat(demoTables, []byte(otherOrganisation))
 	})
 	names := func(key string) (out []string) {
@@ -74,7 +74,7 @@
 	is.Equal(names(otherKey), []string{"bulletin"})
 	c := l.openaiClient(otherKey)
 	_, err := c.Chat.Completions.New(t.Context(), question("quick"))
-	is.Equal(statusOf(err), 404) // what it may not reach does not exist for it
+	is.Equal(statusOf(err), 404) // the response does not reveal that the route exists
 }
 
 func statusOf(err error) int {
@@ -87,7 +87,7 @@
 
 func TestOpenAIClientReadsTypedErrors(t *testing.T) {
 	is := is.New(t)
-	l := startLocal(t, localShape{tokens: 1})
+	l := startLocal(t, engineParams{tokens: 1})
 	c := l.openaiClient("wrong")
 	_, err := c.Models.List(t.Context())
 	var e *openai.Error
@@ -104,12 +104,11 @@
 	is.True(strings.Contains(e.Message, "n: is 2, 1 is allowed"))
 }
 
-// Every engine of the pool breaks its stream after the first tokens. The caller
-// has part of an answer already; the client must report an error, never a
-// short answer that looks whole.
-func TestOpenAIClientSeesABrokenStreamAsAnError(t *testing.T) {
+// Every engine breaks its stream after the first tokens. The caller already has a part of the
+// answer; the client must report an error, not a short answer that looks complete.
+func TestOpenAIClientReportsBrokenStream(t *testing.T) {
 	is := is.New(t)
-	l := startLocal(t, localShape{first: 1, gap: 1, tokens: 9})
+	l := startLocal(t, engineParams{firstToken: 1, tokenGap: 1, tokens: 9})
 	for _, e := range l.engines {
 		e.SetFaults(standin.EngineFaults{BreakAfter: 3})
 	}
@@ -123,11 +122,11 @@
 	is.True(!finished)
 }
 
-// The engine answers with a tool call beside its text. The client must get the
-// call whole, with a stream and without one.
+// The engine returns a tool call in addition to text. The client must get the complete call, with
+// and without streaming.
 func TestOpenAIClientGetsToolCalls(t *testing.T) {
 	is := is.New(t)
-	l := startLocal(t, localShape{first: 1, gap: 1, tokens: 4})
+	l := startLocal(t, engineParams{firstToken: 1, tokenGap: 1, tokens: 4})
 	for _, e := range l.engines {
 		e.SetFaults(standin.EngineFaults{ToolCall: true})
 	}
@@ -145,11 +144,11 @@
 	is.Equal(acc.Choices[0].Message.Content, a.Choices[0].Message.Content)
 }
 
-// A caller goes away in mid-stream. Unless the cancel reaches the engine, the
-// engine works on for nobody, and the endpoint's place stays taken.
+// A caller disconnects during a stream. Unless the cancellation reaches the engine, the engine
+// continues an answer that nobody reads, and the endpoint's slot stays occupied.
 func TestCancelReachesTheEngine(t *testing.T) {
 	is := is.New(t)
-	l := startLocal(t, localShape{first: 1, gap: 20, tokens: 1000})
+	l := startLocal(t, engineParams{firstToken: 1, tokenGap: 20, tokens: 1000})
 	ctx, cancel := context.WithCancel(t.Context())
 	c := l.openaiClient(demoKey)
 	stream := c.Chat.Completions.NewStreaming(ctx, question("quick"))
@@ -162,7 +161,7 @@
 	}
 	is.Equal(running(), int64(1))
 	cancel()
-	is.NoErr(until(t.Context(), func() bool { return running() == 0 }))
+	is.NoErr(waitUntil(t.Context(), func() bool { return running() == 0 }))
 }
 
 const otherKey = "other-key"
--- a/cli/operator.go
+++ b/cli/operator.go
@@ -19,11 +19,11 @@
 
 // command is one subcommand of the operators' program.
 type command struct {
-	// run does the command's work.
 	run func(ctx context.Context, args []string) error
 }
 
-// Execute is called by go-flags when the subcommand was named.
+// Execute implements flags.Commander. It runs the command until it is done or an interrupt or
+// termination signal cancels its context.
 func (c *command) Execute(args []string) error {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
@@ -34,12 +34,12 @@
 	Version func() `long:"version" description:"print the version and exit"`
 }
 
-// commands lists what adds the subcommands of the operators' program.
+// commands lists the functions that add the subcommands.
 var commands = []func(*flags.Parser) error{
 	addCheck, addPublish, addTables, addStatus, addBurn, addBills, addExplain, addAccount, addCompare, addLoad, addStandin, addDemo,
 }
 
-// newOperatorParser makes the parser of the operators' program.
+// newOperatorParser returns the command-line parser of the operators' program.
 func newOperatorParser() (p *flags.Parser, err error) {
 	o := &operatorOptions{Version: func() {
 		fmt.Println("parsleydeal", daemon.Version())
@@ -63,20 +63,20 @@
 func Operator(args []string) int {
 	p, err := newOperatorParser()
 	if err != nil {
-		return exitOf(err)
+		return printError(err)
 	}
 	_, err = p.ParseArgs(args)
-	return exitOf(err)
+	return printError(err)
 }
 
-// site tells a command where the system is.
-type site struct {
+// platformOptions are the options of commands that connect to a running system.
+type platformOptions struct {
 	Settings string `long:"settings" short:"s" description:"file of settings in TOML, of which platform and tls.peers are used"`
 	Platform string `long:"platform" short:"p" env:"PARSLEYDEAL_PLATFORM" description:"base URL of the platform's services, in place of settings"`
 }
 
-// operator makes the client that the command works through.
-func (o *site) operator() (op *client.Operator, err error) {
+// operator returns a client for the system that the options select.
+func (o *platformOptions) operator() (op *client.Operator, err error) {
 	s := settings.Default()
 	if o.Settings != "" {
 		if s, err = settings.Read(o.Settings); err != nil {
--- a/cli/operator_test.go
+++ b/cli/operator_test.go
@@ -12,16 +12,16 @@
 	"github.com/parsleydeal/parsleydeal/provider"
 )
 
-// startLocal runs a whole system with the demo's tables until the test ends.
-func startLocal(t *testing.T, shape localShape, adjust ...func(l *local)) *local {
+// startLocal starts a whole system with the demo's tables and stops it when the test ends.
+func startLocal(t *testing.T, params engineParams, adjust ...func(l *local)) *local {
 	t.Helper()
 	ctx := context.Background()
 	l := newLocal()
-	l.rateWell()
+	l.setGoodQuality()
 	for _, f := range adjust {
 		f(l)
 	}
-	if err := l.start(ctx, shape); err != nil {
+	if err := l.start(ctx, params); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(l.stop)
@@ -34,7 +34,7 @@
 	return l
 }
 
-func write(t *testing.T, text string) (path string) {
+func writeFile(t *testing.T, text string) (path string) {
 	t.Helper()
 	path = filepath.Join(t.TempDir(), "change.toml")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -45,73 +45,72 @@
 
 func (l *local) publishFile(path, timeout string) (out string, err error) {
 	var w bytes.Buffer
-	c := &publishCommand{site: site{Platform: l.base}, Author: "ops", Timeout: timeout}
+	c := &publishCommand{platformOptions: platformOptions{Platform: l.base}, Author: "ops", Timeout: timeout}
 	c.Args.File = path
 	err = c.publish(context.Background(), &w)
 	return w.String(), err
 }
 
-// An operator takes a zone out while one VM of the list is gone. The command
-// must say that the change is accepted, and on which VM it is not known to be
-// in force, with an exit code of its own.
+// An operator publishes a change while one VM of the list is unreachable. The command must report
+// that the change was accepted and on which VM it is not confirmed, with a distinct exit code.
 func TestPublishReportsWhereAChangeIsNotInForce(t *testing.T) {
 	is := is.New(t)
-	l := startLocal(t, localShape{tokens: 2})
-	out, err := l.publishFile(write(t, "kind = \"patch\"\n[tables.zones.zone-b]\nstate = \"out\"\n"), "20s")
+	l := startLocal(t, engineParams{tokens: 2})
+	out, err := l.publishFile(writeFile(t, "kind = \"patch\"\n[tables.zones.zone-b]\nstate = \"out\"\n"), "20s")
 	is.NoErr(err)
 	is.True(strings.Contains(out, "in force on 7 VMs, not on 0"))
 	l.platform.SetVMs(append(l.vms, provider.VM{ID: "gone", Role: provider.EntryRole, Zone: "zone-b", Address: "127.0.0.1:1"}))
-	out, err = l.publishFile(write(t, "kind = \"patch\"\n[tables.zones.zone-b]\nstate = \"in\"\n"), "2s")
-	is.Equal(codeOf(err), ExitUncertain)
+	out, err = l.publishFile(writeFile(t, "kind = \"patch\"\n[tables.zones.zone-b]\nstate = \"in\"\n"), "2s")
+	is.Equal(exitCode(err), ExitUncertain)
 	is.True(strings.Contains(out, "accepted as revision 2"))
 	is.True(strings.Contains(out, "gone in zone-b: no answer"))
 }
 
-// Two operators edit what `tables` printed. The second one's file would undo
-// the first one's change; its base is no longer current, so it is rejected.
-func TestTablesCanBeEditedAndPublishedOnce(t *testing.T) {
+// Two operators edit the same output of `tables`. The second file would undo the first change. It
+// must be rejected, as its base is no longer the current revision.
+func TestPublishRejectsEditOfOutdatedTables(t *testing.T) {
 	is := is.New(t)
-	l := startLocal(t, localShape{tokens: 2})
+	l := startLocal(t, engineParams{tokens: 2})
 	var printed bytes.Buffer
-	c := &tablesCommand{site: site{Platform: l.base}, Verdicts: 5}
+	c := &tablesCommand{platformOptions: platformOptions{Platform: l.base}, Verdicts: 5}
 	is.NoErr(c.print(t.Context(), &printed))
 	is.True(strings.Contains(printed.String(), `# revision 0 accepted: change "demo-1" by "demo"`))
-	first := write(t, strings.Replace(printed.String(), "fee = 250", "fee = 300", 1))
-	second := write(t, strings.Replace(printed.String(), "fee = 250", "fee = 275", 1))
+	first := writeFile(t, strings.Replace(printed.String(), "fee = 250", "fee = 300", 1))
+	second := writeFile(t, strings.Replace(printed.String(), "fee = 250", "fee = 275", 1))
 	_, err := l.publishFile(first, "20s")
 	is.NoErr(err)
 	_, err = l.publishFile(second, "20s")
-	is.Equal(codeOf(err), ExitRejected)
+	is.Equal(exitCode(err), ExitRejected)
 }
 
 func TestStatusShowsEveryVM(t *testing.T) {
 	is := is.New(t)
-	l := startLocal(t, localShape{tokens: 2})
+	l := startLocal(t, engineParams{tokens: 2})
 	var out bytes.Buffer
-	c := &statusCommand{site: site{Platform: l.base}}
+	c := &statusCommand{platformOptions: platformOptions{Platform: l.base}}
 	is.NoErr(c.print(t.Context(), &out))
-	is.Equal(strings.Count(out.String(), "\n"), 8) // a heading and seven VMs
+	is.Equal(strings.Count(out.String(), "\n"), 8) // a header and seven VMs
 	is.Equal(strings.Count(out.String(), " yes "), 7)
-	is.Equal(strings.Count(out.String(), "0/"), 5) // the windows of five endpoints
+	is.Equal(strings.Count(out.String(), "0/"), 5) // the five endpoints have windows
 }
 
-func TestCheckNamesFileLineAndKeyOfTables(t *testing.T) {
+func TestCheckReportsFileLineAndKeyOfTables(t *testing.T) {
 	is := is.New(t)
-	path := write(t, "kind = \"whole\"\n[tables.pools.small]\ncold-window = 2\nfull-window = 1\nversions = [\"x@1\"]\n")
+	path := writeFile(t, "kind = \"whole\"\n[tables.pools.small]\ncold-window = 2\nfull-window = 1\nversions = [\"x@1\"]\n")
 	err := (&checkCommand{Tables: []string{path}}).check()
-	is.Equal(codeOf(err), ExitUsage)
+	is.Equal(exitCode(err), ExitUsage)
 	is.True(strings.Contains(err.Error(), path+":4: pools.small.full-window: is 1"))
 	is.True(strings.Contains(err.Error(), path+`:5: pools.small.versions: no version "x@1"`))
-	err = (&checkCommand{Tables: []string{write(t, "kind = \"whole\"\n[tables.pools.small]\ncold-windw = 2\n")}}).check()
+	err = (&checkCommand{Tables: []string{writeFile(t, "kind = \"whole\"\n[tables.pools.small]\ncold-windw = 2\n")}}).check()
 	is.True(strings.Contains(err.Error(), ":3: tables.pools.small.cold-windw: is not known"))
-	err = (&checkCommand{Tables: []string{write(t, "kind = \"whole\"\n[tables.pools.small]\ncold-window = \"2\"\n")}}).check()
+	err = (&checkCommand{Tables: []string{writeFile(t, "kind = \"whole\"\n[tables.pools.small]\ncold-window = \"2\"\n")}}).check()
 	is.True(strings.Contains(err.Error(), ":3: tables.pools.small.cold-window"))
 }
 
 func TestCheckComparesSettingsWithTables(t *testing.T) {
 	is := is.New(t)
-	tables := write(t, "kind = \"whole\"\n[tables.pools.records]\ncold-window = 1\nfull-window = 1\n")
-	settings := write(t, `vm = "e"
+	tables := writeFile(t, "kind = \"whole\"\n[tables.pools.records]\ncold-window = 1\nfull-window = 1\n")
+	settings := writeFile(t, `vm = "e"
 zone = "a"
 region = "r"
 peer = "10.0.0.1:7000"
--- a/cli/page_test.go
+++ b/cli/page_test.go
@@ -21,8 +21,8 @@
 	"github.com/parsleydeal/parsleydeal/table"
 )
 
-// pageRows returns the cells of each row under a heading of OPERATORS.md whose
-// first cell is a name in code quotes, by that name.
+// pageRows returns the table rows under a heading of OPERATORS.md whose first cell is a name in
+// backquotes. It maps each name to the cells after it.
 func pageRows(t *testing.T, heading string) (rows map[string][]string) {
 	t.Helper()
 	data, err := os.ReadFile("../docs/OPERATORS.md")
@@ -45,7 +45,7 @@
 	return rows
 }
 
-// compareRows fails for each name that stands on one side only.
+// compareRows reports an error for each name that is only in rows or only in names.
 func compareRows(t *testing.T, what string, rows map[string][]string, names []string) {
 	t.Helper()
 	for _, n := range names {
@@ -55,7 +55,7 @@
 	}
 	for n := range rows {
 		if !slices.Contains(names, n) {
-			t.Errorf("%s %q stands in OPERATORS.md only", what, n)
+			t.Errorf("%s %q is only in OPERATORS.md", what, n)
 		}
 	}
 }
@@ -81,7 +81,7 @@
 		names = append(names, m[1])
 		status := strconv.Itoa(refusal.New(refusal.Code(m[1]), "").Status())
 		if cells := rows[m[1]]; len(cells) > 0 && strings.TrimSpace(cells[0]) != status {
-			t.Errorf("refusal %q has status %s, the page says %s", m[1], status, cells[0])
+			t.Errorf("refusal %q has status %s, OPERATORS.md has %s", m[1], status, cells[0])
 		}
 	}
 	compareRows(t, "refusal", rows, names)
@@ -91,7 +91,7 @@
 	compareRows(t, "field", pageRows(t, "Tables"), fieldsBelow("", reflect.TypeFor[table.Change]()))
 }
 
-// fieldsBelow lists the dotted keys of a struct; "*" stands for chosen names.
+// fieldsBelow lists the dotted keys of a struct's TOML form, with "*" for the keys of a map.
 func fieldsBelow(prefix string, t reflect.Type) (keys []string) {
 	for i := range t.NumField() {
 		name, _, _ := strings.Cut(t.Field(i).Tag.Get("toml"), ",")
@@ -114,18 +114,18 @@
 func TestPageListsEveryMetric(t *testing.T) {
 	is := is.New(t)
 	var operators []string
-	l := startLocal(t, localShape{tokens: 1}, func(l *local) {
+	l := startLocal(t, engineParams{tokens: 1}, func(l *local) {
 		l.adjust = func(s *settings.Settings) { operators = append(operators, s.Operators) }
 	})
 	for _, route := range []string{"quick", "unknown"} {
-		_, _, err := l.answerTo(t.Context(), route, "")
+		_, _, err := l.sendChat(t.Context(), route, "")
 		is.NoErr(err)
 	}
 	rows := pageRows(t, "Metrics")
 	for _, address := range operators {
 		resp, err := http.Get("http://" + address + "/metrics")
 		if err != nil {
-			continue // the operators' client has settings of its own
+			continue // adjust also runs for the operators' client, which serves nothing
 		}
 		data, err := io.ReadAll(resp.Body)
 		is.NoErr(err)
@@ -139,7 +139,7 @@
 	}
 	source := allSource(t)
 	for name := range rows {
-		is.True(strings.Contains(source, name)) // a metric of the page is made somewhere
+		is.True(strings.Contains(source, name)) // some source file must have each metric of the page
 	}
 }
 
--- a/cli/publish.go
+++ b/cli/publish.go
@@ -16,7 +16,7 @@
 
 type publishCommand struct {
 	command
-	site
+	platformOptions
 	ID      string `long:"id" description:"id of the change; give that of an earlier try whose verdict is not known"`
 	Author  string `long:"author" env:"USER" description:"who publishes"`
 	Base    *int64 `long:"base" description:"revision that the change was made on; the current one if neither this nor the file says"`
@@ -51,19 +51,20 @@
 	defer cancel()
 	history, err := op.History(ctx)
 	if err != nil {
-		return fmt.Errorf("publish: read the log, nothing was published: %w", err)
+		return fmt.Errorf("publish: nothing was published: read the log: %w", err)
 	}
-	c.complete(change, &history.State)
+	c.fillDefaults(change, &history.State)
 	if _, seen := history.State.Outcome(change.ID); !seen && change.Base == history.State.Revision() {
 		if err = preview(c.Args.File, &history.State, change); err != nil {
 			return err
 		}
 	}
-	return c.append(ctx, w, op, change)
+	return c.publishChange(ctx, w, op, change)
 }
 
-// complete fills what the file leaves out.
-func (c *publishCommand) complete(change *table.Change, s *table.State) {
+// fillDefaults sets id and base from the command's options, and author if the file has none. An
+// id that is still missing is generated; a missing base becomes the current revision.
+func (c *publishCommand) fillDefaults(change *table.Change, s *table.State) {
 	if c.ID != "" {
 		change.ID = c.ID
 	}
@@ -81,7 +82,7 @@
 	}
 }
 
-func (c *publishCommand) append(ctx context.Context, w io.Writer, op *client.Operator, change *table.Change) (err error) {
+func (c *publishCommand) publishChange(ctx context.Context, w io.Writer, op *client.Operator, change *table.Change) (err error) {
 	fmt.Fprintf(w, "change %s by %s on revision %d\n", change.ID, change.Author, change.Base)
 	verdict, err := op.Publish(ctx, change)
 	if err != nil {
@@ -91,12 +92,12 @@
 	seen, err := op.WaitInForce(ctx, verdict.Revision)
 	fmt.Fprintf(w, "in force on %d VMs, not on %d\n", len(seen.Yes), len(seen.No))
 	for _, s := range seen.No {
-		fmt.Fprintf(w, "  %s in %s: %s\n", s.VM.ID, s.VM.Zone, whyNot(s))
+		fmt.Fprintf(w, "  %s in %s: %s\n", s.VM.ID, s.VM.Zone, notInForceReason(s))
 	}
 	return err
 }
 
-func whyNot(s client.VMStatus) string {
+func notInForceReason(s client.VMStatus) string {
 	if s.Err != nil {
 		return "no answer: " + s.Err.Error()
 	}
@@ -105,7 +106,7 @@
 
 type tablesCommand struct {
 	command
-	site
+	platformOptions
 	Verdicts int `long:"verdicts" default:"10" description:"how many of the latest verdicts to show"`
 }
 
--- a/cli/secure_test.go
+++ b/cli/secure_test.go
@@ -21,7 +21,8 @@
 	"github.com/parsleydeal/parsleydeal/settings"
 )
 
-// selfSigned writes a certificate that is its own authority.
+// selfSigned writes a self-signed certificate and its key to files and returns a pool that trusts
+// it.
 func selfSigned(t *testing.T) (files settings.Certificate, pool *x509.CertPool) {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -54,18 +55,18 @@
 	return files, pool
 }
 
-// All interfaces speak TLS. Callers and operators get their answers, and a
-// process that has no certificate of the system can neither ask a peer nor
-// place an order at a gate.
-func TestWholeSystemOverTLS(t *testing.T) {
+// All interfaces use TLS. Requests of callers and operators succeed. A client without a
+// certificate of the system, which could otherwise query peers and send orders to endpoints, and a
+// caller over plain HTTP must be refused.
+func TestSystemOverTLS(t *testing.T) {
 	is := is.New(t)
 	files, pool := selfSigned(t)
-	l := startLocal(t, localShape{tokens: 3}, func(l *local) {
+	l := startLocal(t, engineParams{tokens: 3}, func(l *local) {
 		l.scheme = "https://"
 		l.http = &http.Client{Transport: &http.Transport{TLSClientConfig: &tls.Config{RootCAs: pool}}}
-		own, err := tls.LoadX509KeyPair(files.Certificate, files.Key)
+		clientCertificate, err := tls.LoadX509KeyPair(files.Certificate, files.Key)
 		is.NoErr(err)
-		l.watch = &http.Client{Transport: &http.Transport{TLSClientConfig: &tls.Config{RootCAs: pool, Certificates: []tls.Certificate{own}}}}
+		l.operatorsHTTP = &http.Client{Transport: &http.Transport{TLSClientConfig: &tls.Config{RootCAs: pool, Certificates: []tls.Certificate{clientCertificate}}}}
 		l.adjust = func(s *settings.Settings) {
 			s.TLS = settings.TLS{ReloadEvery: 100, Peers: files}
 			s.TLS.Callers = settings.Certificate{Certificate: files.Certificate, Key: files.Key}
@@ -86,8 +87,8 @@
 	all, err = op.Status(t.Context())
 	is.NoErr(err)
 	for _, s := range all {
-		is.True(s.Err != nil) // no answer without a certificate
+		is.True(s.Err != nil) // a client without a certificate is refused
 	}
 	_, err = http.Get("http://" + l.callers[0] + "/v1/models")
-	is.True(err != nil) // nor is a caller answered in plain text
+	is.True(err != nil) // plain HTTP is refused as well
 }
--- a/cli/standin.go
+++ b/cli/standin.go
@@ -28,9 +28,9 @@
 
 type engineStandin struct {
 	listener
-	First  string `long:"first-token" default:"200ms" description:"span before the first token"`
-	Gap    string `long:"token-gap" default:"20ms" description:"span between tokens"`
-	Tokens int    `long:"tokens" default:"64" description:"length of every answer in tokens"`
+	FirstToken string `long:"first-token" default:"200ms" description:"span before the first token"`
+	TokenGap   string `long:"token-gap" default:"20ms" description:"span between tokens"`
+	Tokens     int    `long:"tokens" default:"64" description:"length of every answer in tokens"`
 }
 
 type plainStandin struct{ listener }
@@ -41,24 +41,26 @@
 	if err != nil {
 		return err
 	}
-	a := &platformStandin{}
-	a.run = a.serve
-	if _, err = parent.AddCommand("platform", "Log, VM list, weight store and rater", "", a); err != nil {
+	platform := &platformStandin{}
+	platform.run = platform.serve
+	if _, err = parent.AddCommand("platform", "Log, VM list, weight store and rater", "", platform); err != nil {
 		return err
 	}
-	b := &engineStandin{}
-	b.run = b.serve
-	if _, err = parent.AddCommand("engine", "A model engine", "", b); err != nil {
+	engine := &engineStandin{}
+	engine.run = engine.serve
+	if _, err = parent.AddCommand("engine", "A model engine", "", engine); err != nil {
 		return err
 	}
-	c := &plainStandin{}
-	c.run = func(ctx context.Context, _ []string) error { return c.handle(ctx, standin.NewPlain().Handler()) }
-	_, err = parent.AddCommand("plain", "A plain service that echoes", "", c)
+	plain := &plainStandin{}
+	plain.run = func(ctx context.Context, _ []string) error {
+		return plain.listenAndServe(ctx, standin.NewPlain().Handler())
+	}
+	_, err = parent.AddCommand("plain", "A plain service that echoes", "", plain)
 	return err
 }
 
-// handle serves a handler until the context ends.
-func (l *listener) handle(ctx context.Context, h http.Handler) (err error) {
+// listenAndServe serves a handler on the listen address until the context ends.
+func (l *listener) listenAndServe(ctx context.Context, h http.Handler) (err error) {
 	lis, err := net.Listen("tcp", l.Listen)
 	if err != nil {
 		return err
@@ -85,10 +87,10 @@
 		}
 		p.SetVMs(vms)
 	}
-	return c.handle(ctx, p.Handler())
+	return c.listenAndServe(ctx, p.Handler())
 }
 
-// vmFile is a VM list in a file.
+// vmFile is the TOML form of a VM list.
 type vmFile struct {
 	VMs []vmRow `toml:"vms"`
 }
@@ -120,11 +122,11 @@
 
 func (c *engineStandin) serve(ctx context.Context, _ []string) (err error) {
 	var first, gap clock.Millis
-	if err = first.UnmarshalText([]byte(c.First)); err != nil {
+	if err = first.UnmarshalText([]byte(c.FirstToken)); err != nil {
 		return fmt.Errorf("standin: --first-token: %w: %w", err, errUsage)
 	}
-	if err = gap.UnmarshalText([]byte(c.Gap)); err != nil {
+	if err = gap.UnmarshalText([]byte(c.TokenGap)); err != nil {
 		return fmt.Errorf("standin: --token-gap: %w: %w", err, errUsage)
 	}
-	return c.handle(ctx, standin.NewEngine(first, gap, c.Tokens).Handler())
+	return c.listenAndServe(ctx, standin.NewEngine(first, gap, c.Tokens).Handler())
 }
--- a/cli/status.go
+++ b/cli/status.go
@@ -16,7 +16,7 @@
 
 type statusCommand struct {
 	command
-	site
+	platformOptions
 	JSON bool `long:"json" description:"print every process's whole status as JSON"`
 }
 
@@ -53,7 +53,7 @@
 	return fmt.Errorf("status: none of %d VMs answered", len(all))
 }
 
-// vmLine is one VM in the JSON output.
+// vmLine is the JSON form of one VM's status.
 type vmLine struct {
 	VM     string `json:"vm"`
 	Error  string `json:"error,omitempty"`
@@ -84,7 +84,7 @@
 }
 
 func statusCells(s client.VMStatus) []string {
-	cells := []string{s.VM.ID, s.VM.Role, dash(s.VM.Pool), s.VM.Zone}
+	cells := []string{s.VM.ID, s.VM.Role, orDash(s.VM.Pool), s.VM.Zone}
 	if s.Err != nil {
 		return append(cells, "no answer", "-", "-", "-", s.Err.Error())
 	}
@@ -93,11 +93,12 @@
 		ready = s.Status.Reason
 	}
 	out := strings.Join(append(s.Status.ZonesOut, s.Status.VMsOut...), " ")
-	return append(cells, ready, fmt.Sprint(s.Status.Revision), clock.Millis(s.Status.StalenessMillis).String(), dash(out), window(s.Status.Sections))
+	return append(cells, ready, fmt.Sprint(s.Status.Revision), clock.Millis(s.Status.StalenessMillis).String(), orDash(out), windowCell(s.Status.Sections))
 }
 
-// window shows what an endpoint holds and may hold.
-func window(sections map[string]any) string {
+// windowCell returns the outstanding requests of an endpoint and its window size, such as 3/16, or
+// a dash for other processes.
+func windowCell(sections map[string]any) string {
 	w, ok := sections["window"].(map[string]any)
 	if !ok {
 		return "-"
@@ -105,7 +106,7 @@
 	return fmt.Sprintf("%v/%v", w["held"], w["size"])
 }
 
-func dash(text string) string {
+func orDash(text string) string {
 	if text == "" {
 		return "-"
 	}
