--- a/checkpoint/checkpoint.go
+++ b/checkpoint/checkpoint.go
@@ -15,9 +15,9 @@
 )
 
 const (
-	// Every is the longest span between two checkpoints. The log must keep
+	// Interval is the longest span between two checkpoints. The log must keep
 	// records for at least three times as long.
-	Every = clock.Hour
+	Interval = clock.Hour
 	// maxRecords is how many records follow a checkpoint before the next, so
 	// that a process that starts has few to read.
 	maxRecords = 256
@@ -115,7 +115,7 @@
 		return false
 	}
 	wait := clock.Millis(r) * step
-	return now-s.seenAt >= Every+wait || s.fullAt > 0 && now-s.fullAt >= wait
+	return now-s.seenAt >= Interval+wait || s.fullAt > 0 && now-s.fullAt >= wait
 }
 
 // rank is this process's place by rendezvous hashing among the live entries.
--- a/checkpoint/checkpoint_test.go
+++ b/checkpoint/checkpoint_test.go
@@ -45,7 +45,7 @@
 
 // The log drops the only record that has the tables, sooner than agreed. A
 // process that starts now would find nothing, so a checkpoint is due at once.
-func TestExpiredRecordsAreWrittenAgainAtOnce(t *testing.T) {
+func TestExpiredTablesAreAppendedAtOnce(t *testing.T) {
 	is := is.New(t)
 	var tables table.State
 	tables.Apply(0, []byte(change))
--- a/claim/book.go
+++ b/claim/book.go
@@ -18,8 +18,8 @@
 	beyondHead = int64(1) << 62
 )
 
-// Book puts claims on one stream and reads what stands.
-type Book struct {
+// Claimer puts claims on one stream and reads what stands.
+type Claimer struct {
 	store  provider.Log
 	stream string
 	writer *batch.Writer
@@ -34,18 +34,18 @@
 	state   *State
 }
 
-// NewBook makes a book of a stream; Run gives it the time. Prefix is unlike any
+// NewClaimer makes a book of a stream; Run gives it the time. Prefix is unlike any
 // other process start's.
-func NewBook(store provider.Log, stream, prefix string, c clock.Clock) *Book {
-	b := &Book{store: store, stream: stream, waiters: make(map[string]chan int64)}
-	b.writer = batch.NewWriter(store, stream, prefix, batch.ClaimRate/Streams, c, b.done)
+func NewClaimer(store provider.Log, stream, prefix string, c clock.Clock) *Claimer {
+	b := &Claimer{store: store, stream: stream, waiters: make(map[string]chan int64)}
+	b.writer = batch.NewWriter(store, stream, prefix, batch.ClaimAppendsPerSecond/Streams, c, b.done)
 	return b
 }
 
 // Run ticks the book until the context ends.
-func (b *Book) Run(ctx context.Context) { b.writer.Run(ctx) }
+func (b *Claimer) Run(ctx context.Context) { b.writer.Run(ctx) }
 
-func (b *Book) done(ids []string, offset int64) {
+func (b *Claimer) done(ids []string, offset int64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, id := range ids {
@@ -56,9 +56,9 @@
 	}
 }
 
-// Take puts a claim on the log and returns the claim that stands for its key.
+// Claim puts a claim on the log and returns the claim that stands for its key.
 // An error leaves it open whether the claim stands; nothing may be dispatched.
-func (b *Book) Take(ctx context.Context, c *wire.Claim) (s *wire.Claim, offset int64, err error) {
+func (b *Claimer) Claim(ctx context.Context, c *wire.Claim) (s *wire.Claim, offset int64, err error) {
 	defer func() {
 		if err != nil {
 			err = ErrUnsettled.Wrap(err, "claim on %s", b.stream)
@@ -75,17 +75,17 @@
 
 // known answers a claim that has lost already, as a retry's first claim has,
 // without an append. What stands can only be followed by a later round.
-func (b *Book) known(c *wire.Claim) (s *wire.Claim, offset int64, ok bool) {
+func (b *Claimer) known(c *wire.Claim) (s *wire.Claim, offset int64, ok bool) {
 	b.reading.Lock()
 	defer b.reading.Unlock()
 	if b.state == nil {
 		return nil, 0, false
 	}
-	s, offset, ok = b.state.Standing(c.GetKey())
+	s, offset, ok = b.state.Holder(c.GetKey())
 	return s, offset, ok && s.GetRound() >= c.GetRound()
 }
 
-func (b *Book) append(ctx context.Context, c *wire.Claim) (offset int64, err error) {
+func (b *Claimer) append(ctx context.Context, c *wire.Claim) (offset int64, err error) {
 	id := string(c.GetKey()) + "/" + c.GetRequest() + "/" + c.GetVm()
 	w := make(chan int64, 1)
 	b.mu.Lock()
@@ -109,7 +109,7 @@
 }
 
 // read brings the state past the claim's record, then looks who stands.
-func (b *Book) read(ctx context.Context, c *wire.Claim, offset int64) (s *wire.Claim, at int64, err error) {
+func (b *Claimer) read(ctx context.Context, c *wire.Claim, offset int64) (s *wire.Claim, at int64, err error) {
 	b.reading.Lock()
 	defer b.reading.Unlock()
 	if err = b.begin(ctx); err != nil {
@@ -127,7 +127,7 @@
 			b.state.Apply(r.Offset, r.Data)
 		}
 	}
-	s, at, ok := b.state.Standing(c.GetKey())
+	s, at, ok := b.state.Holder(c.GetKey())
 	if !ok {
 		return nil, 0, Errors.NewType("missing").New("record %d holds no claim of the key", offset)
 	}
@@ -136,7 +136,7 @@
 
 // begin starts the state far enough back to remember as many keys as any other
 // process: each record has at least one claim.
-func (b *Book) begin(ctx context.Context) (err error) {
+func (b *Claimer) begin(ctx context.Context) (err error) {
 	if b.state != nil {
 		return nil
 	}
@@ -148,7 +148,7 @@
 	return nil
 }
 
-func (b *Book) skip(ctx context.Context) (page provider.Page, err error) {
+func (b *Claimer) skip(ctx context.Context) (page provider.Page, err error) {
 	page, err = b.store.Read(ctx, b.stream, beyondHead, 0)
 	b.state.Skip(page.First)
 	return page, err
--- a/claim/claim.go
+++ b/claim/claim.go
@@ -144,8 +144,8 @@
 	}
 }
 
-// Standing returns the claim that holds a key and its offset.
-func (s *State) Standing(key []byte) (c *wire.Claim, offset int64, ok bool) {
+// Holder returns the claim that holds a key and its offset.
+func (s *State) Holder(key []byte) (c *wire.Claim, offset int64, ok bool) {
 	x, ok := s.keys[string(key)]
 	return x.claim, x.offset, ok
 }
--- a/claim/fuzz_test.go
+++ b/claim/fuzz_test.go
@@ -34,7 +34,7 @@
 		if s.Keys() > bound || s.Next() != 2 {
 			t.Fatalf("claims-are-bounded: %d keys, next %d", s.Keys(), s.Next())
 		}
-		if c, _, ok := s.Standing(mine.GetKey()); ok && c.GetRound() == 1 && !Same(c, mine) {
+		if c, _, ok := s.Holder(mine.GetKey()); ok && c.GetRound() == 1 && !Same(c, mine) {
 			t.Fatalf("at-most-once: %v stands in place of the first claim", c)
 		}
 	})
--- a/cli/burn.go
+++ b/cli/burn.go
@@ -66,7 +66,7 @@
 // Burn queries all entries of a VM list for their burn reports and returns the verdict on the
 // merged report. Entries that do not reply are listed in Verdict.Missing; it is an error if none
 // replies.
-func Burn(ctx context.Context, list provider.VMList, peers *peer.Pool) (v *burn.Verdict, err error) {
+func Burn(ctx context.Context, list provider.VMList, peers *peer.Pool) (v *burn.Evaluation, err error) {
 	vms, err := list.List(ctx)
 	if err != nil {
 		return nil, err
@@ -100,7 +100,7 @@
 	if err != nil {
 		return nil, err
 	}
-	v = m.Judge()
+	v = m.Evaluate()
 	v.Missing = missing
 	return v, nil
 }
--- a/cli/burn_test.go
+++ b/cli/burn_test.go
@@ -28,7 +28,7 @@
 	for _, l := range v.Lines {
 		if l.Route == "dossier" && (l.Objective == "availability" || l.Objective == "first-token") {
 			is.Equal(l.Events, int64(3))
-			is.Equal(l.Left, 1.0)
+			is.Equal(l.BudgetRemaining, 1.0)
 		}
 	}
 	is.Equal(len(v.Latencies), 1)
--- a/clock/boot.go
+++ b/clock/boot.go
@@ -21,5 +21,5 @@
 		// Linux has had this clock since 2.6.39; without it no lease can be kept.
 		panic("clock: CLOCK_BOOTTIME cannot be read: " + err.Error())
 	}
-	return Of(time.Duration(t.Nano()))
+	return FromDuration(time.Duration(t.Nano()))
 }
--- a/clock/clock.go
+++ b/clock/clock.go
@@ -45,12 +45,12 @@
 	if err != nil {
 		return err
 	}
-	*m = Of(d)
+	*m = FromDuration(d)
 	return nil
 }
 
-// Of converts a standard duration, dropping what is below a millisecond.
-func Of(d time.Duration) Millis {
+// FromDuration converts a standard duration, dropping what is below a millisecond.
+func FromDuration(d time.Duration) Millis {
 	return Millis(d / time.Millisecond)
 }
 
@@ -69,7 +69,7 @@
 // moment of the call.
 func System() Clock {
 	start := time.Now()
-	return Clock{now: func() Millis { return Of(time.Since(start)) }}
+	return Clock{now: func() Millis { return FromDuration(time.Since(start)) }}
 }
 
 // Now returns the current instant.
@@ -85,5 +85,5 @@
 // Until returns the span to a context's deadline, at least 1 while it lies
 // ahead.
 func Until(deadline time.Time) Millis {
-	return max(Of(time.Until(deadline)), 1)
+	return max(FromDuration(time.Until(deadline)), 1)
 }
--- a/control/evidence_test.go
+++ b/control/evidence_test.go
@@ -91,7 +91,7 @@
 // Reports to a judge are lost, repeated and come late, and a process restarts in
 // between. A judge that added them up as they come would hold a good version for
 // errors counted twice.
-func TestEvidenceCountsOnce(t *testing.T) {
+func TestEvidenceIsCountedOnce(t *testing.T) {
 	is := is.New(t)
 	c := newClusterOf(6, 3, 1)
 	c.run(settle, nil)
--- a/control/failure_test.go
+++ b/control/failure_test.go
@@ -148,7 +148,7 @@
 
 // A VM is told to stop. Entries that learn of it only from the lagging list go
 // on sending it work for as long as the list lags.
-func TestLeavingIsToldAtOnce(t *testing.T) {
+func TestLeavingIsReportedAtOnce(t *testing.T) {
 	is := is.New(t)
 	c := settled(t, 36, 12)
 	p := c.procs[1]
@@ -167,7 +167,7 @@
 // A zone is cut off from all others during a log outage and works on old tables.
 // A process that starts in it hears only its neighbours, who agree on what is
 // old; ready on that, it would send work to what operators have withdrawn.
-func TestStartInPartedZone(t *testing.T) {
+func TestStartInPartitionedZone(t *testing.T) {
 	is := is.New(t)
 	c := settled(t, 36, 3)
 	c.parted = func(from, to *proc) bool { return (from.vm.Zone == "zone-0") != (to.vm.Zone == "zone-0") }
@@ -189,7 +189,7 @@
 // A version is held while most processes cannot read the log. Those would go on
 // sending requests to it, and each of them would find out for itself that it is
 // bad.
-func TestHoldReachesThoseWithoutLog(t *testing.T) {
+func TestHoldReachesProcessesWithoutLog(t *testing.T) {
 	is := is.New(t)
 	c := settled(t, 36, 12)
 	c.readable = func(p *proc) bool { return p.vm.Zone == "zone-0" }
--- a/control/size_test.go
+++ b/control/size_test.go
@@ -129,7 +129,7 @@
 
 // A state that grows with what callers or peers send would take an entry VM's
 // memory within a day, and a view for every load report its processor.
-func TestSizeOfAnEntry(t *testing.T) {
+func TestEntryStateSize(t *testing.T) {
 	const seconds, mostBytes, mostEffects = 600, 24 << 20, 40
 	is := is.New(t)
 	before := heapBytes()
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -152,7 +152,7 @@
 	settings settings.Settings
 	node     *node.Node
 	log      *log.Logger
-	port     *operations.Port
+	port     *operations.API
 	listen   ListenFunc
 	// certificates are those of the process's own interfaces.
 	certificates Certificates
@@ -241,7 +241,7 @@
 	l.Info("Entry serves callers", "vm", s.VM, "address", callers.Addr())
 	err = e.Serve(serving, secure(p.certificates.callers, callers))
 	switch handErr := e.HandOverBurnCounts(inner); {
-	case errorx.IsOfType(handErr, node.ErrNoHeir):
+	case errorx.IsOfType(handErr, node.ErrNoSuccessor):
 		l.Info("Nobody takes over what was counted for the burn report", "vm", s.VM, "reason", logbook.Text(handErr))
 	case handErr != nil:
 		l.Warn("What was counted for the burn report could not be handed on", "vm", s.VM, "error", logbook.Text(handErr))
@@ -330,8 +330,8 @@
 func settle(ctx context.Context, n *node.Node, l *log.Logger) {
 	ctx, cancel := context.WithTimeout(ctx, settleLimit.Duration())
 	defer cancel()
-	n.Told(ctx)
-	if n.Billing().Settled(ctx) != nil {
+	n.WaitLeaveReported(ctx)
+	if n.Billing().WaitSafe(ctx) != nil {
 		own, held := n.Billing().Waiting()
 		l.Warn("Process stops with bills that only one other process has", "own", own, "held", held)
 	}
--- a/endpoint/admit.go
+++ b/endpoint/admit.go
@@ -51,7 +51,7 @@
 	if e.node.View().Revision() >= head.GetRevision() {
 		return nil
 	}
-	e.node.Behind(head.GetEntry(), "", head.GetRevision())
+	e.node.ReportNewerRevision(head.GetEntry(), "", head.GetRevision())
 	ctx, cancel := context.WithTimeout(ctx, catchUpTimeout.Duration())
 	defer cancel()
 	if !e.node.Loop().Await(ctx, func(v *view.View) bool { return v.Revision() >= head.GetRevision() }) {
--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -44,7 +44,7 @@
 	stream, err := e.node.Peers().Gate(ctx, vm.Address).Run(ctx)
 	if err != nil {
 		if ctx.Err() == nil {
-			e.node.NotReached(vm.ID)
+			e.node.ReportUnreachable(vm.ID)
 		}
 		return false, connectionError(ctx, err)
 	}
@@ -69,7 +69,7 @@
 		return
 	}
 	e.inflight.RecordUnreachable(vm, e.node.Clock().Now())
-	e.node.NotReached(vm)
+	e.node.ReportUnreachable(vm)
 }
 
 // errBodyIncomplete marks a caller's body that could not be read to its end.
@@ -161,7 +161,7 @@
 		if err != nil {
 			return true, connectionError(ctx, err)
 		}
-		if !seq.Own(p) {
+		if !seq.Matches(p) {
 			continue
 		}
 		e.recordLoad(p)
@@ -169,7 +169,7 @@
 			req.addBrokenStep(p.GetStep())
 			return false, refusal.FromWire(r)
 		}
-		ok, err := seq.Take(p)
+		ok, err := seq.Accept(p)
 		if err != nil {
 			return false, refusal.New(refusal.EndpointLost, err.Error()).WithRun(refusal.Unknown)
 		}
@@ -188,7 +188,7 @@
 
 // recordLoad passes on the endpoint's table revision and load, which come with a piece.
 func (e *Entry) recordLoad(p *wire.Piece) {
-	e.node.Behind(p.GetLoad().GetVm(), "", p.GetRevision())
+	e.node.ReportNewerRevision(p.GetLoad().GetVm(), "", p.GetRevision())
 	if p.GetLoad() != nil {
 		e.inflight.RecordLoad(p.GetLoad(), e.node.Clock().Now())
 		e.node.Loop().Offer(event.LoadReceived{Now: e.node.Clock().Now(), Load: p.GetLoad()})
--- a/entry/claim.go
+++ b/entry/claim.go
@@ -35,7 +35,7 @@
 		return false, err
 	}
 	for range maxClaimRounds {
-		holder, offset, err := e.node.TakeClaim(ctx, c)
+		holder, offset, err := e.node.ClaimKey(ctx, c)
 		if err != nil {
 			return false, e.claimFailed(req, err)
 		}
@@ -51,7 +51,7 @@
 		req.attempts++
 		c.Round, c.Attempt = holder.GetRound()+1, req.attempts
 	}
-	return false, claimRefusal(claim.Open)
+	return false, claimRefusal(claim.Undecided)
 }
 
 // newClaim builds the claim that names this attempt as the one allowed to run the call.
@@ -87,8 +87,8 @@
 // resolveClaim determines the outcome of the attempt that holds the key. It returns no error only if
 // that attempt can never run or, with done set, if its answer was emitted.
 func (e *Entry) resolveClaim(ctx context.Context, req *requestState, c, holder *wire.Claim, offset int64, emit func(*wire.Piece) error) (done bool, err error) {
-	verdict := claim.Judge(c, holder, req.claimRound > 0)
-	if verdict != claim.Ask {
+	verdict := claim.Decide(c, holder, req.claimRound > 0)
+	if verdict != claim.QueryHolder {
 		return false, claimRefusal(verdict)
 	}
 	vm, ok := req.view.Members().Find(holder.GetVm())
@@ -102,9 +102,9 @@
 		GateEpoch: holder.GetGateEpoch(), Claim: offset, ClaimStream: claim.Stream(holder.GetKey()),
 	})
 	if err != nil {
-		return false, claimRefusal(claim.Open)
+		return false, claimRefusal(claim.Undecided)
 	}
-	verdict = claim.Weigh(out)
+	verdict = claim.DecideFromReply(out)
 	if verdict == claim.Replay {
 		return true, e.replay(ctx, req, vm, holder, emit)
 	}
@@ -114,9 +114,9 @@
 // claimRefusal returns the refusal for a verdict, or nil for Next.
 func claimRefusal(v claim.Verdict) error {
 	switch v {
-	case claim.Next:
+	case claim.NextRound:
 		return nil
-	case claim.Reused:
+	case claim.KeyReused:
 		return refusal.New(refusal.KeyReused, "idempotency key was used with another call")
 	case claim.TakenOver:
 		return refusal.New(refusal.AlreadyRunning, "another request with this key has taken over").WithRun(refusal.Unknown).WithRetryAfter(runningRetry)
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -53,7 +53,7 @@
 		meter:       meter.New(n.Metrics()),
 		burn:        burn.NewRecorder(n.Clock()),
 	}
-	n.SetInherit(e.inheritBurnCounts)
+	n.SetInheritHandler(e.inheritBurnCounts)
 	return e
 }
 
--- a/entry/finish.go
+++ b/entry/finish.go
@@ -42,7 +42,7 @@
 	switch {
 	case req.billSubmitted:
 	case len(req.steps) > 0:
-		e.node.Billing().Settle(billOf(req))
+		e.node.Billing().FinishFailed(billOf(req))
 	default:
 		e.node.Billing().Cancel()
 	}
--- a/load/result.go
+++ b/load/result.go
@@ -71,7 +71,7 @@
 
 func (t *tally) result(build string, took time.Duration) *Result {
 	res := &Result{
-		Build: build, Took: clock.Of(took), Sent: t.sent, Whole: t.whole, Unsent: t.unsent, Tries: t.tries, Cuts: t.cuts, Outcomes: t.outcomes,
+		Build: build, Took: clock.FromDuration(took), Sent: t.sent, Whole: t.whole, Unsent: t.unsent, Tries: t.tries, Cuts: t.cuts, Outcomes: t.outcomes,
 		FirstToken: t.first.quantiles(), TokenGap: t.gap.quantiles(), Total: t.total.quantiles(),
 		Routed: t.routed.quantiles(), Direct: t.direct.quantiles(), Failures: t.failures, Plan: *t.plan,
 	}
--- a/node/bill.go
+++ b/node/bill.go
@@ -13,7 +13,7 @@
 	if keeper == "" {
 		keeper = in.GetFrom()
 	}
-	a := n.billing.take(bill.Taken{Now: n.cfg.Clock.Now(), Zone: in.GetZone(), Keeper: keeper, Bills: in.GetBills()})
+	a := n.billing.take(bill.HoldRequested{Now: n.cfg.Clock.Now(), Zone: in.GetZone(), Keeper: keeper, Bills: in.GetBills()})
 	return &wire.HoldBillsReply{Held: a.Held, Reason: a.Reason}, nil
 }
 
--- a/node/billing.go
+++ b/node/billing.go
@@ -101,12 +101,12 @@
 func (b *Billing) place() {
 	p := b.n.place()
 	b.n.placed.Store(p)
-	b.writer.Share(p.Rate())
-	b.post(bill.Placed{Now: b.n.cfg.Clock.Now(), Place: p})
+	b.writer.SetRate(p.AppendRate())
+	b.post(bill.MembersChanged{Now: b.n.cfg.Clock.Now(), Place: p})
 }
 
 // place builds the picture of who appends and who holds.
-func (n *Node) place() *batch.Place {
+func (n *Node) place() *batch.Assignment {
 	s := n.cfg.Settings
 	self := batch.Member{ID: s.VM, Zone: s.Zone, Region: s.Region}
 	members := n.View().Members()
@@ -119,7 +119,7 @@
 		}
 		live = append(live, batch.Member{ID: vm.ID, Zone: vm.Zone, Region: vm.Region, Address: vm.Address, Entry: vm.Role == provider.EntryRole})
 	}
-	return batch.NewPlace(self, live)
+	return batch.NewAssignment(self, live)
 }
 
 // Reserve takes a place for a request's bill before its dispatch. The refusal
@@ -163,15 +163,15 @@
 	}
 }
 
-// Settle hands over the bill of a request that has a place and failed after a
+// FinishFailed hands over the bill of a request that has a place and failed after a
 // step had run. It does not wait.
-func (b *Billing) Settle(x *wire.Bill) {
+func (b *Billing) FinishFailed(x *wire.Bill) {
 	b.post(bill.Finish{Now: b.n.cfg.Clock.Now(), Bill: x, Reserved: true})
 }
 
-// Orphan bills a step that ran at this endpoint and whose entry went before it
+// FinishOrphaned bills a step that ran at this endpoint and whose entry went before it
 // took the last piece. If the entry billed the step after all, the two merge.
-func (b *Billing) Orphan(x *wire.Bill) {
+func (b *Billing) FinishOrphaned(x *wire.Bill) {
 	b.post(bill.Finish{Now: b.n.cfg.Clock.Now(), Bill: x})
 }
 
@@ -185,13 +185,13 @@
 // Drain begins to hand on what is kept and refuses to hold more.
 func (b *Billing) Drain() { b.post(bill.Drain{Now: b.n.cfg.Clock.Now()}) }
 
-// Settled waits until every bill kept here is safe without this process. It
+// WaitSafe waits until every bill kept here is safe without this process. It
 // returns the context's error when that ends first.
-func (b *Billing) Settled(ctx context.Context) (err error) {
+func (b *Billing) WaitSafe(ctx context.Context) (err error) {
 	for {
 		b.place()
 		b.mu.Lock()
-		secure := b.ledger.Secure() && b.ledger.Reserved() == 0
+		secure := b.ledger.Replicated() && b.ledger.Reserved() == 0
 		b.mu.Unlock()
 		if secure {
 			return nil
@@ -202,12 +202,12 @@
 	}
 }
 
-func (b *Billing) take(e bill.Taken) (a bill.Accept) {
+func (b *Billing) take(e bill.HoldRequested) (a bill.ReplyHold) {
 	b.mu.Lock()
 	effects := b.ledger.Reduce(e)
 	b.mu.Unlock()
 	for _, f := range effects {
-		if accept, ok := f.(bill.Accept); ok {
+		if accept, ok := f.(bill.ReplyHold); ok {
 			a = accept
 		}
 	}
@@ -263,7 +263,7 @@
 }
 
 func (b *Billing) hold(f bill.Hold) {
-	ctx, cancel := context.WithTimeout(context.Background(), bill.HoldLimit.Duration())
+	ctx, cancel := context.WithTimeout(context.Background(), bill.HoldTimeout.Duration())
 	defer cancel()
 	out, err := b.n.cfg.Peers.Peer(ctx, f.Address).HoldBills(ctx, &wire.HoldBillsRequest{
 		From: b.n.cfg.Settings.VM, Zone: f.Zone, Bills: []*wire.Bill{f.Bill}, Revision: b.n.View().Revision(), Keeper: f.Keeper,
@@ -272,7 +272,7 @@
 	if !held {
 		b.n.cfg.Log.Debug("Bill was not held", "by", f.VM, "request", f.Bill.GetRequest(), "reason", out.GetReason(), "error", err)
 	}
-	b.post(bill.Answered{Now: b.n.cfg.Clock.Now(), Request: f.Bill.GetRequest(), VM: f.VM, Held: held})
+	b.post(bill.HoldReplied{Now: b.n.cfg.Clock.Now(), Request: f.Bill.GetRequest(), VM: f.VM, Held: held})
 }
 
 // release tells a process that bills are on the log. A lost message is made
@@ -283,7 +283,7 @@
 	if !ok {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), bill.HoldLimit.Duration())
+	ctx, cancel := context.WithTimeout(context.Background(), bill.HoldTimeout.Duration())
 	defer cancel()
 	_, err := b.n.cfg.Peers.Peer(ctx, vm.Address).ReleaseBills(ctx, &wire.ReleaseBillsRequest{Requests: f.Requests, From: b.n.cfg.Settings.VM})
 	if err != nil {
--- a/node/claim.go
+++ b/node/claim.go
@@ -19,7 +19,7 @@
 type claims struct {
 	mu sync.Mutex
 	// books has at most one book a stream; the streams are fixed.
-	books map[string]*claim.Book
+	books map[string]*claim.Claimer
 	// ctx is the context in which books run.
 	ctx context.Context
 }
@@ -29,23 +29,23 @@
 	wait := min(max(clock.Millis(in.GetWaitMillis()), 1), maxClaimWait)
 	ctx, cancel := context.WithTimeout(ctx, wait.Duration())
 	defer cancel()
-	s, offset, err := n.book(claim.Stream(in.GetClaim().GetKey())).Take(ctx, in.GetClaim())
+	s, offset, err := n.book(claim.Stream(in.GetClaim().GetKey())).Claim(ctx, in.GetClaim())
 	if err != nil {
 		return &wire.ClaimReply{Reason: err.Error()}, nil
 	}
 	return &wire.ClaimReply{Standing: s, Offset: offset}, nil
 }
 
-// TakeClaim puts a claim on the log through the process that writes its stream,
+// ClaimKey puts a claim on the log through the process that writes its stream,
 // or from here when that one cannot be reached, and returns the claim that
 // stands. On an error nothing may be dispatched; the claim itself may stand.
-func (n *Node) TakeClaim(ctx context.Context, c *wire.Claim) (s *wire.Claim, offset int64, err error) {
+func (n *Node) ClaimKey(ctx context.Context, c *wire.Claim) (s *wire.Claim, offset int64, err error) {
 	ctx, cancel := context.WithTimeout(ctx, maxClaimWait.Duration())
 	defer cancel()
 	stream := claim.Stream(c.GetKey())
 	w, ok := n.lastPlace().Writer(stream)
 	if !ok || w.ID == n.cfg.Settings.VM {
-		return n.book(stream).Take(ctx, c)
+		return n.book(stream).Claim(ctx, c)
 	}
 	out, err := n.cfg.Peers.Peer(ctx, w.Address).Claim(ctx, &wire.ClaimRequest{Claim: c, WaitMillis: int64(maxClaimWait / 2)})
 	switch {
@@ -56,25 +56,25 @@
 	case errorx.IsOfType(err, peer.ErrNotReached) || ctx.Err() == nil:
 		// The claim may stand already through the lost writer. Once more is
 		// harmless: the same claim a second time changes nothing.
-		return n.book(stream).Take(ctx, c)
+		return n.book(stream).Claim(ctx, c)
 	}
 	return nil, 0, claim.ErrUnsettled.Wrap(err, "claim through %s", w.ID)
 }
 
 // lastPlace returns the picture of who appends as of the last round of billing.
-func (n *Node) lastPlace() *batch.Place {
+func (n *Node) lastPlace() *batch.Assignment {
 	if p := n.placed.Load(); p != nil {
 		return p
 	}
 	return n.place()
 }
 
-func (n *Node) book(stream string) *claim.Book {
+func (n *Node) book(stream string) *claim.Claimer {
 	n.claims.mu.Lock()
 	defer n.claims.mu.Unlock()
 	b, ok := n.claims.books[stream]
 	if !ok {
-		b = claim.NewBook(n.cfg.Store, stream, n.batchPrefix(), n.cfg.Clock)
+		b = claim.NewClaimer(n.cfg.Store, stream, n.batchPrefix(), n.cfg.Clock)
 		n.claims.books[stream] = b
 		ctx := n.claims.ctx
 		n.run(func() { b.Run(ctx) })
--- a/node/handle.go
+++ b/node/handle.go
@@ -5,9 +5,9 @@
 	"github.com/parsleydeal/parsleydeal/provider"
 )
 
-// SetHandler gives the function that carries out the endpoint's own effects. It
+// SetEffectHandler gives the function that carries out the endpoint's own effects. It
 // runs on the control goroutine and may not block.
-func (n *Node) SetHandler(f func(event.Effect)) { n.handler.Store(&f) }
+func (n *Node) SetEffectHandler(f func(event.Effect)) { n.handler.Store(&f) }
 
 // Weights returns the platform's weight store.
 func (n *Node) Weights() provider.WeightStore { return n.cfg.Weights }
--- a/node/holds_test.go
+++ b/node/holds_test.go
@@ -17,7 +17,7 @@
 // The log has dropped the first holds. An entry that starts now and stopped at
 // the expired offset would never learn of the hold that was written again after
 // them, and go on using a bad version.
-func TestHoldsAreReadAfterTheFirstExpired(t *testing.T) {
+func TestHoldsAreReadAfterFirstRecordsExpired(t *testing.T) {
 	is := is.New(t)
 	data, err := rollout.Encode(&wire.Hold{Version: "m@2"})
 	is.NoErr(err)
--- a/node/inherit.go
+++ b/node/inherit.go
@@ -16,12 +16,12 @@
 	handTimeout = 2 * clock.Second
 )
 
-// ErrNoHeir means that no entry takes over what this one counted: all stop, or there is
+// ErrNoSuccessor means that no entry takes over what this one counted: all stop, or there is
 // no other.
-var ErrNoHeir = errorx.NewNamespace("node").NewType("no-heir")
+var ErrNoSuccessor = errorx.NewNamespace("node").NewType("no-heir")
 
-// SetInherit gives the function that takes what a stopping entry hands on.
-func (n *Node) SetInherit(f func(life []byte) error) { n.inherit.Store(&f) }
+// SetInheritHandler gives the function that takes what a stopping entry hands on.
+func (n *Node) SetInheritHandler(f func(life []byte) error) { n.inherit.Store(&f) }
 
 // Inherit takes what a stopping entry hands on.
 func (n *Node) Inherit(_ context.Context, in *wire.InheritRequest) (out *wire.InheritReply, err error) {
@@ -32,10 +32,10 @@
 	return &wire.InheritReply{}, (*f)(in.GetLife())
 }
 
-// Hand gives packed lives to other entries, by rendezvous. Two take each, so
+// HandOver gives packed lives to other entries, by rendezvous. Two take each, so
 // that one that vanishes loses nothing; whoever merges counts a life once. ErrNoHeir
 // means that none took any.
-func (n *Node) Hand(ctx context.Context, lives [][]byte) (err error) {
+func (n *Node) HandOver(ctx context.Context, lives [][]byte) (err error) {
 	m := n.View().Members()
 	var able []provider.VM
 	for _, v := range m.VMs() {
@@ -54,7 +54,7 @@
 		}
 	}
 	if err == nil && !taken {
-		return ErrNoHeir.New("none of %d entries takes over", len(able))
+		return ErrNoSuccessor.New("none of %d entries takes over", len(able))
 	}
 	return err
 }
--- a/node/inherit_test.go
+++ b/node/inherit_test.go
@@ -10,7 +10,7 @@
 
 // All entries of a site stop together. That nobody takes over what they counted is no failure,
 // and must not look like one in their logs.
-func TestProcessThatCountsNothingDeclines(t *testing.T) {
+func TestInheritWithoutHandlerDeclines(t *testing.T) {
 	is := is.New(t)
 	n := &Node{}
 	r, err := n.Inherit(context.Background(), &wire.InheritRequest{})
--- a/node/leave_test.go
+++ b/node/leave_test.go
@@ -34,7 +34,7 @@
 
 // An idle process is asked to stop and ends within milliseconds. Peers that did
 // not hear of it would send it work until the lagging VM list has caught up.
-func TestStopIsToldBeforeTheEnd(t *testing.T) {
+func TestLeaveIsReportedBeforeExit(t *testing.T) {
 	is := is.New(t)
 	var vms []provider.VM
 	var listeners []net.Listener
@@ -50,7 +50,7 @@
 	other := startNode(t.Context(), t, listeners[1], "b", list)
 	eventually(t, func() bool { return len(leaver.View().Members().VMs()) == 2 && len(other.View().Members().VMs()) == 2 })
 	leaver.Drain(ctx)
-	leaver.Told(ctx)
+	leaver.WaitLeaveReported(ctx)
 	end()
 	eventually(t, func() bool { return other.View().Members().Leaving(vms[0]) })
 }
--- a/node/node.go
+++ b/node/node.go
@@ -73,7 +73,7 @@
 	metrics *metrics.Set
 	reports atomic.Pointer[ReportFunc]
 	billing *Billing
-	placed  atomic.Pointer[batch.Place]
+	placed  atomic.Pointer[batch.Assignment]
 	claims  claims
 }
 
@@ -85,7 +85,7 @@
 	n.appends = make(chan struct{}, maxAppends)
 	n.loop = control.NewLoop(control.NewStateAt(cfg.Settings.VM, cfg.Settings.Zone, n.epoch).WithPool(cfg.Settings.Endpoint.Pool), n.perform)
 	n.billing = newBilling(n)
-	n.claims = claims{books: make(map[string]*claim.Book), ctx: context.Background()}
+	n.claims = claims{books: make(map[string]*claim.Claimer), ctx: context.Background()}
 	return n
 }
 
--- a/node/peer.go
+++ b/node/peer.go
@@ -49,16 +49,16 @@
 	l.Vm, l.Epoch, l.Sequence = n.cfg.Settings.VM, n.epoch, n.loads.Add(1)
 }
 
-// Behind tells control that a peer decides on a higher revision; records are
+// ReportNewerRevision tells control that a peer decides on a higher revision; records are
 // fetched from it at once. An empty address asks the VM list. It never blocks.
-func (n *Node) Behind(vm, address string, revision int64) {
+func (n *Node) ReportNewerRevision(vm, address string, revision int64) {
 	if revision > n.View().Revision() {
 		n.loop.Offer(event.Behind{Now: n.cfg.Clock.Now(), VM: vm, Address: address, Revision: revision})
 	}
 }
 
-// NotReached tells control that a call to a VM failed before it got there.
-func (n *Node) NotReached(vm string) {
+// ReportUnreachable tells control that a call to a VM failed before it got there.
+func (n *Node) ReportUnreachable(vm string) {
 	n.loop.Offer(event.PeerFailed{Now: n.cfg.Clock.Now(), VM: vm})
 }
 
--- a/node/spread.go
+++ b/node/spread.go
@@ -41,10 +41,10 @@
 	tellPoll  = 10 * clock.Millis(1)
 )
 
-// Told waits, after Drain, until peers have been told that this process leaves.
+// WaitLeaveReported waits, after Drain, until peers have been told that this process leaves.
 // An idle process that ended at once would take its word with it, and be sent
 // work for as long as the VM list lags.
-func (n *Node) Told(ctx context.Context) {
+func (n *Node) WaitLeaveReported(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, tellLimit.Duration())
 	defer cancel()
 	begun := int64(-1)
@@ -65,7 +65,7 @@
 		d.Counts = e.Digest.GetCounts()
 		reply, err := n.cfg.Peers.Peer(ctx, e.Address).Exchange(ctx, d)
 		if err != nil {
-			n.NotReached(e.VM)
+			n.ReportUnreachable(e.VM)
 			return
 		}
 		n.loop.Post(n.ctx, event.DigestReceived{Now: n.cfg.Clock.Now(), Digest: reply, Reply: true, Sent: sent})
@@ -76,7 +76,7 @@
 	n.call(recordsTimeout, func(ctx context.Context) {
 		reply, err := n.cfg.Peers.Peer(ctx, e.Address).Records(ctx, &wire.RecordsRequest{From: e.From})
 		if err != nil {
-			n.NotReached(e.VM)
+			n.ReportUnreachable(e.VM)
 			return
 		}
 		n.loop.Post(n.ctx, event.RecordsReceived{Now: n.cfg.Clock.Now(), From: e.VM, Reply: reply})
--- a/proof/claim_test.go
+++ b/proof/claim_test.go
@@ -21,13 +21,13 @@
 type door struct {
 	vm     string
 	epoch  uint64
-	memory *answer.Memory
+	memory *answer.AttemptTracker
 	kept   map[string]bool
 }
 
 func (d *door) restart() {
 	d.epoch++
-	d.memory, d.kept = answer.NewMemory(doorBound), make(map[string]bool)
+	d.memory, d.kept = answer.NewAttemptTracker(doorBound), make(map[string]bool)
 }
 
 // keeper is a process that makes claims: the real batcher and the real state.
@@ -188,7 +188,7 @@
 			k.state.Apply(rec.Offset, rec.Data)
 		}
 	}
-	s, at, ok := k.state.Standing(x.GetKey())
+	s, at, ok := k.state.Holder(x.GetKey())
 	if !ok {
 		c.broken = "at-most-once: a claim on the log does not stand and nothing else does"
 		return
@@ -198,13 +198,13 @@
 }
 
 func (r *call) judge(x, s *wire.Claim, at int64) {
-	switch claim.Judge(x, s, r.round > 0) {
+	switch claim.Decide(x, s, r.round > 0) {
 	case claim.Won:
 		r.round = x.GetRound()
 		r.dispatch(x, at)
-	case claim.Next:
+	case claim.NextRound:
 		r.next(x, s)
-	case claim.Ask:
+	case claim.QueryHolder:
 		r.ask(x, s, at)
 	}
 }
@@ -274,7 +274,7 @@
 	c.after(c.delay(200), func() {
 		d, name := c.door(s.GetVm()), nameOf(s)
 		reply := &wire.RefuseReply{Run: wire.RunState_RUN_UNKNOWN}
-		run, _ := d.memory.Bar(answer.Attempt{Request: s.GetRequest(), Number: s.GetAttempt()}, answer.Claim{Stream: claimStream, Offset: at})
+		run, _ := d.memory.Revoke(answer.Attempt{Request: s.GetRequest(), Number: s.GetAttempt()}, answer.Claim{Stream: claimStream, Offset: at})
 		switch {
 		case run == refusal.Ran:
 			reply.Run, reply.Kept = wire.RunState_RUN_RAN, d.kept[name]
@@ -283,8 +283,8 @@
 		}
 		c.after(c.delay(200), func() {
 			k.do(func() {
-				switch claim.Weigh(reply) {
-				case claim.Next:
+				switch claim.DecideFromReply(reply) {
+				case claim.NextRound:
 					c.said = append(c.said, name)
 					r.next(x, s)
 				case claim.Replay:
@@ -355,7 +355,7 @@
 			if s.Keys() > bound {
 				t.Fatalf("claims-are-bounded: %d keys are remembered, %d allowed", s.Keys(), bound)
 			}
-			if _, _, ok := s.Standing([]byte(last[max(0, len(last)-bound)])); !ok {
+			if _, _, ok := s.Holder([]byte(last[max(0, len(last)-bound)])); !ok {
 				t.Fatalf("claims-are-bounded: a key among the last %d claims fell out", bound)
 			}
 		}
--- a/proof/config_test.go
+++ b/proof/config_test.go
@@ -45,7 +45,7 @@
 	quiet bool
 }
 
-const retention = 3 * checkpoint.Every
+const retention = 3 * checkpoint.Interval
 
 func (c *configs) start() {
 	c.starts++
