--- a/load/load_test.go
+++ b/load/load_test.go
@@ -51,25 +51,24 @@
 	is.True(schedule(&p)[0].at != a[0].at)
 }
 
-// The system stalls for a second while requests keep falling due. Counted from
-// when each was sent, the stall would show in one request; a caller feels it in
-// all of them.
+// Guards against hiding a stall: if durations counted from when a request was sent, a stall of one
+// second would show in a single request, although it delays every request due in that second.
 func TestLatencyIsMeasuredFromDueTime(t *testing.T) {
 	is := is.New(t)
 	srv := httptest.NewServer(standin.NewEngine(0, 0, 2).Handler())
 	defer srv.Close()
 	p := testPlan()
 	p.Entries = []string{srv.URL}
-	r := &runner{plan: &p, http: srv.Client(), sessions: newSessions(), tally: newTally(&p)}
+	r := &runner{plan: &p, http: srv.Client(), sessions: newSessions(), stats: newRunStats(&p)}
 	q := &request{organisation: &p.Organisations[0], route: &p.Routes[0], session: -1, words: 1, nonce: "n1-0"}
 	o := r.send(context.Background(), q, time.Now().Add(-time.Second), "")
 	is.NoErr(o.err)
-	is.True(o.first >= time.Second)
-	is.True(o.total >= o.first)
+	is.True(o.firstToken >= time.Second)
+	is.True(o.total >= o.firstToken)
 }
 
-// A verdict that no breach can change proves nothing. Each breach below must be
-// seen by the promise it breaks, and by no other.
+// Guards against checks that cannot fail: each breach below must be counted for the promise it
+// breaks and for no other.
 func TestStatsDetectEachBreach(t *testing.T) {
 	p := testPlan()
 	chat := request{number: 7, organisation: &p.Organisations[0], route: &p.Routes[0], session: 0, nonce: "n1-7"}
@@ -82,32 +81,32 @@
 	}
 	for _, c := range []struct {
 		promise string
-		breach  func(t *tally)
+		breach  func(st *runStats)
 	}{
-		{"", func(t *tally) { o := good(); t.add(&chat, &o) }},
-		{"", func(t *tally) {
+		{"", func(st *runStats) { o := good(); st.add(&chat, &o) }},
+		{"", func(st *runStats) {
 			o := good()
-			o.session, o.answer.Version, o.answer.Moved = kept{"t", "small@0"}, "small@1", "withdrawn"
-			t.add(&chat, &o)
+			o.session, o.answer.Version, o.answer.Moved = sessionState{"t", "small@0"}, "small@1", "withdrawn"
+			st.add(&chat, &o)
 		}},
-		{"", func(t *tally) { t.once(&fee, []outcome{served("x", "n1-8"), served("x", "n1-8")}) }},
-		{wholeAnswers, func(t *tally) { o := good(); o.answer.Text = "n1-7 w1 w3 "; t.add(&chat, &o) }},
-		{wholeAnswers, func(t *tally) { o := good(); o.answer.FinishReason = ""; t.add(&chat, &o) }},
-		{wholeAnswers, func(t *tally) { o := outcome{tries: 1, err: client.ErrBroken.New("cut")}; t.add(&chat, &o) }},
-		{ownAnswers, func(t *tally) { o := good(); o.answer.Text = "n1-6 w1 "; t.add(&chat, &o) }},
-		{ownAnswers, func(t *tally) { o := served("x", "n1-9"); t.add(&fee, &o) }},
-		{allowed, func(t *tally) { o := good(); o.answer.Version = "large@1"; t.add(&chat, &o) }},
-		{sameVersion, func(t *tally) { o := good(); o.session = kept{"t", "small@0"}; t.add(&chat, &o) }},
-		{once, func(t *tally) { t.once(&fee, []outcome{served("x", "n1-8"), served("y", "n1-8")}) }},
-		{once, func(t *tally) {
+		{"", func(st *runStats) { st.checkRuns(&fee, []outcome{served("x", "n1-8"), served("x", "n1-8")}) }},
+		{completeAnswers, func(st *runStats) { o := good(); o.answer.Text = "n1-7 w1 w3 "; st.add(&chat, &o) }},
+		{completeAnswers, func(st *runStats) { o := good(); o.answer.FinishReason = ""; st.add(&chat, &o) }},
+		{completeAnswers, func(st *runStats) { o := outcome{tries: 1, err: client.ErrBroken.New("cut")}; st.add(&chat, &o) }},
+		{matchingAnswers, func(st *runStats) { o := good(); o.answer.Text = "n1-6 w1 "; st.add(&chat, &o) }},
+		{matchingAnswers, func(st *runStats) { o := served("x", "n1-9"); st.add(&fee, &o) }},
+		{allowedVersions, func(st *runStats) { o := good(); o.answer.Version = "large@1"; st.add(&chat, &o) }},
+		{sameVersion, func(st *runStats) { o := good(); o.session = sessionState{"t", "small@0"}; st.add(&chat, &o) }},
+		{runsOnce, func(st *runStats) { st.checkRuns(&fee, []outcome{served("x", "n1-8"), served("y", "n1-8")}) }},
+		{runsOnce, func(st *runStats) {
 			other := request{number: 9, service: &p.Services[0]}
-			t.once(&fee, []outcome{served("x", "n1-8")})
-			t.once(&other, []outcome{served("x", "n1-9")})
+			st.checkRuns(&fee, []outcome{served("x", "n1-8")})
+			st.checkRuns(&other, []outcome{served("x", "n1-9")})
 		}},
 	} {
-		tally := newTally(&p)
-		c.breach(tally)
-		for name, promise := range tally.promises {
+		st := newRunStats(&p)
+		c.breach(st)
+		for name, promise := range st.promises {
 			if (promise.Broken > 0) != (name == c.promise) {
 				t.Errorf("breach of %q: %s has %d breaches: %v", c.promise, name, promise.Broken, promise.Examples)
 			}
@@ -115,32 +114,32 @@
 	}
 }
 
-// A call that may not be repeated is refused or lost. Sending it again is right
-// only after proof that it did not run.
+// Guards against running a call twice: a call that is not safe to repeat is refused or its
+// connection breaks. It may be sent again only if it provably did not run.
 func TestOnlyRetryableRequestsAreRetried(t *testing.T) {
 	is := is.New(t)
 	p := testPlan()
 	unkeyed := &request{service: &p.Services[0]}
 	keyed := &request{service: &p.Services[0], key: "k"}
 	lost := refusal.New(refusal.EndpointLost, "").WithRun(refusal.Unknown)
-	is.True(!repeatable(unkeyed, lost))
-	is.True(!repeatable(unkeyed, client.ErrBroken.New("cut")))
-	is.True(repeatable(unkeyed, refusal.New(refusal.Saturated, "")))
-	is.True(repeatable(keyed, lost))
+	is.True(!retryable(unkeyed, lost))
+	is.True(!retryable(unkeyed, client.ErrBroken.New("cut")))
+	is.True(retryable(unkeyed, refusal.New(refusal.Saturated, "")))
+	is.True(retryable(keyed, lost))
 	_, err := net.Dial("tcp", "127.0.0.1:1")
-	is.True(repeatable(unkeyed, err))                                 // nothing was sent
-	is.True(!repeatable(unkeyed, refusal.New(refusal.Malformed, ""))) // it would be refused again
+	is.True(retryable(unkeyed, err))                                 // nothing was sent
+	is.True(!retryable(unkeyed, refusal.New(refusal.Malformed, ""))) // it would be refused again
 }
 
 func TestCompareResults(t *testing.T) {
 	is := is.New(t)
 	p := testPlan()
-	tally := newTally(&p)
+	st := newRunStats(&p)
 	for i := range 100 {
-		o := outcome{tries: 1, first: time.Duration(i+1) * time.Millisecond, answer: client.Answer{Request: fmt.Sprint(i), Version: "small@1", FinishReason: "stop"}}
-		tally.add(&request{number: i, organisation: &p.Organisations[0], route: &p.Routes[0], session: -1}, &o)
+		o := outcome{tries: 1, firstToken: time.Duration(i+1) * time.Millisecond, answer: client.Answer{Request: fmt.Sprint(i), Version: "small@1", FinishReason: "stop"}}
+		st.add(&request{number: i, organisation: &p.Organisations[0], route: &p.Routes[0], session: -1}, &o)
 	}
-	before := tally.result("a", time.Second)
+	before := st.result("a", time.Second)
 	for _, asJSON := range []bool{true, false} {
 		path := filepath.Join(t.TempDir(), "result")
 		is.NoErr(before.Save(path, asJSON))
@@ -162,12 +161,12 @@
 		_, err = Compare(before, after, 0.1)
 		is.True(errorx.IsOfType(err, ErrInvalid))
 	}
-	is.Equal(before.Plan.Organisations[0].Key, "") // results hold no keys
+	is.Equal(before.Plan.Organisations[0].Key, "") // results contain no keys
 	is.Equal(p.Organisations[0].Key, "secret")
 }
 
-// More requests fall due than may be under way. They must be counted as not
-// sent, not wait and make the load look lighter.
+// More requests become due than may be in flight. Guards against queueing them, which would lower
+// the rate: the excess must be counted as not sent.
 func TestOpenRequestsAreBounded(t *testing.T) {
 	is := is.New(t)
 	release := make(chan struct{})
--- a/load/plan.go
+++ b/load/plan.go
@@ -1,5 +1,5 @@
-// Package load sends bounded load to entries as callers do, and judges each
-// promise as a caller sees it.
+// Package load sends bounded load to entries as callers do, and checks each of the system's
+// promises from the caller's side.
 package load
 
 import (
@@ -16,7 +16,7 @@
 // Errors is the namespace of this package's errors.
 var Errors = errorx.NewNamespace("load")
 
-// ErrInvalid marks a plan or a result that cannot be used.
+// ErrInvalid is the type of errors for a plan or a result that cannot be used.
 var ErrInvalid = Errors.NewType("invalid")
 
 // The arrival distributions.
@@ -33,42 +33,40 @@
 	maxOpen     = 20000
 )
 
-// Plan says what to send. The same plan and seed give the same requests at the
-// same instants.
+// Plan describes the load to send. The same plan and seed give the same requests at the same
+// times from the start of a run.
 type Plan struct {
 	Seed uint64 `toml:"seed" json:"seed"`
-	// Rate is the mean of requests a second, whatever becomes of them.
+	// Rate is the mean number of requests per second; it does not depend on their outcomes.
 	Rate     float64      `toml:"rate" json:"rate"`
 	Duration clock.Millis `toml:"duration" json:"duration"`
 	Arrival  string       `toml:"arrival" json:"arrival"`
-	// Burst is how many requests come together when Arrival is "bursts".
+	// Burst is the number of requests that are due at the same time when Arrival is "bursts".
 	Burst int `toml:"burst" json:"burst"`
-	// MaxOpen bounds the requests under way; those beyond are counted as not
-	// sent.
+	// MaxOpen bounds the requests in flight; requests beyond it are counted as not sent.
 	MaxOpen int `toml:"max-open" json:"max-open"`
-	// Timeout bounds one request with its retries.
+	// Timeout bounds one request including its retries.
 	Timeout clock.Millis `toml:"timeout" json:"timeout"`
-	// Retries is how often a request that did not run, or may be repeated, is
-	// sent again.
+	// Retries is how often a request is sent again that did not run or is safe to repeat.
 	Retries int `toml:"retries" json:"retries"`
-	// Words and Spread describe the log-normal length of prompts: its median
-	// and the standard deviation of its logarithm.
+	// Words and Spread describe the log-normal length of prompts in words: its median and the
+	// standard deviation of its logarithm.
 	Words  float64 `toml:"words" json:"words"`
 	Spread float64 `toml:"spread" json:"spread"`
-	// Keyed is the share of requests with an idempotency key.
+	// Keyed is the fraction of requests with an idempotency key.
 	Keyed float64 `toml:"keyed" json:"keyed"`
-	// Doubled is the share of keyed calls of services that are sent twice.
+	// Doubled is the fraction of keyed service calls that are sent twice at the same time.
 	Doubled float64 `toml:"doubled" json:"doubled"`
-	// Sessions is how many sessions there are, and InSession the share of chat
-	// requests that belong to one.
+	// Sessions is the number of sessions, and InSession the fraction of chat requests that belong
+	// to one.
 	Sessions  int     `toml:"sessions" json:"sessions"`
 	InSession float64 `toml:"in-session" json:"in-session"`
-	// Entries are base URLs. A request that an entry cannot take goes to the
-	// next, as a balancer would send it.
+	// Entries are base URLs. Each retry of a request goes to the next entry, as a load balancer
+	// would send it.
 	Entries []string `toml:"entries" json:"entries"`
-	// Direct is the base URL of an engine to which every request of routes is
-	// also sent directly, to measure what the system adds. DirectModel is the
-	// version to name there.
+	// Direct is the base URL of an engine to which every chat request is also sent directly, to
+	// measure the latency that the system adds; empty sends none. DirectModel is the model name
+	// to send there.
 	Direct        string         `toml:"direct" json:"direct,omitempty"`
 	DirectModel   string         `toml:"direct-model" json:"direct-model,omitempty"`
 	Organisations []Organisation `toml:"organisations" json:"organisations"`
@@ -76,35 +74,36 @@
 	Services      []Service      `toml:"services" json:"services"`
 }
 
-// Organisation is one that sends.
+// Organisation is an organisation that sends requests.
 type Organisation struct {
 	Name string `toml:"name" json:"name"`
-	// Key is the bearer key. Results do not hold it.
+	// Key is the bearer key. Results do not contain it.
 	Key    string  `toml:"key" json:"-"`
 	Weight float64 `toml:"weight" json:"weight"`
 }
 
-// Route is one that chat requests name.
+// Route is a route that chat requests name as their model.
 type Route struct {
 	Name   string  `toml:"name" json:"name"`
 	Weight float64 `toml:"weight" json:"weight"`
-	// Versions are the versions allowed; empty checks none.
+	// Versions lists the allowed versions; if it is empty, versions are not checked.
 	Versions []string `toml:"versions" json:"versions,omitempty"`
-	// Stream asks for server-sent events.
+	// Stream requests server-sent events.
 	Stream bool `toml:"stream" json:"stream"`
 }
 
-// Service is one call of a plain service.
+// Service is a call to a plain service.
 type Service struct {
 	Name   string  `toml:"name" json:"name"`
 	Method string  `toml:"method" json:"method"`
 	Path   string  `toml:"path" json:"path"`
 	Weight float64 `toml:"weight" json:"weight"`
-	// Repeatable calls may be sent again whatever became of them.
+	// Repeatable calls may be sent again whatever the outcome.
 	Repeatable bool `toml:"repeatable" json:"repeatable"`
 }
 
-// DefaultPlan returns the plan before a file is read.
+// DefaultPlan returns the plan that a plan file is read over. It names no entries, organisations,
+// routes or services.
 func DefaultPlan() Plan {
 	return Plan{
 		Seed: 1, Rate: 20, Duration: 10 * clock.Second, Arrival: Poisson, Burst: 8, MaxOpen: 512, Timeout: 30 * clock.Second, Retries: 3,
@@ -112,7 +111,8 @@
 	}
 }
 
-// ReadPlan reads a plan over the defaults. ErrInvalid says what is wrong.
+// ReadPlan reads and checks a TOML plan; what the file leaves out is as in DefaultPlan. It returns
+// ErrInvalid when the file cannot be read or the plan is not valid.
 func ReadPlan(path string) (p Plan, err error) {
 	p = DefaultPlan()
 	data, err := os.ReadFile(path)
@@ -127,7 +127,7 @@
 	return p, p.Check()
 }
 
-// Check reports every fault of a plan.
+// Check returns an ErrInvalid that lists every fault of the plan, or nil.
 func (p *Plan) Check() error {
 	var faults []string
 	need := func(ok bool, format string, a ...any) {
@@ -143,12 +143,12 @@
 	need(p.Timeout > 0, "timeout: is %s, above 0 is allowed", p.Timeout)
 	need(p.Retries >= 0 && p.Retries <= 10, "retries: is %d, 0 to 10 is allowed", p.Retries)
 	need(p.Words >= 1 && p.Spread >= 0 && p.Spread <= 3, "words and spread: are %v and %v, at least 1 and 0 to 3 are allowed", p.Words, p.Spread)
-	for name, share := range map[string]float64{"keyed": p.Keyed, "doubled": p.Doubled, "in-session": p.InSession} {
-		need(share >= 0 && share <= 1, "%s: is %v, 0 to 1 is allowed", name, share)
+	for name, fraction := range map[string]float64{"keyed": p.Keyed, "doubled": p.Doubled, "in-session": p.InSession} {
+		need(fraction >= 0 && fraction <= 1, "%s: is %v, 0 to 1 is allowed", name, fraction)
 	}
 	need(len(p.Entries) > 0, "entries: at least one is needed")
-	need(weightOf(p.Organisations, func(o Organisation) float64 { return o.Weight }) > 0, "organisations: at least one with a weight is needed")
-	need(p.work() > 0, "routes or services: at least one with a weight is needed")
+	need(sumWeights(p.Organisations, func(o Organisation) float64 { return o.Weight }) > 0, "organisations: at least one with a weight is needed")
+	need(p.totalWeight() > 0, "routes or services: at least one with a weight is needed")
 	need(p.Direct == "" || p.DirectModel != "", "direct-model: is needed beside direct")
 	if len(faults) == 0 {
 		return nil
@@ -156,11 +156,13 @@
 	return ErrInvalid.New("%s", strings.Join(faults, "\n"))
 }
 
-func (p *Plan) work() float64 {
-	return weightOf(p.Routes, func(r Route) float64 { return r.Weight }) + weightOf(p.Services, func(s Service) float64 { return s.Weight })
+// totalWeight sums the weights of all routes and services.
+func (p *Plan) totalWeight() float64 {
+	return sumWeights(p.Routes, func(r Route) float64 { return r.Weight }) + sumWeights(p.Services, func(s Service) float64 { return s.Weight })
 }
 
-func weightOf[T any](list []T, weight func(T) float64) (sum float64) {
+// sumWeights counts negative weights as 0.
+func sumWeights[T any](list []T, weight func(T) float64) (sum float64) {
 	for _, x := range list {
 		sum += max(weight(x), 0)
 	}
--- a/load/result.go
+++ b/load/result.go
@@ -16,7 +16,7 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// DurationStats holds quantiles of a span in microseconds.
+// DurationStats summarises durations in microseconds.
 type DurationStats struct {
 	Count int64   `toml:"count" json:"count"`
 	Mean  float64 `toml:"mean" json:"mean"`
@@ -27,12 +27,12 @@
 	Max   int64   `toml:"max" json:"max"`
 }
 
-func (s span) quantiles() DurationStats {
-	q := func(p float64) int64 { return s.h.ValueAtQuantile(p) }
-	return DurationStats{Count: s.h.TotalCount(), Mean: s.h.Mean(), P50: q(50), P95: q(95), P99: q(99), P999: q(99.9), Max: s.h.Max()}
+func (hist histogram) stats() DurationStats {
+	q := func(p float64) int64 { return hist.h.ValueAtQuantile(p) }
+	return DurationStats{Count: hist.h.TotalCount(), Mean: hist.h.Mean(), P50: q(50), P95: q(95), P99: q(99), P999: q(99.9), Max: hist.h.Max()}
 }
 
-// OrganisationResult is one organisation's part of a run.
+// OrganisationResult is the result of one organisation's requests.
 type OrganisationResult struct {
 	Name       string        `toml:"name" json:"name"`
 	Sent       int64         `toml:"sent" json:"sent"`
@@ -40,47 +40,50 @@
 	FirstToken DurationStats `toml:"first-token" json:"first-token"`
 }
 
-// Result is what became of a run. Spans count from when a request was due.
+// Result is the result of a run. Durations count from the time when a request was due, except
+// where a field says otherwise.
 type Result struct {
+	// Build is Config.Build.
 	Build     string       `toml:"build" json:"build"`
 	Took      clock.Millis `toml:"took" json:"took"`
 	Sent      int64        `toml:"sent" json:"sent"`
 	Completed int64        `toml:"whole" json:"whole"`
-	// Unsent requests found max-open requests under way.
+	// Unsent counts requests that were not sent, as max-open requests were in flight.
 	Unsent int64 `toml:"unsent" json:"unsent"`
 	Tries  int64 `toml:"tries" json:"tries"`
-	// Disconnects counts tries whose connection broke, also where a later try served.
+	// Disconnects counts tries whose connection broke, including those followed by a successful
+	// retry.
 	Disconnects int64            `toml:"cuts" json:"cuts"`
 	Outcomes    map[string]int64 `toml:"outcomes" json:"outcomes"`
-	// CompletedPerCoreSecond is whole answers a second of the entries' processor time; 0 when
-	// it was not measured.
+	// CompletedPerCoreSecond is the number of complete answers per second of the entries'
+	// processor time; 0 when it was not measured.
 	CompletedPerCoreSecond float64       `toml:"whole-per-core-second" json:"whole-per-core-second"`
 	FirstToken             DurationStats `toml:"first-token" json:"first-token"`
 	TokenGap               DurationStats `toml:"token-gap" json:"token-gap"`
 	Total                  DurationStats `toml:"total" json:"total"`
-	// Routed and Direct count from when a request was sent, and only those that
-	// needed one try; their difference is what the system adds.
+	// Routed and Direct count from the time when a request was sent. Routed includes only requests
+	// that needed one try. Their difference is the latency that the system adds.
 	Routed        DurationStats        `toml:"routed-first-token" json:"routed-first-token"`
 	Direct        DurationStats        `toml:"direct-first-token" json:"direct-first-token"`
 	Organisations []OrganisationResult `toml:"organisations" json:"organisations"`
 	Promises      []Promise            `toml:"promises" json:"promises"`
-	// Failures holds the first few requests without a whole answer.
+	// Failures describes the first few requests without a complete answer.
 	Failures []string `toml:"failures" json:"failures,omitempty"`
 	Plan     Plan     `toml:"plan" json:"plan"`
 }
 
-func (t *tally) result(build string, took time.Duration) *Result {
+func (st *runStats) result(build string, took time.Duration) *Result {
 	res := &Result{
-		Build: build, Took: clock.FromDuration(took), Sent: t.sent, Completed: t.whole, Unsent: t.unsent, Tries: t.tries, Disconnects: t.cuts, Outcomes: t.outcomes,
-		FirstToken: t.first.quantiles(), TokenGap: t.gap.quantiles(), Total: t.total.quantiles(),
-		Routed: t.routed.quantiles(), Direct: t.direct.quantiles(), Failures: t.failures, Plan: *t.plan,
+		Build: build, Took: clock.FromDuration(took), Sent: st.sent, Completed: st.completed, Unsent: st.unsent, Tries: st.tries, Disconnects: st.disconnects, Outcomes: st.outcomes,
+		FirstToken: st.firstToken.stats(), TokenGap: st.tokenGap.stats(), Total: st.total.stats(),
+		Routed: st.routed.stats(), Direct: st.direct.stats(), Failures: st.failures, Plan: *st.plan,
 	}
-	for _, name := range slices.Sorted(maps.Keys(t.perOrganisation)) {
-		o := t.perOrganisation[name]
-		res.Organisations = append(res.Organisations, OrganisationResult{Name: name, Sent: o.sent, Completed: o.whole, FirstToken: o.first.quantiles()})
+	for _, name := range slices.Sorted(maps.Keys(st.perOrganisation)) {
+		o := st.perOrganisation[name]
+		res.Organisations = append(res.Organisations, OrganisationResult{Name: name, Sent: o.sent, Completed: o.completed, FirstToken: o.firstToken.stats()})
 	}
 	for _, name := range promiseNames {
-		res.Promises = append(res.Promises, *t.promises[name])
+		res.Promises = append(res.Promises, *st.promises[name])
 	}
 	res.Plan.Organisations = slices.Clone(res.Plan.Organisations)
 	for i := range res.Plan.Organisations {
@@ -89,7 +92,7 @@
 	return res
 }
 
-// Broken returns how many breaches of promises were seen.
+// Broken returns the number of breaches of all promises.
 func (r *Result) Broken() (n int64) {
 	for _, p := range r.Promises {
 		n += p.Broken
@@ -97,7 +100,7 @@
 	return n
 }
 
-// Write writes the result as TOML, or as JSON.
+// Write writes the result as JSON if asJSON is set, and as TOML otherwise.
 func (r *Result) Write(w io.Writer, asJSON bool) (err error) {
 	if asJSON {
 		enc := json.NewEncoder(w)
@@ -112,7 +115,7 @@
 	return err
 }
 
-// Save writes the result to a file.
+// Save writes the result to a file in the form that Write gives it.
 func (r *Result) Save(path string, asJSON bool) (err error) {
 	var b bytes.Buffer
 	if err = r.Write(&b, asJSON); err != nil {
@@ -121,7 +124,8 @@
 	return os.WriteFile(path, b.Bytes(), 0o644)
 }
 
-// ReadResult reads a result that Write wrote in either form.
+// ReadResult reads a result that Save wrote as TOML or JSON. It returns ErrInvalid when the file
+// cannot be read or parsed.
 func ReadResult(path string) (r *Result, err error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -139,7 +143,7 @@
 	return r, nil
 }
 
-// Print shows the result to a person.
+// Print writes the result as tables in plain text.
 func (r *Result) Print(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(t, "%d sent, %d whole, %d not sent for want of room, %.2f tries each, %d cut, %s\n", r.Sent, r.Completed, r.Unsent, float64(r.Tries)/float64(max(r.Sent, 1)), r.Disconnects, r.Took)
@@ -150,8 +154,8 @@
 		fmt.Fprintf(t, "  %s\n", f)
 	}
 	fmt.Fprintln(t, "SPAN (ms)\tcount\tp50\tp95\tp99\tp99.9\tmax")
-	for _, s := range r.spans() {
-		fmt.Fprintf(t, "%s\t%d\t%s\n", s.name, s.spans.Count, s.spans.cells())
+	for _, s := range r.durations() {
+		fmt.Fprintf(t, "%s\t%d\t%s\n", s.name, s.stats.Count, s.stats.cells())
 	}
 	if r.CompletedPerCoreSecond > 0 {
 		fmt.Fprintf(t, "whole answers a second of processor time in the entries\t%.0f\n", r.CompletedPerCoreSecond)
@@ -163,24 +167,25 @@
 	return t.Flush()
 }
 
-type namedSpans struct {
+type namedStats struct {
 	name  string
-	spans DurationStats
+	stats DurationStats
 }
 
-func (r *Result) spans() (out []namedSpans) {
-	out = []namedSpans{{"first token", r.FirstToken}, {"token gap", r.TokenGap}, {"total", r.Total}}
+func (r *Result) durations() (out []namedStats) {
+	out = []namedStats{{"first token", r.FirstToken}, {"token gap", r.TokenGap}, {"total", r.Total}}
 	if r.Direct.Count > 0 {
-		out = append(out, namedSpans{"routed first token, from sending", r.Routed}, namedSpans{"direct first token", r.Direct})
+		out = append(out, namedStats{"routed first token, from sending", r.Routed}, namedStats{"direct first token", r.Direct})
 	}
 	return out
 }
 
+// cells formats the quantiles as table cells in milliseconds.
 func (s DurationStats) cells() string {
-	const perMilli = 1000
+	const microsPerMilli = 1000
 	var cells []string
 	for _, v := range []int64{s.P50, s.P95, s.P99, s.P999, s.Max} {
-		cells = append(cells, fmt.Sprintf("%.2f", float64(v)/perMilli))
+		cells = append(cells, fmt.Sprintf("%.2f", float64(v)/microsPerMilli))
 	}
 	return strings.Join(cells, "\t")
 }
--- a/load/run.go
+++ b/load/run.go
@@ -10,20 +10,21 @@
 	"github.com/parsleydeal/parsleydeal/clock"
 )
 
-// Config is what a run needs beside its plan.
+// Config holds what a run needs besides its plan.
 type Config struct {
-	// Build names the build under load, for the comparison of results.
+	// Build identifies the build under test in the result.
 	Build string
 	HTTP  *http.Client
-	// Unbilled returns which of the answered requests have no bill, once the
-	// log had time to hold them; nil checks none.
+	// Unbilled returns the answered requests that have no bill. It allows the bills time to reach
+	// the log. If it is nil, bills are not checked.
 	Unbilled func(ctx context.Context, requests []string) (missing []string, err error)
-	// ProcessorSeconds returns the processor time that the entries have used so far; nil
-	// measures none.
+	// ProcessorSeconds returns the processor time that the entries have used so far. If it is nil,
+	// processor time is not measured.
 	ProcessorSeconds func(ctx context.Context) (seconds float64, err error)
 }
 
-// NewHTTP makes a client that opens as many connections as a plan needs.
+// NewHTTP returns a client that keeps as many idle connections per host as a plan may have requests
+// in flight.
 func NewHTTP(p *Plan) *http.Client {
 	return &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: p.MaxOpen, IdleConnTimeout: clock.Millis(clock.Minute).Duration()}}
 }
@@ -35,46 +36,46 @@
 	http     *http.Client
 	sessions *sessions
 	mu       sync.Mutex
-	tally    *tally
+	stats    *runStats
 }
 
-// Run sends a plan's requests and returns what became of them. When the context
-// ends no more are sent; those under way are waited for.
+// Run sends a plan's requests and returns the result. When the context ends, Run sends no more
+// requests and waits for those in flight. It returns ErrInvalid when the plan is not valid, and the
+// errors of the functions in cfg.
 func Run(ctx context.Context, p *Plan, cfg Config) (res *Result, err error) {
 	if err = p.Check(); err != nil {
 		return nil, err
 	}
-	r := &runner{plan: p, cfg: cfg, http: cfg.HTTP, sessions: newSessions(), tally: newTally(p)}
-	before, err := r.seconds(ctx)
+	r := &runner{plan: p, cfg: cfg, http: cfg.HTTP, sessions: newSessions(), stats: newRunStats(p)}
+	before, err := r.processorSeconds(ctx)
 	if err != nil {
 		return nil, err
 	}
 	start := time.Now()
 	r.sendAll(ctx, start)
 	took := time.Since(start)
-	after, err := r.seconds(context.WithoutCancel(ctx))
+	after, err := r.processorSeconds(context.WithoutCancel(ctx))
 	if err != nil {
 		return nil, err
 	}
 	if err = r.checkBills(context.WithoutCancel(ctx)); err != nil {
 		return nil, err
 	}
-	res = r.tally.result(cfg.Build, took)
+	res = r.stats.result(cfg.Build, took)
 	if used := after - before; used > 0 {
 		res.CompletedPerCoreSecond = float64(res.Completed) / used
 	}
 	return res, nil
 }
 
-func (r *runner) seconds(ctx context.Context) (s float64, err error) {
+func (r *runner) processorSeconds(ctx context.Context) (s float64, err error) {
 	if r.cfg.ProcessorSeconds == nil {
 		return 0, nil
 	}
 	return r.cfg.ProcessorSeconds(ctx)
 }
 
-// sendAll sends each request when it is due, whether or not earlier ones have
-// ended.
+// sendAll sends each request when it is due, whether or not earlier requests have ended.
 func (r *runner) sendAll(ctx context.Context, start time.Time) {
 	open := make(chan struct{}, r.plan.MaxOpen)
 	var wg sync.WaitGroup
@@ -88,16 +89,17 @@
 		select {
 		case open <- struct{}{}:
 		default:
-			r.add(func(t *tally) { t.unsent++ })
+			r.withStats(func(st *runStats) { st.unsent++ })
 			continue
 		}
 		wg.Go(func() {
 			defer func() { <-open }()
-			r.one(q, start.Add(q.at))
+			r.sendDue(q, start.Add(q.at))
 		})
 	}
 }
 
+// sleepUntil returns false when the context ended first.
 func sleepUntil(ctx context.Context, at time.Time) bool {
 	t := time.NewTimer(time.Until(at))
 	defer t.Stop()
@@ -109,9 +111,9 @@
 	}
 }
 
-// one sends a request, and a second time beside it if it is doubled. Requests
-// under way when the run is stopped still end by their own timeout.
-func (r *runner) one(q *request, due time.Time) {
+// sendDue sends a request, and a doubled one a second time concurrently. It does not use the run's
+// context: requests in flight when the run is stopped end by their own timeout.
+func (r *runner) sendDue(q *request, due time.Time) {
 	ctx := context.Background()
 	sent := time.Now()
 	outcomes := make([]outcome, 1)
@@ -122,22 +124,22 @@
 	}
 	outcomes[0] = r.send(ctx, q, due, q.key)
 	second.Wait()
-	r.add(func(t *tally) {
+	r.withStats(func(st *runStats) {
 		for i := range outcomes {
-			t.add(q, &outcomes[i])
+			st.add(q, &outcomes[i])
 		}
-		t.once(q, outcomes)
+		st.checkRuns(q, outcomes)
 		if q.route != nil && outcomes[0].err == nil && outcomes[0].tries == 1 {
-			t.routed.record(outcomes[0].first - sent.Sub(due))
+			st.routed.record(outcomes[0].firstToken - sent.Sub(due))
 		}
 	})
 	if q.route != nil && r.plan.Direct != "" {
-		r.direct(ctx, q)
+		r.sendDirect(ctx, q)
 	}
 }
 
-// direct sends the same request to an engine without the system between.
-func (r *runner) direct(ctx context.Context, q *request) {
+// sendDirect sends the same request straight to an engine, bypassing the system.
+func (r *runner) sendDirect(ctx context.Context, q *request) {
 	ctx, cancel := context.WithTimeout(ctx, r.plan.Timeout.Duration())
 	defer cancel()
 	c := &client.Caller{Base: r.plan.Direct, HTTP: r.http}
@@ -148,28 +150,28 @@
 		}
 	})
 	if err == nil {
-		r.add(func(t *tally) { t.direct.record(first) })
+		r.withStats(func(st *runStats) { st.direct.record(first) })
 	}
 }
 
-func (r *runner) add(f func(t *tally)) {
+func (r *runner) withStats(f func(st *runStats)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	f(r.tally)
+	f(r.stats)
 }
 
 func (r *runner) checkBills(ctx context.Context) (err error) {
 	if r.cfg.Unbilled == nil {
 		return nil
 	}
-	missing, err := r.cfg.Unbilled(ctx, r.tally.answered)
+	missing, err := r.cfg.Unbilled(ctx, r.stats.answered)
 	if err != nil {
 		return err
 	}
-	p := r.tally.promise(billed)
-	p.Checked = int64(len(r.tally.answered))
+	p := r.stats.promise(billed)
+	p.Checked = int64(len(r.stats.answered))
 	for _, id := range missing {
-		p.broke("request %s has no bill", id)
+		p.recordBreach("request %s has no bill", id)
 	}
 	return nil
 }
--- a/load/schedule.go
+++ b/load/schedule.go
@@ -9,10 +9,10 @@
 	"github.com/parsleydeal/parsleydeal/clock"
 )
 
-// request is one request of the schedule. Route is nil for a service's call.
+// request is one request of the schedule: a chat request if route is set, otherwise a service call.
 type request struct {
 	number int
-	// at is when it is due, from the start of the run.
+	// at is the due time, relative to the start of the run.
 	at           time.Duration
 	organisation *Organisation
 	route        *Route
@@ -20,30 +20,31 @@
 	// session is -1 outside sessions.
 	session int
 	words   int
-	// key is empty for an unkeyed request.
-	key     string
+	// key is the idempotency key; it may be empty.
+	key string
+	// doubled requests are sent twice at the same time.
 	doubled bool
-	entry   int
-	// nonce is what the stand-ins echo, so that an answer is known to be the
-	// request's own.
+	// entry is the index of the entry for the first try.
+	entry int
+	// nonce is echoed by stand-ins, so that an answer can be matched to its request.
 	nonce string
 }
 
-// schedule makes all requests of a plan. It is a function of the plan alone.
+// schedule returns all requests of a plan. The result depends on the plan alone.
 func schedule(p *Plan) (out []request) {
 	r := rand.New(rand.NewPCG(p.Seed, 0x9e3779b97f4a7c15))
 	end := p.Duration.Duration()
 	for at := time.Duration(0); ; {
-		at += gap(p, r, len(out))
+		at += nextInterval(p, r, len(out))
 		if at >= end {
 			return out
 		}
-		out = append(out, p.draw(r, len(out), at))
+		out = append(out, p.newRequest(r, len(out), at))
 	}
 }
 
-// gap is the span to the next arrival.
-func gap(p *Plan, r *rand.Rand, number int) time.Duration {
+// nextInterval returns the time between the previous arrival and the next.
+func nextInterval(p *Plan, r *rand.Rand, number int) time.Duration {
 	mean := float64(time.Second) / p.Rate
 	switch p.Arrival {
 	case Even:
@@ -57,19 +58,20 @@
 	return time.Duration(r.ExpFloat64() * mean)
 }
 
-func (p *Plan) draw(r *rand.Rand, number int, at time.Duration) (q request) {
+// newRequest draws a random request from the plan.
+func (p *Plan) newRequest(r *rand.Rand, number int, at time.Duration) (q request) {
 	q = request{number: number, at: at, session: -1, entry: r.IntN(len(p.Entries)), nonce: fmt.Sprintf("n%d-%d", p.Seed, number)}
-	q.organisation = pick(r, p.Organisations, func(o Organisation) float64 { return o.Weight })
+	q.organisation = selectWeighted(r, p.Organisations, func(o Organisation) float64 { return o.Weight })
 	q.words = max(int(p.Words*math.Exp(r.NormFloat64()*p.Spread)), 1)
-	routes := weightOf(p.Routes, func(x Route) float64 { return x.Weight })
+	routes := sumWeights(p.Routes, func(x Route) float64 { return x.Weight })
 	keyed := r.Float64() < p.Keyed
-	if r.Float64()*p.work() < routes {
-		q.route = pick(r, p.Routes, func(x Route) float64 { return x.Weight })
+	if r.Float64()*p.totalWeight() < routes {
+		q.route = selectWeighted(r, p.Routes, func(x Route) float64 { return x.Weight })
 		if p.Sessions > 0 && r.Float64() < p.InSession {
 			q.session = r.IntN(p.Sessions)
 		}
 	} else {
-		q.service = pick(r, p.Services, func(x Service) float64 { return x.Weight })
+		q.service = selectWeighted(r, p.Services, func(x Service) float64 { return x.Weight })
 		q.doubled = keyed && r.Float64() < p.Doubled
 	}
 	if keyed {
@@ -78,9 +80,9 @@
 	return q
 }
 
-// pick draws an element by weight.
-func pick[T any](r *rand.Rand, list []T, weight func(T) float64) *T {
-	point := r.Float64() * weightOf(list, weight)
+// selectWeighted selects a random element with a probability proportional to its weight.
+func selectWeighted[T any](r *rand.Rand, list []T, weight func(T) float64) *T {
+	point := r.Float64() * sumWeights(list, weight)
 	for i := range list {
 		point -= max(weight(list[i]), 0)
 		if point < 0 {
--- a/load/send.go
+++ b/load/send.go
@@ -15,50 +15,50 @@
 	"github.com/parsleydeal/parsleydeal/refusal"
 )
 
-// standinRun is the header by which a stand-in service names each run.
-const standinRun = "X-Standin-Run"
+// runHeader is the header in which a stand-in service sends a unique ID of each run.
+const runHeader = "X-Standin-Run"
 
-// outcome is what became of one request, as its caller sees it.
+// outcome is the result of one request as its caller sees it.
 type outcome struct {
 	answer client.Answer
-	// first is the span from the due instant to the first token, and total to
-	// the end.
-	first, total time.Duration
-	// gaps are the spans between tokens.
-	gaps []time.Duration
-	// tries counts how often the request was sent.
+	// firstToken is the time from when the request was due to the first token, total to the end of
+	// the answer.
+	firstToken, total time.Duration
+	// tokenGaps are the times between tokens.
+	tokenGaps []time.Duration
+	// tries is how often the request was sent.
 	tries int
-	// cuts counts the tries whose connection broke after it had come about.
-	cuts int
-	// body and run belong to calls of services.
+	// disconnects counts the tries whose connection broke after it was established.
+	disconnects int
+	// body and run are set for service calls: the response body and the ID of the run.
 	body, run string
-	// session is what was sent of a session, empty outside one.
-	session kept
-	// err is nil for a whole answer.
+	// session is the session state that was sent; empty outside sessions.
+	session sessionState
+	// err is nil for a complete answer.
 	err error
 }
 
-// send sends one request, again where that is allowed, until it has an answer
-// or its time is over. The clock starts when the request was due, not when it
-// was sent, so that a slow system cannot hide its delays by holding up the load.
+// send sends one request and retries it where that is allowed, until it has an answer, its retries
+// are used up or its timeout ends. Durations count from when the request was due, not from when it
+// was sent: otherwise a slow system would hide its delays by holding up the load.
 func (r *runner) send(ctx context.Context, q *request, due time.Time, key string) (o outcome) {
 	ctx, cancel := context.WithTimeout(ctx, r.plan.Timeout.Duration())
 	defer cancel()
-	cuts := 0
-	var heard error
+	disconnects := 0
+	var replyErr error
 	for try := 0; ; try++ {
 		o = r.try(ctx, q, due, key, r.plan.Entries[(q.entry+try)%len(r.plan.Entries)])
-		if o.err != nil && kindOf(o.err) == broken {
-			cuts++
+		if o.err != nil && kindOf(o.err) == kindBroken {
+			disconnects++
 		}
-		o.tries, o.cuts = try+1, cuts
+		o.tries, o.disconnects = try+1, disconnects
 		if !unreachable(o.err) {
-			heard = o.err
+			replyErr = o.err
 		}
-		if o.err == nil || try >= r.plan.Retries || !repeatable(q, o.err) || !rest(ctx, o.err) {
-			// What an entry said tells more than that another one is gone.
-			if heard != nil {
-				o.err = heard
+		if o.err == nil || try >= r.plan.Retries || !retryable(q, o.err) || !waitToRetry(ctx, o.err) {
+			// An entry's reply says more than a failed connection to another entry.
+			if replyErr != nil {
+				o.err = replyErr
 			}
 			return o
 		}
@@ -68,14 +68,14 @@
 func (r *runner) try(ctx context.Context, q *request, due time.Time, key, entry string) (o outcome) {
 	c := &client.Caller{Base: entry, Key: q.organisation.Key, HTTP: r.http}
 	if q.service != nil {
-		return call(ctx, c, q, due, key)
+		return callService(ctx, c, q, due, key)
 	}
-	return r.ask(ctx, c, q, due, key)
+	return r.sendChat(ctx, c, q, due, key)
 }
 
-// repeatable reports whether a failed request may be sent again without doing
-// its work twice: it provably did not run, or it may be repeated anyway.
-func repeatable(q *request, err error) bool {
+// retryable reports whether a failed request may be sent again without running its work twice: it
+// provably did not run, or it is safe to repeat.
+func retryable(q *request, err error) bool {
 	if unreachable(err) {
 		return true
 	}
@@ -85,24 +85,24 @@
 	return q.service == nil || q.service.Repeatable || q.key != ""
 }
 
-// unreachable reports whether no connection came about, as a balancer sees an
-// entry that is gone.
+// unreachable reports whether no connection could be established, so that nothing was sent.
 func unreachable(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
 }
 
-// rest waits as long as a refusal says and reports false when the time is over.
-func rest(ctx context.Context, err error) bool {
-	const least = 20 * clock.Millis(1)
-	wait := least
+// waitToRetry waits for the time that a refusal asks for, and at least minWait. It returns false when
+// the context ended first.
+func waitToRetry(ctx context.Context, err error) bool {
+	const minWait = 20 * clock.Millis(1)
+	wait := minWait
 	if ref, ok := refusal.As(err); ok {
-		wait = max(ref.RetryAfter(), least)
+		wait = max(ref.RetryAfter(), minWait)
 	}
 	return clock.Pause(ctx, wait)
 }
 
-// prompt has the wanted length and carries the nonce.
+// prompt returns a prompt of q.words words that ends with the nonce for the stand-ins to echo.
 func prompt(q *request) string {
 	return strings.Repeat("case ", q.words-1) + "echo:" + q.nonce
 }
@@ -111,29 +111,29 @@
 	return fmt.Appendf(nil, `{"model":%q,"stream":true,"stream_options":{"include_usage":true},"messages":[{"role":"user","content":%q}]}`, model, prompt(q))
 }
 
-// ask sends a chat request. It always streams, so that the first token is seen.
-func (r *runner) ask(ctx context.Context, c *client.Caller, q *request, due time.Time, key string) (o outcome) {
+// sendChat sends a chat request. It always streams, so that the first token can be timed.
+func (r *runner) sendChat(ctx context.Context, c *client.Caller, q *request, due time.Time, key string) (o outcome) {
 	last := time.Time{}
 	o.session = r.sessions.get(q)
 	opts := client.Options{IdempotencyKey: key, Session: o.session.token}
 	o.answer, o.err = c.Complete(ctx, chatBody(q, q.route.Name), opts, func(string) {
 		now := time.Now()
 		if last.IsZero() {
-			o.first = now.Sub(due)
+			o.firstToken = now.Sub(due)
 		} else {
-			o.gaps = append(o.gaps, now.Sub(last))
+			o.tokenGaps = append(o.tokenGaps, now.Sub(last))
 		}
 		last = now
 	})
 	o.total = time.Since(due)
 	if o.err == nil {
-		r.sessions.keep(q, o.answer.Session, o.answer.Version)
+		r.sessions.store(q, o.answer.Session, o.answer.Version)
 	}
 	return o
 }
 
-// call sends a call of a service.
-func call(ctx context.Context, c *client.Caller, q *request, due time.Time, key string) (o outcome) {
+// callService calls a plain service.
+func callService(ctx context.Context, c *client.Caller, q *request, due time.Time, key string) (o outcome) {
 	body := prompt(q)
 	path := "/v1/services/" + q.service.Name + "/" + q.service.Path
 	resp, err := c.Do(ctx, q.service.Method, path, strings.NewReader(body), client.Options{IdempotencyKey: key})
@@ -142,9 +142,9 @@
 		return o
 	}
 	defer resp.Body.Close()
-	o.first = time.Since(due)
+	o.firstToken = time.Since(due)
 	o.answer.Request = resp.Header.Get("Parsleydeal-Request")
-	o.run = resp.Header.Get(standinRun)
+	o.run = resp.Header.Get(runHeader)
 	data, err := io.ReadAll(resp.Body)
 	o.body, o.total = string(data), time.Since(due)
 	if err != nil {
@@ -153,10 +153,10 @@
 	return o
 }
 
-// broken is the kind of an answer or connection that ended early.
-const broken = "broken"
+// kindBroken is the kind of error for an answer or a connection that ended early.
+const kindBroken = "broken"
 
-// kindOf names an error for the count of outcomes.
+// kindOf returns the name under which an error is counted in the outcomes.
 func kindOf(err error) string {
 	if ref, ok := refusal.As(err); ok {
 		return string(ref.Code()) + " " + string(ref.Run())
@@ -167,5 +167,5 @@
 	if errors.Is(err, context.DeadlineExceeded) {
 		return "timeout"
 	}
-	return broken
+	return kindBroken
 }
--- a/load/session.go
+++ b/load/session.go
@@ -2,11 +2,11 @@
 
 import "sync"
 
-// sessions keeps the latest token and version of each session of a plan, so at
-// most as many as the plan has for each organisation and route.
+// sessions stores the latest token and version of each session. It holds at most the plan's number
+// of sessions for each organisation and route.
 type sessions struct {
 	mu   sync.Mutex
-	last map[sessionKey]kept
+	last map[sessionKey]sessionState
 }
 
 type sessionKey struct {
@@ -14,31 +14,31 @@
 	number              int
 }
 
-type kept struct{ token, version string }
+type sessionState struct{ token, version string }
 
-func newSessions() *sessions { return &sessions{last: make(map[sessionKey]kept)} }
+func newSessions() *sessions { return &sessions{last: make(map[sessionKey]sessionState)} }
 
 func keyOf(q *request) sessionKey {
 	return sessionKey{q.organisation.Name, q.route.Name, q.session}
 }
 
-// get returns the token to send and the version it stands for; the token is
-// empty for a new session.
-func (s *sessions) get(q *request) kept {
+// get returns the session token to send and the version whose answer carried it. Both are empty for a
+// new session and for a request outside sessions.
+func (s *sessions) get(q *request) sessionState {
 	if q.route == nil || q.session < 0 {
-		return kept{}
+		return sessionState{}
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.last[keyOf(q)]
 }
 
-// keep takes the token of an answer.
-func (s *sessions) keep(q *request, token, version string) {
+// store records the token of an answer; it ignores an empty token.
+func (s *sessions) store(q *request, token, version string) {
 	if q.route == nil || q.session < 0 || token == "" {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.last[keyOf(q)] = kept{token, version}
+	s.last[keyOf(q)] = sessionState{token, version}
 }
