--- a/client/caller.go
+++ b/client/caller.go
@@ -19,18 +19,18 @@
 	maxErrorBytes = 64 << 10
 )
 
-// Caller sends requests to an entry, or to the balancer before the entries.
-// Any client of chat completions can do the same; this one also reads run
-// states, sessions and versions.
+// Caller sends requests to an entry or to the load balancer in front of the entries. Any
+// chat-completions client can send the same requests; Caller also reads run states, sessions and
+// versions.
 type Caller struct {
-	// Base is a URL such as "http://10.0.0.1:8080".
+	// Base is the base URL, such as "http://10.0.0.1:8080".
 	Base string
 	// Key is the organisation's bearer key.
 	Key  string
 	HTTP *http.Client
 }
 
-// Options are a request's wishes; zero fields are not sent.
+// Options are the optional headers of a request; empty fields are not sent.
 type Options struct {
 	IdempotencyKey string
 	Session        string
@@ -38,23 +38,24 @@
 	Priority string
 }
 
-// Answer is a whole chat answer.
+// Answer is a complete chat answer.
 type Answer struct {
+	// Request is the request ID that the system assigned.
 	Request string
 	Version string
-	// Session is handed back with the next request of the session.
+	// Session is the token to send in the Options of the session's next request.
 	Session string
-	// Moved says why a session got another version; empty when it kept its own.
+	// Moved is the reason why the session got another version; empty if the version did not change.
 	Moved        string
 	Text         string
 	FinishReason string
 	Usage        chat.Usage
 }
 
-// Complete streams one chat completion and returns the whole answer. Each part
-// of the text goes to each as it comes. The error is a refusal.Refusal when the
-// system sent one, and ErrBroken when the answer ended without its end mark.
-func (c *Caller) Complete(ctx context.Context, body []byte, o Options, each func(text string)) (a Answer, err error) {
+// Complete streams one chat completion and returns the complete answer. It calls onText, which may be
+// nil, with each part of the text as it arrives. It returns a refusal.Refusal when the system sent
+// one, and ErrBroken when the answer ended without its end marker or could not be parsed.
+func (c *Caller) Complete(ctx context.Context, body []byte, o Options, onText func(text string)) (a Answer, err error) {
 	resp, err := c.Do(ctx, http.MethodPost, "/v1/chat/completions", bytes.NewReader(body), o)
 	if err != nil {
 		return a, err
@@ -64,10 +65,10 @@
 	a.Version = resp.Header.Get("Parsleydeal-Version")
 	a.Session = resp.Header.Get("Parsleydeal-Session")
 	a.Moved = resp.Header.Get("Parsleydeal-Session-Moved")
-	return a, a.read(resp.Body, each)
+	return a, a.read(resp.Body, onText)
 }
 
-func (a *Answer) read(r io.Reader, each func(text string)) (err error) {
+func (a *Answer) read(r io.Reader, onText func(text string)) (err error) {
 	var text strings.Builder
 	defer func() { a.Text = text.String() }()
 	sc := bufio.NewScanner(r)
@@ -87,22 +88,23 @@
 		if ev.Error != nil {
 			return refusalOf(*ev.Error)
 		}
-		part := a.take(&ev.Chunk)
+		part := a.apply(&ev.Chunk)
 		text.WriteString(part)
-		if part != "" && each != nil {
-			each(part)
+		if part != "" && onText != nil {
+			onText(part)
 		}
 	}
 	return ErrBroken.New("answer ended without its end mark: %v", sc.Err())
 }
 
-// streamEvent is a chunk or an error.
+// streamEvent is a chunk or an error event.
 type streamEvent struct {
 	chat.Chunk
 	Error *chat.Error `json:"error"`
 }
 
-func (a *Answer) take(c *chat.Chunk) (text string) {
+// apply adds a chunk to the answer, except for its text, which it returns.
+func (a *Answer) apply(c *chat.Chunk) (text string) {
 	if c.Usage != nil {
 		a.Usage = *c.Usage
 	}
@@ -115,9 +117,9 @@
 	return c.Choices[0].Delta.Content
 }
 
-// Do sends one request and returns the response if its status is below 400, and
-// otherwise the refusal. A path under /v1/services reaches a plain service;
-// what the service itself refuses is returned as its response.
+// Do sends one request. It returns the response if its status is below 400, and otherwise the
+// refusal, or ErrBroken if the body holds none. A path under /v1/services reaches a plain service; an
+// error status from the service itself is returned as a response. The caller closes the body.
 func (c *Caller) Do(ctx context.Context, method, path string, body io.Reader, o Options) (resp *http.Response, err error) {
 	req, err := http.NewRequestWithContext(ctx, method, c.Base+path, body)
 	if err != nil {
@@ -148,7 +150,7 @@
 	return refusal.New(refusal.Code(e.Code), e.Message).WithRun(refusal.Run(e.Run)).WithRetryAfter(clock.Millis(e.RetryAfterMillis))
 }
 
-// Models lists the routes that the caller's organisation may name as models.
+// Models returns the names of the routes that the caller's organisation may use as models.
 func (c *Caller) Models(ctx context.Context) (names []string, err error) {
 	resp, err := c.Do(ctx, http.MethodGet, "/v1/models", nil, Options{})
 	if err != nil {
--- a/client/client.go
+++ b/client/client.go
@@ -1,6 +1,5 @@
-// Package client holds the clients of the system's interfaces: Caller for those
-// who send requests, and Operator for those who publish tables and look after
-// the processes.
+// Package client provides clients for the system's interfaces: Caller sends requests, and Operator
+// publishes tables and reads the status of the processes.
 package client
 
 import "github.com/joomcode/errorx"
@@ -8,18 +7,16 @@
 // Errors is the namespace of this package's errors.
 var Errors = errorx.NewNamespace("client")
 
-// Kinds of errors.
+// Types of errors.
 var (
-	// ErrBroken marks an answer that ended before its end mark.
+	// ErrBroken means that an answer ended before its end marker or could not be parsed.
 	ErrBroken = Errors.NewType("broken")
-	// ErrRejected marks a change that the log's readers rejected.
+	// ErrRejected means that the readers of the log rejected a change.
 	ErrRejected = Errors.NewType("rejected")
-	// ErrNoVerdict marks a change of which it is not known whether it stands on
-	// the log.
+	// ErrNoVerdict means that it is not known whether a change is on the log.
 	ErrNoVerdict = Errors.NewType("no-verdict")
-	// ErrNotSent marks a change that provably does not stand on the log.
+	// ErrNotSent means that a change is provably not on the log.
 	ErrNotSent = Errors.NewType("not-sent")
-	// ErrNotInForce marks an accepted change that was not seen in force
-	// everywhere in time.
+	// ErrNotInForce means that an accepted change was not seen in force on every VM in time.
 	ErrNotInForce = Errors.NewType("not-in-force")
 )
--- a/client/operator.go
+++ b/client/operator.go
@@ -19,31 +19,32 @@
 )
 
 const (
-	// inspectTimeout bounds the question to one process.
+	// inspectTimeout bounds the query to one process.
 	inspectTimeout = 2 * clock.Second
-	// inspectAtOnce bounds the processes asked at the same time.
-	inspectAtOnce = 64
+	// maxConcurrentInspects bounds the processes queried at the same time.
+	maxConcurrentInspects = 64
 )
 
-// Operator reads and publishes tables and asks processes for reports. It needs
-// only the platform; processes are found by the VM list.
+// Operator reads and publishes tables and queries processes for reports. It depends only on the
+// platform; it finds the processes in the VM list.
 type Operator struct {
 	Log   provider.Log
 	VMs   provider.VMList
 	Peers *peer.Pool
 	Clock clock.Clock
-	// Pause waits for a span and reports false when the context ended first.
-	Pause func(ctx context.Context, span clock.Millis) bool
+	// Pause waits for a duration and returns false when the context ended first.
+	Pause func(ctx context.Context, duration clock.Millis) bool
 }
 
-// Report is one process's report, or why there is none.
+// Report is the report of one process; if Err is not nil, the process could not be queried.
 type Report struct {
 	VM   provider.VM
 	JSON []byte
 	Err  error
 }
 
-// Reports asks every listed VM for a report. The result is sorted by VM.
+// Reports queries every listed VM for a report. The result is sorted by VM ID. It returns an error
+// only if the VM list cannot be read.
 func (o *Operator) Reports(ctx context.Context, report string) (out []Report, err error) {
 	defer func() {
 		if err != nil {
@@ -56,7 +57,7 @@
 	}
 	var mu sync.Mutex
 	var g errgroup.Group
-	g.SetLimit(inspectAtOnce)
+	g.SetLimit(maxConcurrentInspects)
 	for _, vm := range vms {
 		g.Go(func() error {
 			r := o.report(ctx, vm, report)
@@ -78,14 +79,15 @@
 	return Report{VM: vm, JSON: reply.GetJson(), Err: err}
 }
 
-// VMStatus is one process's status, or why there is none.
+// VMStatus is the status of one process; it is valid only if Err is nil.
 type VMStatus struct {
 	VM     provider.VM
 	Status operations.Status
 	Err    error
 }
 
-// Status asks every listed VM for its status.
+// Status queries every listed VM for its status. It returns an error only if the VM list cannot be
+// read.
 func (o *Operator) Status(ctx context.Context) (out []VMStatus, err error) {
 	reports, err := o.Reports(ctx, operations.StatusReport)
 	if err != nil {
@@ -101,37 +103,37 @@
 	return out, nil
 }
 
-// History is the configuration stream as the log keeps it.
+// History is the configuration stream as far as the log retains it.
 type History struct {
 	State table.State
-	// Verdicts holds the verdict on each record, oldest first.
+	// Verdicts holds the verdicts on the records, oldest first.
 	Verdicts []table.Outcome
 }
 
 // History reads the configuration stream to its head.
 func (o *Operator) History(ctx context.Context) (h *History, err error) {
 	h = &History{}
-	from, err := o.first(ctx)
+	from, err := o.firstOffset(ctx)
 	if err != nil {
 		return nil, err
 	}
 	for {
-		more, err := o.follow(ctx, h, &from, 0)
+		more, err := o.readPage(ctx, h, &from, 0)
 		if err != nil || !more {
 			return h, err
 		}
 	}
 }
 
-// first returns the lowest offset the log keeps: a read beyond the head returns
-// no records, only the bounds.
-func (o *Operator) first(ctx context.Context) (offset int64, err error) {
+// firstOffset returns the lowest offset that the log retains. It reads beyond the head, which returns
+// the bounds without records.
+func (o *Operator) firstOffset(ctx context.Context) (offset int64, err error) {
 	p, err := o.Log.Read(ctx, provider.ConfigStream, math.MaxInt64, 0)
 	return p.First, err
 }
 
-// follow reads one page and reports whether there is more.
-func (o *Operator) follow(ctx context.Context, h *History, from *int64, wait clock.Millis) (more bool, err error) {
+// readPage applies one page of records to h and reports whether there are more.
+func (o *Operator) readPage(ctx context.Context, h *History, from *int64, wait clock.Millis) (more bool, err error) {
 	p, err := o.Log.Read(ctx, provider.ConfigStream, *from, wait)
 	if err != nil {
 		return false, err
--- a/client/publish.go
+++ b/client/publish.go
@@ -9,73 +9,75 @@
 	"github.com/parsleydeal/parsleydeal/table"
 )
 
-// publishPause is the span between two tries or two looks.
-const publishPause = 200 * clock.Millis(1)
+// pollInterval is the time between two attempts to publish or two status checks.
+const pollInterval = 200 * clock.Millis(1)
 
-// Publish appends a change and returns the verdict of the log's readers. A
-// change whose answer was lost is looked for on the log before it is sent
-// again under the same ID, so it takes effect once. ErrNoVerdict marks a change
-// that may still stand on the log when the context ends.
+// Publish appends a change and returns the verdict of the log's readers. It retries until the
+// context ends. When the reply to an append is lost, it looks for the change on the log before it
+// sends it again under the same ID, so the change takes effect once. It returns ErrRejected when the
+// readers rejected the change; when the context ends, ErrNoVerdict if the change may be on the log
+// and ErrNotSent if it is not.
 func (o *Operator) Publish(ctx context.Context, c *table.Change) (verdict table.Outcome, err error) {
 	data, err := c.Encode()
 	if err != nil {
 		return verdict, err
 	}
-	appended, mayStand := false, false
+	appended, mayBeOnLog := false, false
 	for {
 		if verdict, ok := o.verdict(ctx, c.ID); ok {
-			return verdict, rejected(verdict)
+			return verdict, rejectedError(verdict)
 		}
 		if !appended && ctx.Err() == nil {
 			_, err = o.Log.Append(ctx, provider.ConfigStream, data)
 			appended = err == nil
-			mayStand = mayStand || appended || errorx.IsOfType(err, provider.ErrUnknown)
+			mayBeOnLog = mayBeOnLog || appended || errorx.IsOfType(err, provider.ErrUnknown)
 			if appended {
 				continue
 			}
 		}
-		if !o.Pause(ctx, publishPause) {
-			return verdict, noVerdict(c.ID, mayStand, err)
+		if !o.Pause(ctx, pollInterval) {
+			return verdict, noVerdictError(c.ID, mayBeOnLog, err)
 		}
 	}
 }
 
-func noVerdict(id string, mayStand bool, err error) error {
-	if !mayStand {
+func noVerdictError(id string, mayBeOnLog bool, err error) error {
+	if !mayBeOnLog {
 		return ErrNotSent.New("change %s was not sent: %v", id, err)
 	}
 	return ErrNoVerdict.New("change %s may stand on the log; publish it again with the same id: %v", id, err)
 }
 
-// verdict looks for a change on the log. A log that cannot be read is read
-// again until the context ends: sending a change again without having looked
-// would be harmless, but would tell nothing.
+// verdict looks for a change on the log. It retries a log that cannot be read until the context
+// ends: sending the change again without reading the log would be harmless, but would not give the
+// verdict.
 func (o *Operator) verdict(ctx context.Context, id string) (v table.Outcome, ok bool) {
 	for ctx.Err() == nil {
 		h, err := o.History(ctx)
 		if err == nil {
 			return h.State.Outcome(id)
 		}
-		o.Pause(ctx, publishPause)
+		o.Pause(ctx, pollInterval)
 	}
 	return v, false
 }
 
-func rejected(v table.Outcome) error {
+func rejectedError(v table.Outcome) error {
 	if v.Accepted {
 		return nil
 	}
 	return ErrRejected.New("change %s: %s", v.ID, v.Reason)
 }
 
-// InForce says where a revision is in force.
+// InForce lists the VMs by whether a revision is in force there. No includes VMs whose status is not
+// known.
 type InForce struct {
 	Yes []VMStatus
 	No  []VMStatus
 }
 
-// WaitInForce waits until every listed VM has a revision or a later one.
-// ErrNotInForce comes with what was seen last when the context ends first.
+// WaitInForce waits until every listed VM has a revision or a later one. When the context ends first,
+// it returns the state seen last and ErrNotInForce.
 func (o *Operator) WaitInForce(ctx context.Context, revision int64) (seen InForce, err error) {
 	for {
 		all, err := o.Status(ctx)
@@ -85,7 +87,7 @@
 				return seen, nil
 			}
 		}
-		if !o.Pause(ctx, publishPause) {
+		if !o.Pause(ctx, pollInterval) {
 			return seen, ErrNotInForce.New("revision %d is not known to be in force on %d VMs", revision, len(seen.No))
 		}
 	}
--- a/client/publish_test.go
+++ b/client/publish_test.go
@@ -34,9 +34,9 @@
 	}}
 }
 
-// The log takes the change in and its answer is lost. An operator who sends it
-// again blindly sees a conflict with his own change and undoes it, or fills the
-// log; one who gives up does not know. Publish looks on the log first.
+// The log appends the change, but its reply is lost. Guards against appending the change again,
+// reporting a conflict with the operator's own change, or returning without a verdict: Publish must
+// read the log before it retries.
 func TestPublishAfterLostReplyAppendsOnce(t *testing.T) {
 	is := is.New(t)
 	op, p := newOperator(t)
@@ -48,12 +48,12 @@
 	is.Equal(len(p.Records(provider.ConfigStream)), 1)
 	again, err := op.Publish(t.Context(), change("one", -1))
 	is.NoErr(err)
-	is.Equal(again, v) // the same id tells the same verdict
+	is.Equal(again, v) // the same ID gets the same verdict
 	is.Equal(len(p.Records(provider.ConfigStream)), 1)
 }
 
-// Two operators publish on the same revision. The later one must hear that his
-// change was rejected, not that it was appended.
+// Two operators publish on the same base revision. The later one must get a rejection, although the
+// change was appended.
 func TestPublishRejectsStaleBaseRevision(t *testing.T) {
 	is := is.New(t)
 	op, _ := newOperator(t)
@@ -63,8 +63,8 @@
 	is.True(errorx.IsOfType(err, client.ErrRejected))
 }
 
-// The log is down for as long as the operator waits. The change provably does
-// not stand on it, and that is what he must be told.
+// The log is down for as long as the operator waits. The change is provably not on the log, so the
+// error must be ErrNotSent rather than ErrNoVerdict.
 func TestPublishWhileLogIsDownReportsNotSent(t *testing.T) {
 	is := is.New(t)
 	op, p := newOperator(t)
