--- a/chat/assembly.go
+++ b/chat/assembly.go
@@ -5,18 +5,18 @@
 	"strings"
 )
 
-// Assembly puts the deltas of a stream together into one message, for callers
-// that asked for no stream. The zero value is empty.
+// Assembly merges the deltas of a stream into one message, for callers that did not request a
+// stream. The zero value is empty.
 type Assembly struct {
 	text strings.Builder
-	// fields holds what the deltas had beside text, merged field by field.
+	// fields holds all other fields of the deltas, merged field by field.
 	fields map[string]any
 }
 
-// AddText adds text.
+// AddText appends text to the content.
 func (a *Assembly) AddText(text string) { a.text.WriteString(text) }
 
-// AddDelta adds a delta as the engine wrote it.
+// AddDelta merges a delta as the engine sent it. It returns an error if raw is not a JSON object.
 func (a *Assembly) AddDelta(raw []byte) (err error) {
 	var delta map[string]any
 	if err = json.Unmarshal(raw, &delta); err != nil {
@@ -33,8 +33,8 @@
 	return nil
 }
 
-// Message returns the message. Its content is null when there are only other
-// fields, such as tool calls.
+// Message returns the merged message. Its content is null when there is no text but other fields,
+// such as tool calls.
 func (a *Assembly) Message() map[string]any {
 	message := map[string]any{"role": "assistant", "content": a.text.String()}
 	if a.text.Len() == 0 && len(a.fields) > 0 {
@@ -52,8 +52,9 @@
 	a.fields = nil
 }
 
-// constant names fields that engines may repeat whole in every delta.
-var constant = map[string]bool{"id": true, "type": true, "role": true, "name": true, "index": true}
+// repeatedFields lists the fields that engines may repeat in full in every delta. Their first value
+// is used; other strings are concatenated.
+var repeatedFields = map[string]bool{"id": true, "type": true, "role": true, "name": true, "index": true}
 
 func mergeFields(into, delta map[string]any) {
 	for name, value := range delta {
@@ -61,7 +62,7 @@
 		switch {
 		case !ok || old == nil:
 			into[name] = mergeValue(nil, value)
-		case !constant[name]:
+		case !repeatedFields[name]:
 			into[name] = mergeValue(old, value)
 		}
 	}
@@ -88,20 +89,21 @@
 	return add
 }
 
-// mergeList merges parts with the same index and appends the others.
+// mergeList merges elements with the same index and appends the others.
 func mergeList(list, add []any) []any {
-	for _, part := range add {
-		if at := find(list, part); at >= 0 {
-			list[at] = mergeValue(list[at], part)
+	for _, element := range add {
+		if position := findByIndex(list, element); position >= 0 {
+			list[position] = mergeValue(list[position], element)
 			continue
 		}
-		list = append(list, part)
+		list = append(list, element)
 	}
 	return list
 }
 
-func find(list []any, part any) (at int) {
-	fields, ok := part.(map[string]any)
+// findByIndex returns the position of the element with the same index field, or -1.
+func findByIndex(list []any, element any) (position int) {
+	fields, ok := element.(map[string]any)
 	if !ok || fields["index"] == nil {
 		return -1
 	}
@@ -113,14 +115,15 @@
 	return -1
 }
 
-// withoutIndex drops the index that parts of a list have only in a stream.
+// withoutIndex removes the index field from the elements of a list. Elements have it only in a
+// stream.
 func withoutIndex(value any) any {
 	list, ok := value.([]any)
 	if !ok {
 		return value
 	}
-	for _, part := range list {
-		if fields, ok := part.(map[string]any); ok {
+	for _, element := range list {
+		if fields, ok := element.(map[string]any); ok {
 			delete(fields, "index")
 		}
 	}
--- a/chat/chat.go
+++ b/chat/chat.go
@@ -1,5 +1,5 @@
-// Package chat holds the parts of the OpenAI chat-completions shape that the
-// system reads and writes. What it does not know passes through unchanged.
+// Package chat defines the parts of the OpenAI chat-completions format that the system reads and
+// writes. Unknown fields of a request pass through unchanged.
 package chat
 
 import (
@@ -9,17 +9,17 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Request is a caller's body. Unknown fields stay in the raw body.
+// Request is the body of a caller's request. Unknown fields remain in the raw body.
 type Request struct {
 	Model         string         `json:"model"`
 	Stream        bool           `json:"stream"`
 	StreamOptions *StreamOptions `json:"stream_options,omitempty"`
 	Messages      []Message      `json:"messages"`
-	// N is how many answers the caller wants; 0 stands for 1.
+	// N is the number of answers that the caller requests; 0 means 1.
 	N int `json:"n"`
 }
 
-// StreamOptions are the caller's wishes for a stream.
+// StreamOptions are the caller's options for a stream.
 type StreamOptions struct {
 	IncludeUsage bool `json:"include_usage"`
 }
@@ -35,16 +35,16 @@
 	PromptTokens     int64 `json:"prompt_tokens"`
 	CompletionTokens int64 `json:"completion_tokens"`
 	TotalTokens      int64 `json:"total_tokens"`
-	// Details is nil where the engine did not say more.
+	// Details is nil if the engine did not report it.
 	Details *UsageDetails `json:"prompt_tokens_details,omitempty"`
 }
 
-// UsageDetails says how many tokens of the prompt came from the cache.
+// UsageDetails counts the tokens of the prompt that came from the engine's cache.
 type UsageDetails struct {
 	CachedTokens int64 `json:"cached_tokens"`
 }
 
-// Delta is what a chunk adds.
+// Delta is what a chunk adds to the message.
 type Delta struct {
 	Role    string `json:"role,omitempty"`
 	Content string `json:"content"`
@@ -67,7 +67,7 @@
 	Usage   *Usage        `json:"usage,omitempty"`
 }
 
-// Answer is the whole answer of a request that did not ask for a stream.
+// Answer is the answer to a request that did not ask for a stream.
 type Answer struct {
 	ID      string         `json:"id"`
 	Object  string         `json:"object"`
@@ -80,17 +80,17 @@
 // AnswerChoice is the only choice of an answer.
 type AnswerChoice struct {
 	Index int `json:"index"`
-	// Message is what an Assembly made.
+	// Message is the result of Assembly.Message.
 	Message      map[string]any `json:"message"`
 	FinishReason string         `json:"finish_reason"`
 }
 
-// ErrorBody is the typed error that callers receive.
+// ErrorBody is the body of an error response.
 type ErrorBody struct {
 	Error Error `json:"error"`
 }
 
-// Error says what went wrong, whether the request ran and when to come back.
+// Error describes what went wrong, whether the request ran and when to retry.
 type Error struct {
 	Message string `json:"message"`
 	Type    string `json:"type"`
@@ -98,11 +98,11 @@
 	// Param is always null; clients of chat completions expect the field.
 	Param *string `json:"param"`
 	Run   string  `json:"run"`
-	// RetryAfterMillis is 0 when coming back makes no difference.
+	// RetryAfterMillis is 0 when a retry makes no difference.
 	RetryAfterMillis int64 `json:"retry_after_ms,omitempty"`
 }
 
-// Parse reads a body and checks what the system depends on.
+// Parse parses a body and checks the fields that the system depends on.
 func Parse(body []byte) (r *Request, err error) {
 	defer func() {
 		if err != nil {
@@ -125,8 +125,8 @@
 	return r, nil
 }
 
-// ForEngine rewrites a body for an engine: the version as model, and a stream
-// with usage whatever the caller asked for.
+// ForEngine rewrites a body for an engine: the model is the version, and the engine always streams
+// with usage, whatever the caller requested.
 func ForEngine(body []byte, version string) (out []byte, err error) {
 	var fields map[string]json.RawMessage
 	if err = json.Unmarshal(body, &fields); err != nil {
@@ -142,13 +142,13 @@
 	return json.Marshal(fields)
 }
 
-// minPrefixBytes is how long a prefix must be to be named. A short one costs an
-// engine less to compute again than it costs callers when all requests that
-// happen to share it go to one endpoint.
+// minPrefixBytes is the minimum length of a prefix that gets a hash. Recomputing a shorter one costs
+// an engine less than it costs callers when all requests that happen to share it go to one endpoint.
 const minPrefixBytes = 1 << 10
 
-// PrefixHash names the part of the prompt that a conversation's later requests
-// share: everything before the last message. It is 0 when that is short.
+// PrefixHash returns a hash of the part of the prompt that later requests of the conversation share:
+// everything before the last message, or the only message. It is 0 if that part is shorter than
+// minPrefixBytes.
 func (r *Request) PrefixHash() uint64 {
 	h := xxhash.New()
 	n := 0
--- a/chat/chat_test.go
+++ b/chat/chat_test.go
@@ -7,8 +7,8 @@
 	"github.com/matryer/is"
 )
 
-// A caller who asked for no stream gets a tool call that came in parts. Lost
-// parts, or parts of two calls run together, would call the wrong tool.
+// Tool calls arrive in several deltas, but the caller did not request a stream. Guards against lost
+// deltas and deltas merged into another call, either of which would call the wrong tool.
 func TestAssemblyMergesToolCallsByIndex(t *testing.T) {
 	is := is.New(t)
 	var a Assembly
--- a/chat/prefix_test.go
+++ b/chat/prefix_test.go
@@ -15,15 +15,15 @@
 	return r
 }
 
-// All callers ask the same short question. Were it a prefix, all of them would
-// go to the endpoint that answered it first, and a replaced or idle endpoint
-// beside it would get nothing.
+// All callers send the same short question. Guards against treating it as a shared prefix: all
+// requests would go to the endpoint that answered it first, and replaced or idle endpoints would get
+// none.
 func TestShortPrefixHasNoHash(t *testing.T) {
 	is := is.New(t)
 	is.Equal(conversation("When is the renewal due?").PrefixHash(), uint64(0))
 	long := strings.Repeat("case history ", 100)
 	first, second := conversation(long, "a"), conversation(long, "b")
 	is.True(first.PrefixHash() != 0)
-	is.Equal(first.PrefixHash(), second.PrefixHash()) // the last turn does not count
+	is.Equal(first.PrefixHash(), second.PrefixHash()) // the last message is not hashed
 	is.True(first.PrefixHash() != conversation(long+"x", "a").PrefixHash())
 }
