--- a/standin/address.go
+++ b/standin/address.go
@@ -7,42 +7,40 @@
 	"sync"
 )
 
-// Ports come from below the range that the kernel gives to outgoing
-// connections. A port from that range may be taken by a connection between the
-// moment it was found free and the moment a daemon listens on it; the daemon
+// Ports are below the ephemeral range that the kernel uses for outgoing connections. A connection may
+// take a port of that range after it was found free and before a daemon listens on it; the daemon
 // then fails to start with "address already in use".
 const (
 	firstPort = 12000
 	lastPort  = 32000
 )
 
-// blockSize is how many ports a process takes at a time. Processes that drew single
-// ports from the whole range, as the tests of several packages do side by side, now
-// and then gave the same one away between a check and a daemon's start. So a process
-// takes a block by listening on its first port for as long as it lives, and draws
-// from what follows; another process finds that port taken.
+// blockSize is the number of ports that a process reserves at a time. If processes chose single ports,
+// tests of several packages that run in parallel could choose the same one between a check and a
+// daemon's start. A process therefore reserves a block by listening on its first port until it exits,
+// and allocates the ports that follow; other processes find the first port in use.
 const blockSize = 100
 
-var given struct {
+var allocator struct {
 	sync.Mutex
-	// guards listen on the first ports of the blocks taken, so that they stay taken.
-	guards []net.Listener
-	// next is the port to try next, end the one after the newest block.
+	// reservations listen on the first ports of the reserved blocks until the process exits.
+	reservations []net.Listener
+	// next is the port to try next, end the port after the newest block.
 	next int
 	end  int
 }
 
-// FreeAddress returns a loopback address on which nothing listens, which it has not
-// returned before, and which no other process that asks here will get.
+// FreeAddress returns a loopback address on which nothing listens. It returns no address twice in a
+// process, nor in two processes that run at the same time.
 func FreeAddress() (address string) {
-	given.Lock()
-	defer given.Unlock()
+	allocator.Lock()
+	defer allocator.Unlock()
 	for {
-		if given.next == given.end {
-			takeBlock()
+		if allocator.next == allocator.end {
+			reserveBlock()
 		}
-		address = loopback(given.next)
-		given.next++
+		address = loopback(allocator.next)
+		allocator.next++
 		lis, err := net.Listen("tcp", address)
 		if err != nil {
 			continue
@@ -52,17 +50,17 @@
 	}
 }
 
-// takeBlock takes a block that no other process holds. The one before is kept too:
-// its addresses are still in use.
-func takeBlock() {
+// reserveBlock reserves a block that no other process holds. Earlier blocks remain reserved, as their
+// addresses are still in use.
+func reserveBlock() {
 	for {
 		first := firstPort + blockSize*rand.IntN((lastPort-firstPort)/blockSize)
 		lis, err := net.Listen("tcp", loopback(first))
 		if err != nil {
 			continue
 		}
-		given.guards = append(given.guards, lis)
-		given.next, given.end = first+1, first+blockSize
+		allocator.reservations = append(allocator.reservations, lis)
+		allocator.next, allocator.end = first+1, first+blockSize
 		return
 	}
 }
--- a/standin/address_test.go
+++ b/standin/address_test.go
@@ -12,9 +12,8 @@
 	"github.com/matryer/is"
 )
 
-// A daemon of a test fails to start since a connection of another process took
-// its port in between. Addresses must stay clear of the ports that the kernel
-// gives away by itself, and none may be given twice.
+// Guards against a daemon that fails to start because a connection of another process took its port:
+// addresses must be below the kernel's ephemeral range, and none may be returned twice.
 func TestFreeAddressesAreUniqueAndBelowEphemeralRange(t *testing.T) {
 	is := is.New(t)
 	seen := make(map[string]bool)
@@ -28,17 +27,16 @@
 	}
 }
 
-// Tests of several packages run side by side, each in a process of its own, and drew
-// their ports from one range: an entry ended with "address already in use". A process
-// must not get an address that another one has drawn, also before anything listens
-// on it.
+// Guards against "address already in use" when tests of several packages run in parallel, each in its
+// own process: a process must not get an address that another one was given, even before anything
+// listens on it.
 func TestProcessesShareNoAddresses(t *testing.T) {
 	is := is.New(t)
 	if n := os.Getenv("DRAW_ADDRESSES"); n != "" {
 		for range 150 {
 			fmt.Println("drawn", FreeAddress())
 		}
-		time.Sleep(time.Second) // the blocks are held while the process lives
+		time.Sleep(time.Second) // the blocks are reserved until the process exits
 		return
 	}
 	seen := make(map[string]bool)
@@ -46,9 +44,9 @@
 		seen[FreeAddress()] = true
 	}
 	is.Equal(len(seen), 150)
-	const others = 8
+	const otherProcesses = 8
 	drawn := make(chan string)
-	for range others {
+	for range otherProcesses {
 		go func() {
 			cmd := exec.Command(os.Args[0], "-test.run", "^TestProcessesShareNoAddresses$")
 			cmd.Env = append(os.Environ(), "DRAW_ADDRESSES=1")
@@ -56,7 +54,7 @@
 			drawn <- string(out)
 		}()
 	}
-	for range others {
+	for range otherProcesses {
 		for line := range strings.Lines(<-drawn) {
 			if address, ok := strings.CutPrefix(strings.TrimSpace(line), "drawn "); ok {
 				is.True(!seen[address])
@@ -64,5 +62,5 @@
 			}
 		}
 	}
-	is.Equal(len(seen), 150*(others+1))
+	is.Equal(len(seen), 150*(otherProcesses+1))
 }
--- a/standin/cache.go
+++ b/standin/cache.go
@@ -7,31 +7,29 @@
 )
 
 const (
-	// maxSessions bounds the sessions whose cache an engine keeps.
+	// maxSessions bounds the sessions whose cache an engine stores.
 	maxSessions = 1024
-	// cachedPart is the part of the span before the first token that a session
-	// with a cache still takes.
-	cachedPart = 4
-	// cacheBytes is the size of every cache.
+	// cachedSpeedup divides the delay of the first token for a session with a cache.
+	cachedSpeedup = 4
+	// cacheBytes is the size of each cache.
 	cacheBytes = 600 << 10
 )
 
 // caches holds the KV caches of an engine by session and version.
 type caches struct {
-	// kept has at most maxSessions entries; further sessions get none.
-	kept    map[string][]byte
+	// entries has at most maxSessions entries; further sessions are not cached.
+	entries map[string][]byte
 	imports int
 }
 
-// Imports returns how many caches the engine has taken in.
+// Imports returns the number of caches that the engine has imported.
 func (e *Engine) Imports() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.caches.imports
 }
 
-// cached reports whether the engine has a session's cache, and keeps one from
-// now on.
+// cached reports whether the engine has a session's cache, and stores one if it has not.
 func (e *Engine) cached(session, version string) (hit bool) {
 	if session == "" {
 		return false
@@ -39,25 +37,26 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	name := session + "/" + version
-	_, hit = e.caches.kept[name]
+	_, hit = e.caches.entries[name]
 	if !hit {
-		e.keep(name, bytes.Repeat([]byte(name[:1]), cacheBytes))
+		e.storeCache(name, bytes.Repeat([]byte(name[:1]), cacheBytes))
 	}
 	return hit
 }
 
-func (e *Engine) keep(name string, data []byte) {
-	if e.caches.kept == nil {
-		e.caches.kept = make(map[string][]byte)
+// storeCache must be called with e.mu locked.
+func (e *Engine) storeCache(name string, data []byte) {
+	if e.caches.entries == nil {
+		e.caches.entries = make(map[string][]byte)
 	}
-	if len(e.caches.kept) < maxSessions {
-		e.caches.kept[name] = data
+	if len(e.caches.entries) < maxSessions {
+		e.caches.entries[name] = data
 	}
 }
 
 func (e *Engine) exportCache(w http.ResponseWriter, r *http.Request) {
 	e.mu.Lock()
-	data, ok := e.caches.kept[r.PathValue("session")+"/"+r.URL.Query().Get("version")]
+	data, ok := e.caches.entries[r.PathValue("session")+"/"+r.URL.Query().Get("version")]
 	e.mu.Unlock()
 	if !ok {
 		w.WriteHeader(http.StatusNotFound)
@@ -75,6 +74,6 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.caches.imports++
-	e.keep(r.PathValue("session")+"/"+r.URL.Query().Get("version"), data)
+	e.storeCache(r.PathValue("session")+"/"+r.URL.Query().Get("version"), data)
 	w.WriteHeader(http.StatusNoContent)
 }
--- a/standin/cold.go
+++ b/standin/cold.go
@@ -1,54 +1,53 @@
 package standin
 
-// coldStart models an engine that bears little at first. The zero value bears
-// everything.
+// coldStart models an engine with a low capacity after its start. The zero value has no limit.
 type coldStart struct {
-	// bears is how many requests the engine bears now; each one served adds one,
-	// up to full. Twice as many make it fall over.
-	bears int
-	cold  int
-	full  int
-	falls int
+	// capacity is the number of concurrent requests that the engine can serve now. Each request served
+	// adds one, up to maxCapacity. The engine crashes when more than twice as many run.
+	capacity    int
+	initial     int
+	maxCapacity int
+	crashes     int
 }
 
-// SetColdStart makes the engine cold: it bears cold requests at once, and one more
-// for each that it serves, up to full. When it is given more than twice what it
-// bears it falls over: it breaks all streams off and is cold again.
-func (e *Engine) SetColdStart(cold, full int) {
+// SetColdStart simulates a cold start: the engine serves initial requests at once, and one more for
+// each request that it has served, up to maxCapacity. When it gets more than twice its capacity it
+// crashes: all its streams break and its capacity is initial again.
+func (e *Engine) SetColdStart(initial, maxCapacity int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.cold = coldStart{bears: cold, cold: cold, full: full, falls: e.cold.falls}
+	e.cold = coldStart{capacity: initial, initial: initial, maxCapacity: maxCapacity, crashes: e.cold.crashes}
 }
 
-// Crashes returns how often the engine fell over.
+// Crashes returns how often the engine crashed.
 func (e *Engine) Crashes() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.cold.falls
+	return e.cold.crashes
 }
 
-// bear takes one more request and returns the generation that runs it. It
-// reports false when that was one too many.
-func (e *Engine) bear() (generation uint64, ok bool) {
+// admit returns the generation that runs a new request. It returns false when the request makes the
+// engine crash.
+func (e *Engine) admit() (generation uint64, ok bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.cold.full > 0 && int(e.running.Load()) > 2*e.cold.bears {
-		e.cold.falls++
-		e.cold.bears = e.cold.cold
+	if e.cold.maxCapacity > 0 && int(e.running.Load()) > 2*e.cold.capacity {
+		e.cold.crashes++
+		e.cold.capacity = e.cold.initial
 		e.generation++
 		return 0, false
 	}
 	return e.generation, true
 }
 
-// warm counts a request served. It reports false when the engine fell over
-// while the request ran, whose stream then breaks off.
-func (e *Engine) warm(generation uint64) bool {
+// recordServed counts a request as served. It returns false when the engine crashed while the request
+// ran, so that its stream has to break.
+func (e *Engine) recordServed(generation uint64) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if generation != e.generation && e.cold.full > 0 {
+	if generation != e.generation && e.cold.maxCapacity > 0 {
 		return false
 	}
-	e.cold.bears = min(e.cold.bears+1, e.cold.full)
+	e.cold.capacity = min(e.cold.capacity+1, e.cold.maxCapacity)
 	return true
 }
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -14,47 +14,49 @@
 	"github.com/parsleydeal/parsleydeal/clock"
 )
 
-// EngineFaults tells an engine how to fail.
+// EngineFaults are the failures to simulate in an engine.
 type EngineFaults struct {
-	// BreakAfter cuts every stream after so many tokens; 0 cuts none.
+	// BreakAfter disconnects every stream after that many tokens; 0 disconnects none.
 	BreakAfter int
 	// Refuse answers every request with 503.
 	Refuse bool
 	// Reject answers every request with 400.
 	Reject bool
-	// Stall sends no token until it is lifted or the request is cancelled.
+	// Stall sends no token until the fault is removed or the request is cancelled.
 	Stall bool
-	// ToolCall adds a tool call to the answer's second token.
+	// ToolCall sends a tool call instead of the answer's second token.
 	ToolCall bool
-	// BreakVersion cuts every stream of one version at its first token.
+	// BreakVersion disconnects every stream of that version at its first token.
 	BreakVersion string
 }
 
-// Engine is the stand-in of a model engine.
+// Engine is the stand-in for a model engine.
 type Engine struct {
-	// first and gap are the spans before the first token and between tokens.
-	first clock.Millis
-	gap   clock.Millis
-	// tokens is the length of every answer.
+	// firstDelay is the time before the first token, tokenInterval the time between tokens.
+	firstDelay    clock.Millis
+	tokenInterval clock.Millis
+	// tokens is the number of tokens of every answer.
 	tokens  int
 	running atomic.Int64
-	// most is the most requests held at once.
-	most      atomic.Int64
-	cancelled atomic.Int64
-	refused   atomic.Int64
-	mu        sync.Mutex
-	faults    EngineFaults
-	// runs counts how often each request was started.
-	runs       map[string]int
+	// maxRunning is the highest number of requests that ran at once.
+	maxRunning atomic.Int64
+	cancelled  atomic.Int64
+	refused    atomic.Int64
+	mu         sync.Mutex
+	faults     EngineFaults
+	// runs counts the starts by request ID.
+	runs map[string]int
+	// generation increases with each restart or crash.
 	generation uint64
 	orders     orders
 	cold       coldStart
 	caches     caches
 }
 
-// NewEngine makes an engine whose answers have so many tokens.
-func NewEngine(first, gap clock.Millis, tokens int) *Engine {
-	return &Engine{first: first, gap: gap, tokens: tokens, generation: 1, runs: make(map[string]int)}
+// NewEngine returns an engine that sends its first token after firstDelay and then one token each
+// tokenInterval. Each answer has that many tokens.
+func NewEngine(firstDelay, tokenInterval clock.Millis, tokens int) *Engine {
+	return &Engine{firstDelay: firstDelay, tokenInterval: tokenInterval, tokens: tokens, generation: 1, runs: make(map[string]int)}
 }
 
 // SetFaults replaces the faults.
@@ -64,21 +66,21 @@
 	e.faults = f
 }
 
-// Restart gives the engine a new generation, as a restart does.
+// Restart simulates a restart: it increases the generation that the engine reports.
 func (e *Engine) Restart() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.generation++
 }
 
-// Runs returns how often a request was started.
+// Runs returns how often the request with an ID was started.
 func (e *Engine) Runs(request string) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.runs[request]
 }
 
-// Started returns how many requests were started, each as often as it was.
+// Started returns the number of starts of all requests.
 func (e *Engine) Started() (n int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -88,19 +90,19 @@
 	return n
 }
 
-// Running returns how many requests the engine holds.
+// Running returns the number of requests that are running.
 func (e *Engine) Running() int64 { return e.running.Load() }
 
-// MaxRunning returns the most requests that the engine held at once.
-func (e *Engine) MaxRunning() int { return int(e.most.Load()) }
+// MaxRunning returns the highest number of requests that ran at once.
+func (e *Engine) MaxRunning() int { return int(e.maxRunning.Load()) }
 
-// Cancelled returns how many requests ended because their caller went.
+// Cancelled returns the number of requests that ended because the caller disconnected.
 func (e *Engine) Cancelled() int { return int(e.cancelled.Load()) }
 
-// Refused returns how many requests were answered with 503 by a fault.
+// Refused returns the number of requests that the Refuse fault answered with 503.
 func (e *Engine) Refused() int { return int(e.refused.Load()) }
 
-// Handler returns the engine's interface.
+// Handler returns the engine's HTTP interface.
 func (e *Engine) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/chat/completions", e.chat)
@@ -127,7 +129,7 @@
 	Role       string   `json:"role"`
 }
 
-// engineRequest is a chat request with what an engine needs to resume.
+// engineRequest is a chat request with the fields that resume an answer.
 type engineRequest struct {
 	chat.Request
 	ResumeAfter int    `json:"resume_after"`
@@ -150,21 +152,21 @@
 		http.Error(w, "the engine takes no such request", http.StatusBadRequest)
 		return
 	}
-	e.begin(r.Header.Get("X-Request-Id"))
+	e.start(r.Header.Get("X-Request-Id"))
 	defer e.running.Add(-1)
-	generation, ok := e.bear()
+	generation, ok := e.admit()
 	if !ok {
 		panic(http.ErrAbortHandler)
 	}
 	w.Header().Set("Content-Type", "text/event-stream")
-	first := e.first
+	delay := e.firstDelay
 	if e.cached(r.Header.Get("X-Session"), req.Model) {
-		first /= cachedPart
+		delay /= cachedSpeedup
 	}
-	if !e.wait(r, first) {
+	if !e.wait(r, delay) {
 		return
 	}
-	if e.stream(w, r, &req) && e.warm(generation) {
+	if e.stream(w, r, &req) && e.recordServed(generation) {
 		fmt.Fprint(w, "data: [DONE]\n\n")
 	}
 }
@@ -175,39 +177,40 @@
 	return e.faults
 }
 
-func (e *Engine) begin(request string) {
+func (e *Engine) start(request string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.runs[request]++
 	n := e.running.Add(1)
-	e.most.Store(max(e.most.Load(), n))
+	e.maxRunning.Store(max(e.maxRunning.Load(), n))
 }
 
-// wait passes a span, and longer while the engine stalls. It reports false when
-// the request was cancelled.
-func (e *Engine) wait(r *http.Request, span clock.Millis) bool {
+// wait waits for a duration, and longer while the engine stalls. It returns false when the request was
+// cancelled.
+func (e *Engine) wait(r *http.Request, duration clock.Millis) bool {
 	for {
 		select {
 		case <-r.Context().Done():
 			e.cancelled.Add(1)
 			return false
-		case <-time.After(span.Duration()):
+		case <-time.After(duration.Duration()):
 		}
 		if !e.currentFaults().Stall {
 			return true
 		}
-		span = 1
+		duration = 1
 	}
 }
 
-// stream sends the tokens; a resumed request gets those after its text.
-func (e *Engine) stream(w http.ResponseWriter, r *http.Request, req *engineRequest) (whole bool) {
+// stream sends the tokens; a resumed request gets those from ResumeAfter on. It returns false when the
+// request was cancelled.
+func (e *Engine) stream(w http.ResponseWriter, r *http.Request, req *engineRequest) (complete bool) {
 	for i := req.ResumeAfter; i < e.tokens; i++ {
 		faults := e.currentFaults()
 		if faults.BreakAfter > 0 && i == faults.BreakAfter || faults.BreakVersion == req.Model {
 			panic(http.ErrAbortHandler)
 		}
-		if i > req.ResumeAfter && !e.wait(r, e.gap) {
+		if i > req.ResumeAfter && !e.wait(r, e.tokenInterval) {
 			return false
 		}
 		c := chunk(req.Model, tokenOf(req, i), nil)
@@ -224,21 +227,21 @@
 	return true
 }
 
-// toolCallChunk holds a delta that text alone cannot stand for.
+// toolCallChunk is a chunk whose delta has a tool call instead of text.
 const toolCallChunk = `{"object":"chat.completion.chunk","choices":[{"index":0,"delta":{"tool_calls":[{"index":0,"id":"call-1","function":{"name":"renewal","arguments":"{}"}}]},"finish_reason":null}]}`
 
-// Token returns the token with a number of every answer.
+// Token returns token i of an answer, counting from 0.
 func Token(i int) string { return fmt.Sprintf("w%d ", i) }
 
-// echoMark stands in a prompt before a word that the engine gives back as its
-// first token, so that a caller knows an answer for its own.
-const echoMark = "echo:"
+// echoPrefix precedes a word in a prompt that the engine returns as its first token, so that a caller
+// can match an answer to its request.
+const echoPrefix = "echo:"
 
 func tokenOf(req *engineRequest, i int) string {
 	if i > 0 || len(req.Messages) == 0 {
 		return Token(i)
 	}
-	_, word, ok := strings.Cut(string(req.Messages[len(req.Messages)-1].Content), echoMark)
+	_, word, ok := strings.Cut(string(req.Messages[len(req.Messages)-1].Content), echoPrefix)
 	if !ok {
 		return Token(i)
 	}
@@ -246,7 +249,7 @@
 	return word + " "
 }
 
-// Text returns the whole answer of so many tokens.
+// Text returns the complete text of an answer with that many tokens.
 func Text(tokens int) string {
 	var b strings.Builder
 	for i := range tokens {
@@ -283,21 +286,20 @@
 	_ = http.NewResponseController(w).Flush()
 }
 
-// orders is what an engine was ordered to be.
+// orders is the state that an engine's orders have set.
 type orders struct {
-	// managed is true once the engine was told what to load; before, it answers
-	// for any version.
+	// managed is true after Manage. Before, the engine reports no versions and answers for any.
 	managed bool
 	loaded  []string
 	role    string
-	// checks refuses orders whose fence is below the highest seen.
-	checks bool
-	fence  int64
-	// done lists the orders carried out.
-	done []EngineOrder
+	// checksFence is true if orders with a fence below the highest seen are refused.
+	checksFence bool
+	fence       int64
+	// executed lists the executed orders, oldest first.
+	executed []EngineOrder
 }
 
-// EngineOrder is one order that an engine got.
+// EngineOrder is an order to an engine.
 type EngineOrder struct {
 	Kind    string `json:"kind"`
 	Version string `json:"version,omitempty"`
@@ -312,19 +314,19 @@
 	return append([]string{}, o.loaded...)
 }
 
-// Manage makes the engine hold just these versions, and says whether it refuses
-// orders with an old fencing number.
-func (e *Engine) Manage(checks bool, versions ...string) {
+// Manage makes the engine report exactly these versions as loaded. If checksFence is set, the engine
+// refuses orders with a fence below the highest seen.
+func (e *Engine) Manage(checksFence bool, versions ...string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.orders = orders{managed: true, loaded: versions, checks: checks, fence: -1}
+	e.orders = orders{managed: true, loaded: versions, checksFence: checksFence, fence: -1}
 }
 
-// Orders returns the orders carried out, in order.
+// Orders returns the executed orders, oldest first.
 func (e *Engine) Orders() []EngineOrder {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return slices.Clone(e.orders.done)
+	return slices.Clone(e.orders.executed)
 }
 
 func (e *Engine) order(w http.ResponseWriter, r *http.Request) {
@@ -335,17 +337,17 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.orders.checks && o.Fence < e.orders.fence {
+	if e.orders.checksFence && o.Fence < e.orders.fence {
 		w.WriteHeader(http.StatusPreconditionFailed)
 		return
 	}
 	e.orders.fence = max(e.orders.fence, o.Fence)
-	e.orders.take(o)
+	e.orders.apply(o)
 	w.WriteHeader(http.StatusAccepted)
 }
 
-func (o *orders) take(order EngineOrder) {
-	o.done = append(o.done, order)
+func (o *orders) apply(order EngineOrder) {
+	o.executed = append(o.executed, order)
 	switch order.Kind {
 	case "load":
 		if !slices.Contains(o.loaded, order.Version) {
--- a/standin/plain.go
+++ b/standin/plain.go
@@ -10,24 +10,24 @@
 	"github.com/google/uuid"
 )
 
-// PlainFaults tells a plain service how to fail.
+// PlainFaults are the failures to simulate in a plain service.
 type PlainFaults struct {
-	// DropConnection takes a call and closes the connection without an answer.
+	// DropConnection counts a call and closes the connection without an answer.
 	DropConnection bool
-	// BreakAfter breaks an answer off after so many bytes of the echo; 0 never.
+	// BreakAfter breaks the connection after that many bytes of the echo; 0 never does.
 	BreakAfter int64
-	// Stall holds calls until it is lifted.
+	// Stall delays calls until the fault is removed.
 	Stall bool
 }
 
-// Plain is the stand-in of a plain service. It echoes bodies and counts calls.
+// Plain is the stand-in for a plain service. It echoes bodies and counts calls.
 type Plain struct {
 	mu     sync.Mutex
 	calls  map[string]int
 	faults PlainFaults
 }
 
-// NewPlain makes a plain service.
+// NewPlain returns a plain service without faults.
 func NewPlain() *Plain {
 	return &Plain{calls: make(map[string]int)}
 }
@@ -53,13 +53,13 @@
 	return p.faults
 }
 
-func (p *Plain) current() PlainFaults {
+func (p *Plain) currentFaults() PlainFaults {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.faults
 }
 
-// Handler returns the service's interface.
+// Handler returns the service's HTTP interface.
 func (p *Plain) Handler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		faults := p.count(r)
@@ -68,7 +68,7 @@
 		}
 		for faults.Stall && r.Context().Err() == nil {
 			time.Sleep(time.Millisecond)
-			faults = p.current()
+			faults = p.currentFaults()
 		}
 		rc := http.NewResponseController(w)
 		_ = rc.EnableFullDuplex()
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -1,6 +1,5 @@
-// Package standin holds small stand-ins of the outside systems: the platform's
-// log, VM list, weight store and rater, model engines and plain services. They
-// keep everything in memory and can be told to fail.
+// Package standin provides in-memory stand-ins for external systems: the platform's log, VM list,
+// weight store and rater, model engines and plain services. They can simulate failures.
 package standin
 
 import (
@@ -17,38 +16,38 @@
 // maxRecordBytes bounds one record of the log.
 const maxRecordBytes = 4 << 20
 
-// Platform is the stand-in of the platform's services.
+// Platform is the stand-in for the platform's services.
 type Platform struct {
 	mu      sync.Mutex
 	streams map[string]*stream
 	vms     []provider.VM
 	faults  Faults
-	// qualities are the true qualities by version, which the rater knows.
+	// qualities holds the true quality of each version, which the rater uses.
 	qualities map[string]float64
 	ratings   []provider.Rating
 	weights   map[string]int
 }
 
-// Faults tells the platform how to fail.
+// Faults are the failures to simulate in the platform.
 type Faults struct {
 	// Down refuses every call to the log.
 	Down bool `json:"down"`
-	// DropAnswers carries out appends but loses the next so many answers.
+	// DropAnswers is the number of next appends that are executed but whose answers are dropped.
 	DropAnswers int `json:"lose-answers"`
-	// DelayMillis slows every call to the log.
+	// DelayMillis delays every call to the log.
 	DelayMillis int64 `json:"delay-millis"`
-	// RefuseWeights refuses the next so many fetches by rate limit.
+	// RefuseWeights is the number of next weight fetches that are refused by a rate limit.
 	RefuseWeights int `json:"refuse-weights"`
 }
 
 type stream struct {
 	first   int64
 	records [][]byte
-	// grown is closed and replaced when a record is appended.
-	grown chan struct{}
+	// appended is closed and replaced when a record is appended.
+	appended chan struct{}
 }
 
-// NewPlatform makes an empty platform.
+// NewPlatform returns a platform without VMs and records.
 func NewPlatform() *Platform {
 	return &Platform{streams: make(map[string]*stream), qualities: make(map[string]float64), weights: make(map[string]int)}
 }
@@ -74,7 +73,7 @@
 	p.qualities[version] = q
 }
 
-// Expire drops a stream's records below an offset, as retention does.
+// Expire removes a stream's records below an offset, as retention does.
 func (p *Platform) Expire(name string, first int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -85,7 +84,7 @@
 	}
 }
 
-// Records returns what a stream keeps.
+// Records returns the records that a stream retains.
 func (p *Platform) Records(name string) (records [][]byte) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -95,13 +94,13 @@
 func (p *Platform) stream(name string) *stream {
 	s, ok := p.streams[name]
 	if !ok {
-		s = &stream{grown: make(chan struct{})}
+		s = &stream{appended: make(chan struct{})}
 		p.streams[name] = s
 	}
 	return s
 }
 
-// Handler returns the platform's interface.
+// Handler returns the platform's HTTP interface.
 func (p *Platform) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /streams/{name}", p.append)
@@ -121,8 +120,8 @@
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// fail applies the log's faults and reports whether the call is over.
-func (p *Platform) fail(w http.ResponseWriter) (over bool) {
+// injectFault applies the log's delay and outage and reports whether it has answered the call.
+func (p *Platform) injectFault(w http.ResponseWriter) (answered bool) {
 	p.mu.Lock()
 	f := p.faults
 	p.mu.Unlock()
@@ -135,46 +134,46 @@
 
 func (p *Platform) append(w http.ResponseWriter, r *http.Request) {
 	data, err := io.ReadAll(io.LimitReader(r.Body, maxRecordBytes))
-	if err != nil || p.fail(w) {
+	if err != nil || p.injectFault(w) {
 		return
 	}
 	p.mu.Lock()
-	offset := p.stream(r.PathValue("name")).add(data)
-	lose := p.faults.DropAnswers > 0
-	if lose {
+	offset := p.stream(r.PathValue("name")).appendRecord(data)
+	drop := p.faults.DropAnswers > 0
+	if drop {
 		p.faults.DropAnswers--
 	}
 	p.mu.Unlock()
-	if lose {
+	if drop {
 		panic(http.ErrAbortHandler)
 	}
 	reply(w, map[string]int64{"offset": offset})
 }
 
-func (s *stream) add(data []byte) (offset int64) {
+func (s *stream) appendRecord(data []byte) (offset int64) {
 	s.records = append(s.records, data)
-	close(s.grown)
-	s.grown = make(chan struct{})
+	close(s.appended)
+	s.appended = make(chan struct{})
 	return s.first + int64(len(s.records)) - 1
 }
 
 func (p *Platform) read(w http.ResponseWriter, r *http.Request) {
-	if p.fail(w) {
+	if p.injectFault(w) {
 		return
 	}
 	from, _ := strconv.ParseInt(r.URL.Query().Get("from"), 10, 64)
 	wait, _ := strconv.ParseInt(r.URL.Query().Get("wait"), 10, 64)
 	name := r.PathValue("name")
-	page, grown := p.page(name, from)
+	page, appended := p.page(name, from)
 	if len(page.Records) == 0 && wait > 0 {
 		select {
-		case <-grown:
+		case <-appended:
 		case <-time.After(time.Duration(wait) * time.Millisecond):
 		case <-r.Context().Done():
 		}
 		page, _ = p.page(name, from)
 	}
-	if p.fail(w) {
+	if p.injectFault(w) {
 		return
 	}
 	if from < page.First {
@@ -184,16 +183,16 @@
 	reply(w, page)
 }
 
-func (p *Platform) page(name string, from int64) (page provider.Page, grown chan struct{}) {
-	const most = 500
+func (p *Platform) page(name string, from int64) (page provider.Page, appended chan struct{}) {
+	const maxRecords = 500
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	s := p.stream(name)
 	page = provider.Page{First: s.first, Head: s.first + int64(len(s.records))}
-	for o := max(from, s.first); o < page.Head && len(page.Records) < most; o++ {
+	for o := max(from, s.first); o < page.Head && len(page.Records) < maxRecords; o++ {
 		page.Records = append(page.Records, provider.Record{Offset: o, Data: s.records[o-s.first]})
 	}
-	return page, s.grown
+	return page, s.appended
 }
 
 func (p *Platform) listVMs(w http.ResponseWriter, _ *http.Request) {
