--- a/bench/billing.go
+++ b/bench/billing.go
@@ -25,7 +25,7 @@
 
 type billingNode struct {
 	m       batch.Member
-	place   *batch.Place
+	place   *batch.Assignment
 	ledger  *bill.Ledger
 	batcher *batch.Batcher
 }
@@ -59,8 +59,8 @@
 		members = append(members, batch.Member{ID: fmt.Sprintf("entry-%03d", i), Zone: fmt.Sprintf("zone-%02d", z), Region: fmt.Sprintf("region-%d", region), Entry: true})
 	}
 	for _, m := range members {
-		n := &billingNode{m: m, place: batch.NewPlace(m, members), ledger: bill.NewLedger(m.Zone, bound)}
-		n.batcher = batch.NewBatcher(m.ID, n.place.Rate())
+		n := &billingNode{m: m, place: batch.NewAssignment(m, members), ledger: bill.NewLedger(m.Zone, bound)}
+		n.batcher = batch.NewBatcher(m.ID, n.place.AppendRate())
 		r.nodes = append(r.nodes, n)
 		r.byID[m.ID] = n
 		r.post(n, bill.MembersChanged{Place: n.place})
@@ -192,7 +192,7 @@
 			Figure{name + "log-bytes-per-bill", float64(r.bytes) / float64(r.onLog)},
 			Figure{name + "holds-per-bill", float64(r.holds) / (billingRate * seconds)},
 			Figure{name + "mean-ms-to-log", float64(r.waited) / float64(r.stored)},
-			Figure{name + "appenders", float64(r.nodes[0].place.Appenders())},
+			Figure{name + "appenders", float64(r.nodes[0].place.AppenderCount())},
 		)
 	}
 	return append(figures, outageFigures(30)...)
--- a/bill/event.go
+++ b/bill/event.go
@@ -46,7 +46,7 @@
 // MembersChanged replaces the list of members.
 type MembersChanged struct {
 	Now   clock.Millis
-	Place *batch.Place
+	Place *batch.Assignment
 }
 
 // Tick reports the current time.
--- a/bill/ledger.go
+++ b/bill/ledger.go
@@ -63,7 +63,7 @@
 type Ledger struct {
 	zone  string
 	bound int
-	place *batch.Place
+	place *batch.Assignment
 	// reserved counts the places taken for requests in progress.
 	reserved int
 	// entries holds bills by request: at most bound less reserved of this process, and at most
@@ -206,7 +206,7 @@
 	zones, excludedVMs := l.excluded(x)
 	selectHolder := l.place.Holder
 	if len(x.requestedFrom) > 0 {
-		selectHolder = l.place.Spare
+		selectHolder = l.place.FallbackHolder
 	}
 	m, ok := selectHolder(x.bill.GetRequest(), zones, excludedVMs)
 	if !ok {
--- a/bill/ledger_test.go
+++ b/bill/ledger_test.go
@@ -57,13 +57,13 @@
 }
 
 // newPlace parses lines of the form "vm zone".
-func newPlace(input string) *batch.Place {
+func newPlace(input string) *batch.Assignment {
 	var members []batch.Member
 	for line := range strings.Lines(input) {
 		f := strings.Fields(line)
 		members = append(members, batch.Member{ID: f[0], Zone: f[1], Entry: true})
 	}
-	return batch.NewPlace(batch.Member{ID: "self", Zone: "zone-a"}, members)
+	return batch.NewAssignment(batch.Member{ID: "self", Zone: "zone-a"}, members)
 }
 
 func effectsText(effects []Effect) string {
--- a/node/billing.go
+++ b/node/billing.go
@@ -104,13 +104,13 @@
 func (b *Billing) refreshPlace() {
 	p := b.n.newPlace()
 	b.n.currentPlace.Store(p)
-	b.writer.Share(p.Rate())
+	b.writer.SetRate(p.AppendRate())
 	b.post(bill.MembersChanged{Now: b.n.cfg.Clock.Now(), Place: p})
 }
 
 // newPlace returns which processes append and which hold copies of bills, computed from the
 // current members.
-func (n *Node) newPlace() *batch.Place {
+func (n *Node) newPlace() *batch.Assignment {
 	s := n.cfg.Settings
 	self := batch.Member{ID: s.VM, Zone: s.Zone, Region: s.Region}
 	members := n.View().Members()
@@ -124,7 +124,7 @@
 		}
 		live = append(live, batch.Member{ID: vm.ID, Zone: vm.Zone, Region: vm.Region, Address: vm.Address, Entry: vm.Role == provider.EntryRole})
 	}
-	return batch.NewPlace(self, live)
+	return batch.NewAssignment(self, live)
 }
 
 // Reserve reserves room for the bill of a request, before its dispatch. At the bound it
--- a/proof/fleet_test.go
+++ b/proof/fleet_test.go
@@ -182,8 +182,8 @@
 		return
 	}
 	p.do(func() {
-		place := batch.NewPlace(p.m, p.f.listed())
-		p.journal(batch.Share{Now: p.f.now, Rate: place.Rate()})
+		place := batch.NewAssignment(p.m, p.f.listed())
+		p.journal(batch.SetRate{Now: p.f.now, Rate: place.AppendRate()})
 		p.post(bill.MembersChanged{Now: p.f.now, Place: place})
 	})
 	p.f.after(placeEvery, p.place)
