--- a/client/publish_test.go
+++ b/client/publish_test.go
@@ -30,7 +30,7 @@
 
 func change(id string, base int64) *table.Change {
 	return &table.Change{ID: id, Author: "ops", Kind: table.Whole, Base: base, Tables: table.Tables{
-		Zones: map[string]table.Site{"a": {State: table.Out}},
+		Zones: map[string]table.Location{"a": {State: table.Out}},
 	}}
 }
 
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -52,7 +52,7 @@
 	// started is when this process began; begun is true once it is known.
 	started clock.Millis
 	begun   bool
-	engine  *event.EngineSeen
+	engine  *event.EngineReported
 	// fence is the lease's offset and until the instant at which it lapses here;
 	// asked is when the append under way was asked for, and taking its ID.
 	fence  int64
@@ -77,7 +77,7 @@
 }
 
 type order struct {
-	event.GiveOrder
+	event.SendOrder
 	// taken is true once the engine has accepted the order, whose effect has not
 	// shown yet.
 	taken bool
@@ -97,7 +97,7 @@
 	switch e := e.(type) {
 	case event.Tick:
 		s.tick(e.Now)
-	case event.EngineSeen:
+	case event.EngineReported:
 		s.tick(e.Now)
 		s.see(e)
 	case event.AppendDone:
@@ -119,7 +119,7 @@
 
 // see takes in the engine's state. A new generation has lost what was loaded
 // and the weights at hand.
-func (s *State) see(e event.EngineSeen) {
+func (s *State) see(e event.EngineReported) {
 	if s.engine != nil && s.engine.Generation != e.Generation {
 		s.fetched = ""
 		s.crowded = false
@@ -181,7 +181,7 @@
 	}
 	s.now = max(s.now, e.Now)
 	switch e.Outcome {
-	case event.OrderTaken:
+	case event.OrderAccepted:
 		s.order.taken = true
 		s.order.end = s.now + effectTime
 		return
@@ -241,9 +241,9 @@
 		return s.lease(k)
 	}
 	s.number++
-	o.ID, o.Fence, o.Until, o.Compare = s.number, s.fence, s.now+OrderLife, !k.ChecksFencing
+	o.ID, o.Fence, o.Until, o.CompareFence = s.number, s.fence, s.now+OrderLife, !k.ChecksFencing
 	// The order ends here only after it can no longer be given.
-	s.order = &order{GiveOrder: o, end: s.now + 2*OrderLife}
+	s.order = &order{SendOrder: o, end: s.now + 2*OrderLife}
 	return []event.Effect{o}
 }
 
@@ -262,7 +262,7 @@
 // versions go first. What is new is loaded before what is old is unloaded, so
 // that a pool that swaps versions does not run dry, unless the engine lacks room.
 // A version that still answers requests stays until they have ended.
-func (s *State) next(k Known) (o event.GiveOrder, ok bool) {
+func (s *State) next(k Known) (o event.SendOrder, ok bool) {
 	var missing, surplus []string
 	for _, v := range k.Versions {
 		if !slices.Contains(s.engine.Versions, v) {
@@ -274,20 +274,20 @@
 			continue
 		}
 		if k.Withdrawn(v) {
-			return event.GiveOrder{Kind: event.UnloadVersion, Version: v}, true
+			return event.SendOrder{Kind: event.UnloadVersion, Version: v}, true
 		}
 		if !slices.Contains(k.Versions, v) {
 			surplus = append(surplus, v)
 		}
 	}
 	if len(missing) > 0 && (!s.crowded || len(surplus) == 0) {
-		return event.GiveOrder{Kind: event.LoadVersion, Version: slices.Min(missing)}, true
+		return event.SendOrder{Kind: event.LoadVersion, Version: slices.Min(missing)}, true
 	}
 	if len(surplus) > 0 {
-		return event.GiveOrder{Kind: event.UnloadVersion, Version: slices.Min(surplus)}, true
+		return event.SendOrder{Kind: event.UnloadVersion, Version: slices.Min(surplus)}, true
 	}
 	if k.Role != "" && s.engine.Role != k.Role {
-		return event.GiveOrder{Kind: event.ChangeRole, Role: k.Role}, true
+		return event.SendOrder{Kind: event.ChangeRole, Role: k.Role}, true
 	}
 	return o, false
 }
