--- a/settings/check.go
+++ b/settings/check.go
@@ -12,16 +12,16 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// Fault is one thing wrong with a file of settings.
+// Fault is one error in a settings file.
 type Fault struct {
-	// Line is 0 for a key that the file lacks.
+	// Line is 0 for a key that is missing from the file.
 	Line int
 	Key  string
-	// Reason says what is wrong and what is allowed.
+	// Reason describes the error and the allowed values.
 	Reason string
 }
 
-// String formats the fault to stand after a file's name.
+// String formats the fault as a suffix of a file name.
 func (f Fault) String() string {
 	text := ": "
 	if f.Line > 0 {
@@ -33,8 +33,8 @@
 	return text + f.Reason
 }
 
-// Check reads settings over the defaults and returns every fault, in the order
-// of their lines. The settings are of use only without faults.
+// Check decodes settings over the defaults and returns every fault, ordered by line. The settings may
+// be used only if there are no faults.
 func Check(data []byte, p Program) (s Settings, faults []Fault) {
 	s = Default()
 	tree := make(map[string]any)
@@ -42,7 +42,7 @@
 		return s, []Fault{syntaxFault(err)}
 	}
 	c := &checker{program: p, settings: &s, lines: Lines(data), tree: tree, faulty: make(map[string]bool)}
-	c.dropFaulty("", reflect.TypeFor[Settings](), tree)
+	c.dropInvalid("", reflect.TypeFor[Settings](), tree)
 	if err := c.fill(); err != nil {
 		c.add("", "%s", err.Error())
 	}
@@ -55,22 +55,22 @@
 }
 
 func syntaxFault(err error) Fault {
-	var d *toml.DecodeError
-	if !errors.As(err, &d) {
+	var decodeErr *toml.DecodeError
+	if !errors.As(err, &decodeErr) {
 		return Fault{Reason: err.Error()}
 	}
-	line, _ := d.Position()
-	return Fault{Line: line, Key: strings.Join(d.Key(), "."), Reason: d.Error()}
+	line, _ := decodeErr.Position()
+	return Fault{Line: line, Key: strings.Join(decodeErr.Key(), "."), Reason: decodeErr.Error()}
 }
 
-// checker gathers the faults of one file.
+// checker collects the faults of one file.
 type checker struct {
 	program  Program
 	settings *Settings
-	// lines holds the line of each dotted key that the file sets.
+	// lines maps each dotted key in the file to its line.
 	lines map[string]int
 	tree  map[string]any
-	// faulty holds keys whose value was dropped, so that each has one fault.
+	// faulty holds the keys that have a fault, so that no further fault is reported for them.
 	faulty map[string]bool
 	faults []Fault
 }
@@ -80,64 +80,64 @@
 	c.faulty[key] = true
 }
 
-// dropFaulty takes unknown keys and values of a wrong type out of the tree and
-// reports them, so that the rest can still be judged.
-func (c *checker) dropFaulty(prefix string, t reflect.Type, tree map[string]any) {
+// dropInvalid reports unknown keys and values of the wrong type and removes them from the tree, so that
+// the rest can still be decoded and checked.
+func (c *checker) dropInvalid(prefix string, t reflect.Type, tree map[string]any) {
 	for name, value := range tree {
 		key := join(prefix, name)
-		field, ok := fieldOf(t, name)
+		field, ok := fieldType(t, name)
 		if !ok {
-			c.add(key, "%s", c.unknown(key, prefix, t))
+			c.add(key, "%s", c.unknownReason(key, prefix, t))
 			delete(tree, name)
 			continue
 		}
-		if reason := c.descend(key, field, value); reason != "" {
+		if reason := c.checkValue(key, field, value); reason != "" {
 			c.add(key, "%s", reason)
 			delete(tree, name)
 		}
 	}
 }
 
-// descend checks one value and what lies below it, and returns a fault of the
-// value itself.
-func (c *checker) descend(key string, t reflect.Type, value any) (reason string) {
+// checkValue checks the type of one value and of the values nested in it. It returns the fault of the
+// value itself and adds those of nested values.
+func (c *checker) checkValue(key string, t reflect.Type, value any) (reason string) {
 	if t.Kind() != reflect.Struct && t.Kind() != reflect.Map {
 		return wrongType(t, value)
 	}
 	table, ok := value.(map[string]any)
 	if !ok {
-		return "is " + nameOf(value) + ", a table is allowed"
+		return "is " + describe(value) + ", a table is allowed"
 	}
-	c.dropFaulty(key, t, table)
+	c.dropInvalid(key, t, table)
 	return ""
 }
 
-// renamed holds where options stand that had another name.
-var renamed = map[string]string{"experiments": "decisions"}
+// renamedKeys maps former option names to current ones.
+var renamedKeys = map[string]string{"experiments": "decisions"}
 
-// unknown says what may stand in the place of a key that is no option.
-func (c *checker) unknown(key, prefix string, t reflect.Type) string {
-	if now, ok := renamed[key]; ok {
-		return "is now named " + now
+// unknownReason returns the reason for an unknown key, with the allowed names.
+func (c *checker) unknownReason(key, prefix string, t reflect.Type) string {
+	if current, ok := renamedKeys[key]; ok {
+		return "is now named " + current
 	}
-	return "is no option; " + c.near(prefix, t)
+	return "is no option; " + c.allowedNames(prefix, t)
 }
 
-// near lists what stands at a place of the file.
-func (c *checker) near(prefix string, t reflect.Type) string {
+// allowedNames lists the names that a section of the file may contain.
+func (c *checker) allowedNames(prefix string, t reflect.Type) string {
 	names := make([]string, 0, t.NumField())
 	for f := range fields(t) {
 		names = append(names, f.Tag.Get("toml"))
 	}
 	slices.Sort(names)
-	place := "at the top"
+	section := "at the top"
 	if prefix != "" {
-		place = "in " + prefix
+		section = "in " + prefix
 	}
-	return place + " are allowed " + strings.Join(names, ", ")
+	return section + " are allowed " + strings.Join(names, ", ")
 }
 
-// fill decodes what is left of the tree over the defaults.
+// fill decodes the remaining tree over the defaults.
 func (c *checker) fill() (err error) {
 	data, err := toml.Marshal(c.tree)
 	if err != nil {
@@ -146,8 +146,8 @@
 	return toml.Unmarshal(data, c.settings)
 }
 
-// checkProgram finds out which program the file is for. A process is either an
-// entry or an endpoint, so both sections in one file cannot both take effect.
+// checkProgram determines which program the file is for. A process is either an entry or an endpoint,
+// so a file with both sections is invalid.
 func (c *checker) checkProgram() {
 	entry, endpoint := c.has("entry"), c.has("endpoint")
 	switch {
@@ -178,27 +178,27 @@
 	return ok
 }
 
-// checkOption judges the value of one option, if it is set or needed.
+// checkOption checks the value of one option if it is set or required.
 func (c *checker) checkOption(o Option) {
 	key := strings.TrimSuffix(o.Key, ".*")
 	if c.faulty[key] {
 		return
 	}
 	value := valueOf(reflect.ValueOf(*c.settings), key)
-	needed := slices.Contains(o.needed, c.program)
+	required := slices.Contains(o.requiredBy, c.program)
 	switch {
-	case value.IsZero() && c.lines[key] == 0 && needed:
+	case value.IsZero() && c.lines[key] == 0 && required:
 		c.add(key, "is missing, %s is needed", o.Allowed)
 	case value.IsZero() && c.lines[key] == 0:
 	case value.Kind() == reflect.String && value.IsZero():
 		c.add(key, "is empty, %s is allowed", o.Allowed)
-	case o.ok != nil && !o.ok(c.settings):
-		c.add(key, "%s, %s is allowed", shown(key, value), o.Allowed)
+	case o.valid != nil && !o.valid(c.settings):
+		c.add(key, "%s, %s is allowed", formatValue(key, value), o.Allowed)
 	}
 }
 
-// shown formats a value for a fault. Secrets are not shown.
-func shown(key string, value reflect.Value) string {
+// formatValue formats a value for a fault. Secrets are omitted.
+func formatValue(key string, value reflect.Value) string {
 	if strings.HasPrefix(key, "session.keys") {
 		return "is unfit"
 	}
@@ -208,12 +208,12 @@
 	return fmt.Sprintf("is %v", value.Interface())
 }
 
-// wrongType returns a reason when a value's type does not fit a field.
+// wrongType returns a reason if the value does not have the type of the field.
 func wrongType(t reflect.Type, value any) (reason string) {
 	ok, allowed := false, ""
 	switch {
 	case t == reflect.TypeFor[clock.Millis]():
-		allowed = spanAllowed
+		allowed = durationAllowed
 		text, isText := value.(string)
 		var m clock.Millis
 		ok = isText && m.UnmarshalText([]byte(text)) == nil
@@ -226,8 +226,8 @@
 	case t.Kind() == reflect.Float64:
 		allowed = "a number"
 		_, isFloat := value.(float64)
-		_, isWhole := value.(int64)
-		ok = isFloat || isWhole
+		_, isInteger := value.(int64)
+		ok = isFloat || isInteger
 	case t.Kind() == reflect.Slice:
 		allowed = "an array"
 		_, ok = value.([]any)
@@ -238,10 +238,10 @@
 	if ok {
 		return ""
 	}
-	return fmt.Sprintf("is %s, %s is allowed", nameOf(value), allowed)
+	return fmt.Sprintf("is %s, %s is allowed", describe(value), allowed)
 }
 
-func nameOf(value any) string {
+func describe(value any) string {
 	switch v := value.(type) {
 	case string:
 		return fmt.Sprintf("%q", v)
@@ -254,8 +254,7 @@
 	}
 }
 
-// Lines returns the line of each dotted key and table in a text that is known
-// to be sound TOML.
+// Lines returns the line of each dotted key and table. The data must be valid TOML.
 func Lines(data []byte) (lines map[string]int) {
 	lines = make(map[string]int)
 	p := &unstable.Parser{}
@@ -266,25 +265,25 @@
 		switch e.Kind {
 		case unstable.Table, unstable.ArrayTable:
 			prefix = ""
-			prefix = noteKey(p, e, prefix, lines)
+			prefix = recordKey(p, e, prefix, lines)
 		case unstable.KeyValue:
-			noteValue(p, e, prefix, lines)
+			recordValue(p, e, prefix, lines)
 		}
 	}
 	return lines
 }
 
-func noteValue(p *unstable.Parser, e *unstable.Node, prefix string, lines map[string]int) {
-	key := noteKey(p, e, prefix, lines)
+func recordValue(p *unstable.Parser, e *unstable.Node, prefix string, lines map[string]int) {
+	key := recordKey(p, e, prefix, lines)
 	if e.Value().Kind != unstable.InlineTable {
 		return
 	}
 	for it := e.Value().Children(); it.Next(); {
-		noteValue(p, it.Node(), key, lines)
+		recordValue(p, it.Node(), key, lines)
 	}
 }
 
-func noteKey(p *unstable.Parser, e *unstable.Node, prefix string, lines map[string]int) (key string) {
+func recordKey(p *unstable.Parser, e *unstable.Node, prefix string, lines map[string]int) (key string) {
 	key = prefix
 	for it := e.Key(); it.Next(); {
 		key = join(key, string(it.Node().Data))
--- a/settings/check_test.go
+++ b/settings/check_test.go
@@ -10,9 +10,8 @@
 	"github.com/matryer/is"
 )
 
-// An operator writes a file with several slips. A daemon that named only the
-// first, or ran on a default in place of a misspelt key, would cost a start for
-// each slip, or serve for weeks without the limit that was meant.
+// Guards against reporting only the first of several faults, which would cost a restart for each, and
+// against ignoring a misspelt key, which would leave its default in force for weeks unnoticed.
 func TestCheckReportsEveryFault(t *testing.T) {
 	programs := map[string]Program{"entry": EntryProgram, "endpoint": EndpointProgram, "any": AnyProgram}
 	datadriven.RunTest(t, "testdata/check", func(_ *testing.T, d *datadriven.TestData) string {
@@ -28,7 +27,7 @@
 	})
 }
 
-// A setting that is read but stands in no table has no check and no page.
+// Guards against a setting that is missing from Options and thus neither checked nor documented.
 func TestTableHasEveryOption(t *testing.T) {
 	is := is.New(t)
 	var inTable []string
@@ -55,14 +54,14 @@
 		_, faults := Check(data, EntryProgram)
 		if len(faults) == 0 {
 			if _, err := Parse(data); err != nil {
-				t.Fatalf("no faults, yet it does not parse: %v", err)
+				t.Fatalf("no faults, but Parse fails: %v", err)
 			}
 		}
 	})
 }
 
-// A file still switches a decision off after a trial. The entry refuses it unless the
-// section says that this is meant, and refuses names that it does not know.
+// Guards against a strategy that is left in the file after a trial: it is rejected unless the section
+// sets trial. Unknown decisions and strategies are rejected as well.
 func TestStrategiesRequireTrial(t *testing.T) {
 	const entry = "vm=\"a\"\nzone=\"z\"\nregion=\"r\"\npeer=\"127.0.0.1:1\"\n[entry]\ncallers=\"127.0.0.1:2\"\n[direct]\nstore=\"127.0.0.1:3\"\nready=\"127.0.0.1:4\"\n[decisions]\n"
 	for text, faults := range map[string]int{
--- a/settings/field.go
+++ b/settings/field.go
@@ -9,7 +9,7 @@
 	"github.com/parsleydeal/parsleydeal/clock"
 )
 
-// fields yields the fields of a struct that settings can name.
+// fields yields the fields of a struct type, and nothing for other types.
 func fields(t reflect.Type) iter.Seq[reflect.StructField] {
 	return func(yield func(reflect.StructField) bool) {
 		for i := 0; t.Kind() == reflect.Struct && i < t.NumField(); i++ {
@@ -20,8 +20,8 @@
 	}
 }
 
-// fieldOf returns the type of what a name stands for in a struct or map.
-func fieldOf(t reflect.Type, name string) (field reflect.Type, ok bool) {
+// fieldType returns the type of the field or map value that has a name in the settings.
+func fieldType(t reflect.Type, name string) (field reflect.Type, ok bool) {
 	if t.Kind() == reflect.Map {
 		return t.Elem(), true
 	}
@@ -46,7 +46,7 @@
 	return v
 }
 
-// Keys lists the dotted keys of all fields, as the table of options must.
+// Keys returns the dotted keys of all fields of Settings. Options must contain exactly these.
 func Keys() (keys []string) { return keysBelow("", reflect.TypeFor[Settings]()) }
 
 func keysBelow(prefix string, t reflect.Type) (keys []string) {
@@ -64,7 +64,7 @@
 	return keys
 }
 
-// Markdown returns the table of options as OPERATORS.md shows it.
+// Markdown returns Options as the table in OPERATORS.md.
 func Markdown() string {
 	var b strings.Builder
 	b.WriteString("| key | default | allowed | meaning |\n|---|---|---|---|\n")
@@ -77,8 +77,8 @@
 func defaultOf(o Option) string {
 	v := valueOf(reflect.ValueOf(Default()), strings.TrimSuffix(o.Key, ".*"))
 	switch {
-	case len(o.needed) > 0 && v.IsZero():
-		return "needed by " + programNames(o.needed)
+	case len(o.requiredBy) > 0 && v.IsZero():
+		return "needed by " + programNames(o.requiredBy)
 	case v.Type() == reflect.TypeFor[clock.Millis]():
 		return fmt.Sprintf("`%q`", v.Interface().(clock.Millis).String())
 	case v.Kind() == reflect.Map, v.Kind() == reflect.String && v.IsZero():
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads and checks the TOML settings of the daemons and of the
-// operators' program.
+// Package settings reads and validates the TOML settings of the daemons and of the operators'
+// program.
 package settings
 
 import (
@@ -15,19 +15,18 @@
 // Errors is the namespace of this package's errors.
 var Errors = errorx.NewNamespace("settings")
 
-// ErrInvalid marks settings that cannot be used.
+// ErrInvalid is returned for a settings file that cannot be read or has faults.
 var ErrInvalid = Errors.NewType("invalid")
 
-// Settings configures one process. Every process has the common part; the entry
-// and endpoint parts belong to their daemons. Each field has its row in the
-// table of options.
+// Settings configures one process. The top-level fields apply to every process, the Entry, Endpoint
+// and Direct sections to their daemons only. Each field has a row in Options.
 type Settings struct {
 	VM     string `toml:"vm"`
 	Zone   string `toml:"zone"`
 	Region string `toml:"region"`
-	// Peer is the IP number and port of the peer interface.
+	// Peer is the IP address and port of the peer interface.
 	Peer string `toml:"peer"`
-	// Operators is the IP number and port of the operators' interface.
+	// Operators is the IP address and port of the operators' interface.
 	Operators string   `toml:"operators"`
 	Platform  string   `toml:"platform"`
 	Log       Log      `toml:"log"`
@@ -36,22 +35,22 @@
 	Entry     Entry    `toml:"entry"`
 	Endpoint  Endpoint `toml:"endpoint"`
 	Direct    Direct   `toml:"direct"`
-	// Decisions says how decisions are made that have several ways.
+	// Decisions selects strategies for the decisions that have more than one.
 	Decisions Decisions `toml:"decisions"`
-	// VMListInterval is the span between two readings of the VM list.
+	// VMListInterval is the time between two reads of the VM list.
 	VMListInterval clock.Millis `toml:"vm-list-every"`
 }
 
-// Log configures the process's own log lines.
+// Log configures the log lines of the process.
 type Log struct {
 	Level  string `toml:"level"`
 	Format string `toml:"format"`
 }
 
-// TLS configures certificates by interface. An interface without a certificate
-// speaks plain TCP.
+// TLS configures the certificate of each interface. An interface without a certificate uses plain
+// TCP.
 type TLS struct {
-	// ReloadInterval is the span between two looks at the files.
+	// ReloadInterval is the time between two checks of the files for changes.
 	ReloadInterval clock.Millis `toml:"reload-every"`
 	Callers        Certificate  `toml:"callers"`
 	Operators      Certificate  `toml:"operators"`
@@ -62,41 +61,40 @@
 type Certificate struct {
 	Certificate string `toml:"certificate"`
 	Key         string `toml:"key"`
-	// Authorities verify the other side. Set, the other side must show a
-	// certificate.
+	// Authorities verify the peer's certificate. If it is set, the peer must present one.
 	Authorities string `toml:"authorities"`
 }
 
 // Session configures the signing of session tokens.
 type Session struct {
-	// Keys are secrets by key name; the first in order of Current signs.
+	// Keys holds the secrets by key name. The one named by Current signs new tokens; all of them
+	// verify.
 	Keys    map[string]string `toml:"keys"`
 	Current string            `toml:"current"`
-	// Lifetime is how long a session lasts that nobody uses.
+	// Lifetime is how long an unused session lasts.
 	Lifetime clock.Millis `toml:"lifetime"`
 }
 
 // Entry configures an entry.
 type Entry struct {
-	// Callers is the IP number and port of the callers' interface.
+	// Callers is the IP address and port of the callers' interface.
 	Callers string `toml:"callers"`
-	// MaxBody bounds a chat request's body, in bytes.
+	// MaxBody limits the body of a chat request, in bytes.
 	MaxBody int64 `toml:"max-body"`
-	// MaxHeaders bounds a request's headers, in bytes.
+	// MaxHeaders limits the headers of a request, in bytes.
 	MaxHeaders int `toml:"max-headers"`
-	// MaxConnections bounds the callers' open connections.
+	// MaxConnections limits the open connections of callers.
 	MaxConnections int `toml:"max-connections"`
-	// HeaderTimeout bounds the arrival of a request's headers.
+	// HeaderTimeout is the longest time until all headers of a request have arrived.
 	HeaderTimeout clock.Millis `toml:"header-timeout"`
-	// BodyTimeout bounds the pause in which a request's body does not grow.
+	// BodyTimeout is the longest time without new bytes of a request's body.
 	BodyTimeout clock.Millis `toml:"body-timeout"`
-	// WriteTimeout bounds the pause in which a caller takes nothing of its
-	// answer.
+	// WriteTimeout is the longest time in which a caller reads nothing of its answer.
 	WriteTimeout clock.Millis `toml:"write-timeout"`
-	// IdleTimeout bounds an open connection without a request.
+	// IdleTimeout is the longest time that a connection without a request stays open.
 	IdleTimeout clock.Millis `toml:"idle-timeout"`
-	// LeaveDelay is how long the entry is not ready but still serves before it
-	// drains, so that the balancer stops sending first.
+	// LeaveDelay is how long a stopping entry reports not ready but still serves before it drains,
+	// so that the load balancer stops sending requests first.
 	LeaveDelay clock.Millis `toml:"leave-delay"`
 }
 
@@ -106,48 +104,47 @@
 	// Engine is the URL of the engine or plain service on this VM.
 	Engine string `toml:"engine"`
 	Plain  bool   `toml:"plain"`
-	// StopLimit bounds how long a stopping endpoint lets its answers go on.
+	// StopLimit is how long a stopping endpoint lets running answers continue.
 	StopLimit clock.Millis `toml:"stop-limit"`
 }
 
-// Direct configures an entry that sends straight to endpoints, on a site whose
-// platform has a store. Bounds are those that the site agreed on.
+// Direct configures an entry that sends requests directly to endpoints, on a site whose platform has
+// a store. The limits are those agreed with the site.
 type Direct struct {
-	// Store is the IP number and port of the platform's store.
+	// Store is the IP address and port of the platform's store.
 	Store string `toml:"store"`
-	// Ready is where the platform's balancer asks for readiness.
+	// Ready is the IP address and port of the readiness check for the platform's load balancer.
 	Ready string `toml:"ready"`
-	// Memory bounds the process's memory, in megabytes; 0 for no bound.
+	// Memory limits the memory of the process, in megabytes; 0 means no limit.
 	Memory int `toml:"memory"`
-	// Grace is how long a process has between the signal to stop and its end.
+	// Grace is the time between the signal to stop and the end of the process.
 	Grace clock.Millis `toml:"grace"`
-	// StrictKeys has keyed requests refused while it cannot be known whether the
-	// key still holds; KeyLease is how long a confirmation lasts.
+	// StrictKeys refuses requests with a caller's key while it cannot be confirmed that the key is
+	// still valid. KeyLease is how long a confirmation lasts.
 	StrictKeys bool         `toml:"strict-keys"`
 	KeyLease   clock.Millis `toml:"key-lease"`
-	// RetryRatio and RetrySlack bound the attempts beyond the first in each
-	// RetrySpan.
+	// RetryRatio and RetrySlack limit the attempts beyond the first in each RetryWindow.
 	RetryRatio  float64      `toml:"retry-ratio"`
 	RetrySlack  float64      `toml:"retry-slack"`
 	RetryWindow clock.Millis `toml:"retry-span"`
-	// Exposure is the part of a service's requests that an unproven version may
-	// get.
+	// Exposure is the largest fraction of a service's requests that an unproven version may get.
 	Exposure float64 `toml:"exposure"`
-	// ColdOverage and ColdSlack widen what an endpoint in cold start may get.
+	// ColdOverage and ColdSlack limit the requests to an endpoint in cold start: ColdOverage
+	// multiplies the rate that it accepts, ColdSlack adds requests per second.
 	ColdOverage float64 `toml:"cold-overage"`
 	ColdSlack   float64 `toml:"cold-slack"`
-	// SessionIdleTimeout is how long a session lasts that nobody uses.
+	// SessionIdleTimeout is how long an unused session lasts.
 	SessionIdleTimeout clock.Millis `toml:"session-life"`
 }
 
-// Decisions chooses between ways of decisions. Ways is empty unless Trial is set, so that
-// a name left over from a trial is refused.
+// Decisions selects strategies for decisions. Strategies must be empty unless Trial is set, so that a
+// strategy left over from a trial is rejected.
 type Decisions struct {
 	Trial      bool              `toml:"trial"`
 	Strategies map[string]string `toml:"ways"`
 }
 
-// Default returns the settings before a file is read.
+// Default returns the settings that apply where a file sets nothing.
 func Default() Settings {
 	return Settings{
 		Log: Log{Level: "info", Format: "text"},
@@ -167,12 +164,12 @@
 	}
 }
 
-// Read reads and checks a file of settings over the defaults, for whichever
-// program the file is written for.
+// Read reads and checks a settings file over the defaults. The sections of the file determine which
+// program it is checked for.
 func Read(path string) (s Settings, err error) { return ReadFor(path, AnyProgram) }
 
-// ReadFor reads and checks a file of settings for one program. ErrInvalid lists
-// every fault with its line.
+// ReadFor reads and checks a settings file for one program. The message of ErrInvalid lists every
+// fault with its line.
 func ReadFor(path string, p Program) (s Settings, err error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -189,7 +186,7 @@
 	return s, ErrInvalid.New("%s", strings.Join(lines, "\n"))
 }
 
-// Parse reads settings over the defaults; unknown keys are errors.
+// Parse decodes settings over the defaults and does not check values. Unknown keys are errors.
 func Parse(data []byte) (s Settings, err error) {
 	s = Default()
 	dec := toml.NewDecoder(bytes.NewReader(data))
@@ -198,8 +195,8 @@
 	return s, err
 }
 
-// MessageOf leaves out the name of the error's type where the message lists
-// faults by file and line.
+// MessageOf returns the message of an error for operators. It omits the error type if the message
+// lists faults by file and line.
 func MessageOf(err error) string {
 	if e := errorx.Cast(err); e != nil && e.Cause() == nil && errorx.IsOfType(err, ErrInvalid) {
 		return e.Message()
