--- a/table/check.go
+++ b/table/check.go
@@ -7,11 +7,11 @@
 	"strings"
 )
 
-// shareTolerance is how far a route's shares may sum away from 1.
+// shareTolerance is how far the sum of a model's shares may differ from 1.
 const shareTolerance = 1e-6
 
-// Check reports every contradiction in the tables, one a line, each beginning
-// with the key it concerns.
+// Check returns ErrInvalid if the tables contradict themselves. Its message has one line per fault, each
+// starting with the key that is at fault.
 func (t *Tables) Check() error {
 	var faults []string
 	add := func(format string, a ...any) { faults = append(faults, fmt.Sprintf(format, a...)) }
@@ -20,7 +20,7 @@
 	t.checkPools(add)
 	t.checkRoutes(add)
 	t.checkServices(add)
-	t.checkSites(add)
+	t.checkLocations(add)
 	if len(faults) == 0 {
 		return nil
 	}
@@ -56,7 +56,7 @@
 		if v.InputCost < 0 || v.OutputCost < 0 {
 			add("versions.%s: costs may not be negative", name)
 		}
-		if !within(v.Quality, 1) {
+		if !inRange(v.Quality, 1) {
 			add("versions.%s.quality: is %v, between 0 and 1 is allowed", name, v.Quality)
 		}
 	}
@@ -84,27 +84,27 @@
 func (t *Tables) checkRoutes(add faultFunc) {
 	for name, r := range t.Routes {
 		key := "routes." + name
-		t.checkCallers(key, r.Organisations, add)
-		checkStale(key, r.WhenStale, add)
+		t.checkOrganisationNames(key, r.Organisations, add)
+		checkStaleRule(key, r.WhenStale, add)
 		checkHold(key, r.Hold, add)
 		if len(r.Models) == 0 {
 			add("%s.models: at least one model is needed", key)
 		}
-		if !within(r.Explore, 0.5) {
+		if !inRange(r.Explore, 0.5) {
 			add("%s.explore: is %v, between 0 and 0.5 is allowed", key, r.Explore)
 		}
 		best := 0.0
 		for _, m := range r.Models {
 			best = max(best, t.checkShares(key, m, add))
 		}
-		if !within(r.QualityTarget, best) {
+		if !inRange(r.QualityTarget, best) {
 			add("%s.quality-target: is %v, the best version's quality is %v", key, r.QualityTarget, best)
 		}
 	}
 }
 
-// checkShares returns the best quality among the model's versions that have a
-// share.
+// checkShares checks the shares of a route's model. It returns the highest quality of the versions that
+// have a share above 0.
 func (t *Tables) checkShares(key string, m RouteModel, add faultFunc) (best float64) {
 	sum := 0.0
 	for number, share := range m.Shares {
@@ -114,7 +114,7 @@
 			add("%s.models: no version %q", key, version)
 			continue
 		}
-		if !within(share, 1) {
+		if !inRange(share, 1) {
 			add("%s.models: the share of %q is %v, between 0 and 1 is allowed", key, version, share)
 		}
 		if share > 0 {
@@ -128,7 +128,7 @@
 		}
 		sum += share
 	}
-	if !within(math.Abs(sum-1), shareTolerance) {
+	if !inRange(math.Abs(sum-1), shareTolerance) {
 		add("%s.models: the shares of %q sum to %v, must be 1", key, m.Model, sum)
 	}
 	return best
@@ -137,8 +137,8 @@
 func (t *Tables) checkServices(add faultFunc) {
 	for name, s := range t.Services {
 		key := "services." + name
-		t.checkCallers(key, s.Organisations, add)
-		checkStale(key, s.WhenStale, add)
+		t.checkOrganisationNames(key, s.Organisations, add)
+		checkStaleRule(key, s.WhenStale, add)
 		if _, ok := t.Pools[s.Pool]; !ok {
 			add("%s.pool: no pool %q", key, s.Pool)
 		}
@@ -148,7 +148,7 @@
 	}
 }
 
-func (t *Tables) checkCallers(key string, names []string, add faultFunc) {
+func (t *Tables) checkOrganisationNames(key string, names []string, add faultFunc) {
 	for _, o := range names {
 		if _, ok := t.Organisations[o]; !ok {
 			add("%s.organisations: no organisation %q", key, o)
@@ -159,13 +159,13 @@
 func checkHold(key string, h HoldLimits, add faultFunc) {
 	limits := map[string]float64{"errors": h.Errors, "slow": h.Slow, "rating-loss": h.RatingLoss}
 	for name, limit := range limits {
-		if !within(limit, 0.9) {
+		if !inRange(limit, 0.9) {
 			add("%s.hold.%s: is %v, between 0 (the default) and 0.9 is allowed", key, name, limit)
 		}
 	}
 }
 
-func checkStale(key string, rule StaleRule, add faultFunc) {
+func checkStaleRule(key string, rule StaleRule, add faultFunc) {
 	switch rule {
 	case "", ServeWhenStale, RefuseWhenStale:
 	default:
@@ -173,21 +173,21 @@
 	}
 }
 
-func (t *Tables) checkSites(add faultFunc) {
+func (t *Tables) checkLocations(add faultFunc) {
 	for name, z := range t.Zones {
-		checkPlacement("zones."+name, z.State, add)
+		checkAdminState("zones."+name, z.State, add)
 	}
 	for name, v := range t.VMs {
-		checkPlacement("vms."+name, v.State, add)
+		checkAdminState("vms."+name, v.State, add)
 	}
 }
 
-func checkPlacement(key string, p AdminState, add faultFunc) {
-	if p != In && p != Out {
-		add("%s.state: is %q, \"in\" or \"out\" is allowed", key, p)
+func checkAdminState(key string, state AdminState, add faultFunc) {
+	if state != In && state != Out {
+		add("%s.state: is %q, \"in\" or \"out\" is allowed", key, state)
 	}
 }
 
-// within reports whether a number lies between 0 and a limit. It is worded so
-// that NaN, which compares false with everything, does not.
-func within(x, limit float64) bool { return x >= 0 && x <= limit }
+// inRange reports whether a number is between 0 and a limit. The condition is written so that NaN, for
+// which every comparison is false, is out of range.
+func inRange(x, limit float64) bool { return x >= 0 && x <= limit }
--- a/table/checkpoint.go
+++ b/table/checkpoint.go
@@ -7,15 +7,14 @@
 )
 
 const (
-	// MaxTablesBytes bounds the tables that result from a change, so that a
-	// checkpoint of them fits a record of the log.
+	// MaxTablesBytes limits the size of the tables that result from a change, so that their checkpoint
+	// fits into one record of the log.
 	MaxTablesBytes = 2 << 20
-	// MaxCheckpointBytes bounds a checkpoint: tables and remembered changes.
+	// MaxCheckpointBytes limits the size of a checkpoint: the tables and the recorded outcomes.
 	MaxCheckpointBytes = 3 << 20
 )
 
-// Checkpoint is the whole state of the configuration stream before an offset.
-// A value never changes.
+// Checkpoint is the complete state of the configuration stream before an offset. It is immutable.
 type Checkpoint struct {
 	tables   *Tables
 	revision int64
@@ -23,17 +22,17 @@
 	outcomes []Outcome
 }
 
-// saved is the part of a checkpoint's record beside the tables.
-type saved struct {
-	// Offset is the offset that the record must have to count: the next one
-	// after the last record reduced into it.
+// savedState is what a checkpoint's record holds besides the tables.
+type savedState struct {
+	// Offset is the offset after the last record that the checkpoint includes. The checkpoint is valid
+	// only if its own record has this offset.
 	Offset int64 `toml:"offset"`
-	// Revision is that of the tables; a checkpoint is no revision of its own.
-	Revision int64          `toml:"revision"`
-	Outcomes []savedOutcome `toml:"outcomes"`
+	// Revision is the revision of the tables; a checkpoint does not create a new one.
+	Revision int64           `toml:"revision"`
+	Outcomes []outcomeRecord `toml:"outcomes"`
 }
 
-type savedOutcome struct {
+type outcomeRecord struct {
 	ID       string `toml:"id"`
 	Author   string `toml:"author,omitempty"`
 	Revision int64  `toml:"revision"`
@@ -41,8 +40,7 @@
 	Reason   string `toml:"reason,omitempty"`
 }
 
-// Checkpoint returns the state as a checkpoint; ok is false before the first
-// tables.
+// Checkpoint returns the state as a checkpoint; ok is false if there are no tables yet.
 func (s *State) Checkpoint() (c *Checkpoint, ok bool) {
 	if s.tables == nil {
 		return nil, false
@@ -54,17 +52,17 @@
 	return c, true
 }
 
-// Offset returns the offset before which all records are in the checkpoint.
+// Offset returns the offset after the last record that the checkpoint includes.
 func (c *Checkpoint) Offset() int64 { return c.offset }
 
 // Revision returns the revision of the checkpoint's tables.
 func (c *Checkpoint) Revision() int64 { return c.revision }
 
-// Encode writes the checkpoint as a record of the configuration stream.
+// Encode encodes the checkpoint as a record of the configuration stream.
 func (c *Checkpoint) Encode() (data []byte, err error) {
-	body := &saved{Offset: c.offset, Revision: c.revision}
+	body := &savedState{Offset: c.offset, Revision: c.revision}
 	for _, o := range c.outcomes {
-		body.Outcomes = append(body.Outcomes, o.plain())
+		body.Outcomes = append(body.Outcomes, o.record())
 	}
 	data, err = toml.Marshal(&Change{Kind: CheckpointChange, Tables: *c.tables, Saved: body})
 	if err != nil {
@@ -73,17 +71,18 @@
 	return data, nil
 }
 
-func (o Outcome) plain() savedOutcome {
-	return savedOutcome{ID: o.ID, Author: o.Author, Revision: o.Revision, Accepted: o.Accepted, Reason: o.Reason}
+func (o Outcome) record() outcomeRecord {
+	return outcomeRecord{ID: o.ID, Author: o.Author, Revision: o.Revision, Accepted: o.Accepted, Reason: o.Reason}
 }
 
-// ParseCheckpoint reads a checkpoint's record, from the log or from a peer.
+// ParseCheckpoint decodes a checkpoint's record from the log or from a peer. Its errors are
+// ErrMalformed, or ErrInvalid for tables that contradict themselves.
 func ParseCheckpoint(data []byte) (c *Checkpoint, err error) {
-	x, err := ParseChange(data)
+	change, err := ParseChange(data)
 	if err != nil {
 		return nil, err
 	}
-	return x.checkpoint()
+	return change.checkpoint()
 }
 
 func (c *Change) checkpoint() (out *Checkpoint, err error) {
@@ -97,7 +96,7 @@
 	if err = c.Tables.Check(); err != nil {
 		return nil, err
 	}
-	c.Tables.tidy()
+	c.Tables.normalize()
 	out = &Checkpoint{tables: &c.Tables, revision: s.Revision, offset: s.Offset}
 	for _, o := range s.Outcomes {
 		out.outcomes = append(out.outcomes, Outcome{ID: o.ID, Author: o.Author, Revision: o.Revision, Accepted: o.Accepted, Reason: o.Reason})
@@ -105,8 +104,8 @@
 	return out, nil
 }
 
-// Import takes a peer's checkpoint when it is further than this state. It never
-// takes the state back.
+// Import replaces the state by a peer's checkpoint if that is ahead of it. The offset and the revision
+// never go back.
 func (s *State) Import(c *Checkpoint) (changed bool) {
 	if c.offset <= s.offset || c.revision < s.Revision() {
 		return false
@@ -114,35 +113,34 @@
 	s.tables, s.revision, s.offset = c.tables, c.revision, c.offset
 	s.outcomes, s.order = make(map[string]Outcome, len(c.outcomes)), nil
 	for _, o := range c.outcomes {
-		s.remember(o)
+		s.recordOutcome(o)
 	}
 	return true
 }
 
-// applySaved reduces a checkpoint at a log offset. It counts only when no
-// record stands between those it holds and itself; all processes see that
-// alike, so an appender that lost the race to a change harms nobody. A process
-// that has reduced all records before it is not moved by it: a checkpoint never
-// changes the revision. One that has missed records, since they expired before
-// it read them, starts from it.
-func (s *State) applySaved(offset int64, c *Change) (o Outcome, ok bool) {
+// applyCheckpoint reduces a checkpoint at a log offset. The checkpoint is valid only if no record lies
+// between the last one it includes and itself. All processes come to the same result, so a checkpoint
+// that lost a race against a change is harmless. It does not change the state of a process that has
+// reduced all records before it, as a checkpoint never changes the revision. A process that missed
+// records because they expired before it read them is restored from it.
+func (s *State) applyCheckpoint(offset int64, c *Change) (o Outcome, ok bool) {
 	o = Outcome{Revision: offset, Checkpoint: true}
-	saved, err := c.checkpoint()
+	checkpoint, err := c.checkpoint()
 	switch {
 	case err != nil:
 		o.Reason = err.Error()
-	case saved.offset != offset:
-		o.Reason = ErrConflict.New("checkpoint of offset %d stands at offset %d", saved.offset, offset).Error()
-	case offset == s.offset && s.tables != nil && !s.agrees(saved):
+	case checkpoint.offset != offset:
+		o.Reason = ErrConflict.New("checkpoint of offset %d stands at offset %d", checkpoint.offset, offset).Error()
+	case offset == s.offset && s.tables != nil && !s.matches(checkpoint):
 		o.Reason = ErrInvalid.New("checkpoint differs from what the records before it say").Error()
 	case offset == s.offset && s.tables != nil:
 		o.Accepted = true
-		s.savedAt = offset
+		s.checkpointOffset = offset
 	default:
-		o.Accepted = s.Import(saved)
+		o.Accepted = s.Import(checkpoint)
 		o.Restored = o.Accepted
 		if o.Accepted {
-			s.savedAt = offset
+			s.checkpointOffset = offset
 		}
 	}
 	if offset > s.offset {
@@ -152,19 +150,18 @@
 	return o, true
 }
 
-// agrees reports whether a checkpoint says what this state says.
-func (s *State) agrees(c *Checkpoint) bool {
-	mine, _ := s.Checkpoint()
-	a, errA := mine.Encode()
+// matches reports whether a checkpoint equals this state.
+func (s *State) matches(c *Checkpoint) bool {
+	own, _ := s.Checkpoint()
+	a, errA := own.Encode()
 	b, errB := c.Encode()
 	return errA == nil && errB == nil && slices.Equal(a, b)
 }
 
-// CheckpointOffset returns the offset of the last checkpoint that counted; -1 when there
-// was none.
+// CheckpointOffset returns the offset of the last valid checkpoint, or -1 if there was none.
 func (s *State) CheckpointOffset() int64 {
-	if s.savedAt == 0 {
+	if s.checkpointOffset == 0 {
 		return -1
 	}
-	return s.savedAt
+	return s.checkpointOffset
 }
--- a/table/fuzz_test.go
+++ b/table/fuzz_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// FuzzApply reduces hostile records between good ones. Nothing may crash, the
-// revision may not go back, and two states that read the same say the same,
-// also when one begins from the other's checkpoint.
+// FuzzApply reduces arbitrary records between valid ones. Nothing may panic, the revision must not go
+// back, and two states that reduce the same records must be equal, also if one of them is restored from
+// the other's checkpoint.
 func FuzzApply(f *testing.F) {
 	for _, seed := range []string{
 		firstChange,
@@ -31,7 +31,7 @@
 				t.Fatalf("never-reverts: from %d to %d", before, one.Revision())
 			}
 		}
-		same(t, &one, &two)
+		requireSameState(t, &one, &two)
 		saved, _ := one.Checkpoint()
 		text, err := saved.Encode()
 		if err != nil {
@@ -39,15 +39,15 @@
 		}
 		got, err := ParseCheckpoint(text)
 		if err != nil {
-			t.Fatalf("a checkpoint cannot be read: %v\n%s", err, text)
+			t.Fatalf("checkpoint cannot be decoded: %v\n%s", err, text)
 		}
 		var three State
 		three.Import(got)
-		same(t, &one, &three)
+		requireSameState(t, &one, &three)
 	})
 }
 
-func same(t *testing.T, a, b *State) {
+func requireSameState(t *testing.T, a, b *State) {
 	t.Helper()
 	x, okX := a.Checkpoint()
 	y, okY := b.Checkpoint()
--- a/table/record.go
+++ b/table/record.go
@@ -13,7 +13,7 @@
 
 // Kinds of errors.
 var (
-	// ErrMalformed marks text that is no valid change.
+	// ErrMalformed marks a record that is not a valid change or checkpoint.
 	ErrMalformed = Errors.NewType("malformed")
 	// ErrInvalid marks tables that contradict themselves.
 	ErrInvalid = Errors.NewType("invalid")
@@ -21,42 +21,43 @@
 	ErrConflict = Errors.NewType("conflict")
 )
 
-// ChangeKind says how a change's body applies.
+// ChangeKind defines how a change is applied to the tables.
 type ChangeKind string
 
 // The kinds of change.
 const (
 	// Whole replaces all tables.
 	Whole ChangeKind = "whole"
-	// Patch replaces the entries it names; an entry listed in Remove goes.
+	// Patch replaces the entries in Tables and deletes those listed in Remove.
 	Patch ChangeKind = "patch"
-	// CheckpointChange is a checkpoint, which processes write themselves.
+	// CheckpointChange is a checkpoint; processes append it themselves.
 	CheckpointChange ChangeKind = "checkpoint"
 )
 
-// MaxChangeBytes bounds a change; larger ones are rejected by all alike.
+// MaxChangeBytes limits the size of a change. All processes reject larger ones.
 const MaxChangeBytes = 1 << 20
 
-// maxIDBytes bounds a change's ID and its author, which are remembered.
+// maxIDBytes limits the length of a change's ID and of its author, as both are stored with its outcome.
 const maxIDBytes = 128
 
 // Change is one record of the configuration stream.
 type Change struct {
-	// ID is chosen by the publisher and survives its retries: a second record
-	// with the same ID has no effect.
+	// ID is an idempotency key chosen by the publisher and reused for retries: a second record with
+	// the same ID has no effect.
 	ID     string     `toml:"id"`
 	Author string     `toml:"author"`
 	Kind   ChangeKind `toml:"kind"`
-	// Base is the revision the change was made on; it is accepted only while
-	// that revision is current.
+	// Base is the revision that the change is based on. The change is accepted only if this revision is
+	// still current.
 	Base   int64    `toml:"base"`
 	Remove []string `toml:"remove,omitempty"`
 	Tables Tables   `toml:"tables"`
-	// Saved is set in a checkpoint only.
-	Saved *saved `toml:"saved,omitempty"`
+	// Saved is set in checkpoints only.
+	Saved *savedState `toml:"saved,omitempty"`
 }
 
-// ParseChange reads a change. Unknown keys are errors that name the key.
+// ParseChange decodes a change or checkpoint. All errors are ErrMalformed; unknown keys are errors that
+// name the key.
 func ParseChange(data []byte) (c *Change, err error) {
 	defer func() {
 		if err != nil {
@@ -78,8 +79,7 @@
 	return c, nil
 }
 
-// check looks at the fields that the publisher fills in; the tables are checked
-// once merged.
+// check checks the fields set by the publisher. The tables are checked after the merge.
 func (c *Change) check() error {
 	switch c.Kind {
 	case Whole, Patch:
@@ -97,7 +97,7 @@
 	return nil
 }
 
-// Encode writes the change as TOML.
+// Encode encodes the change as TOML.
 func (c *Change) Encode() (data []byte, err error) {
 	data, err = toml.Marshal(c)
 	if err != nil {
--- a/table/state.go
+++ b/table/state.go
@@ -7,48 +7,46 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// maxRemembered bounds the change IDs kept to recognise retries; the oldest
-// falls out first.
-const maxRemembered = 1024
+// maxOutcomes limits the number of outcomes kept to recognize retries; the oldest is dropped first.
+const maxOutcomes = 1024
 
-// maxReasonBytes bounds the reason that is remembered of a rejected change.
+// maxReasonBytes limits the stored reason of a rejected change.
 const maxReasonBytes = 512
 
-// Outcome is the verdict on one change, the same in every process.
+// Outcome is the result of one change or checkpoint. It is the same in every process.
 type Outcome struct {
 	ID       string
 	Author   string
 	Revision int64
 	Accepted bool
-	// Checkpoint is true for a checkpoint's record, which is no change. Adopted
-	// says that the state began anew from it.
+	// Checkpoint is true for the record of a checkpoint. Restored is true if the state was replaced by
+	// it.
 	Checkpoint bool
 	Restored   bool
-	// Reason says why the change was rejected; empty when accepted.
+	// Reason is why the record was rejected; empty if it was accepted.
 	Reason string
 }
 
-// State reduces the configuration stream. The zero value has no tables.
+// State is the reducer of the configuration stream. The zero value is ready to use and has no tables.
 type State struct {
-	// tables is never changed in place: each accepted change makes a new value.
+	// tables is never modified in place: each accepted change creates a new value.
 	tables *Tables
-	// revision is the log offset of the change in force; it never goes back.
+	// revision is the log offset of the last accepted change; it never goes back.
 	revision int64
 	// offset is the next log offset to reduce; records below it are ignored.
 	offset int64
-	// outcomes holds the last maxRemembered verdicts by change ID.
+	// outcomes holds the last maxOutcomes outcomes by change ID; order lists the IDs, oldest first.
 	outcomes map[string]Outcome
 	order    []string
-	// savedAt is the offset of the last checkpoint that counted; 0 for none, as
-	// no checkpoint is the first record.
-	savedAt int64
+	// checkpointOffset is the offset of the last valid checkpoint. 0 means none, as a checkpoint is never
+	// the first record.
+	checkpointOffset int64
 }
 
-// Tables returns the configuration in force, or nil before the first change.
+// Tables returns the current tables, or nil before the first accepted change. They must not be modified.
 func (s *State) Tables() *Tables { return s.tables }
 
-// Revision returns the log offset of the configuration in force; -1 before the
-// first change.
+// Revision returns the log offset of the last accepted change, or -1 before the first one.
 func (s *State) Revision() int64 {
 	if s.tables == nil {
 		return -1
@@ -59,23 +57,22 @@
 // Offset returns the next log offset to reduce.
 func (s *State) Offset() int64 { return s.offset }
 
-// Outcome returns the verdict on a change ID that is still remembered.
+// Outcome returns the outcome of a change; ok is false if its ID is unknown or no longer stored.
 func (s *State) Outcome(id string) (o Outcome, ok bool) {
 	o, ok = s.outcomes[id]
 	return o, ok
 }
 
-// Apply reduces the record at a log offset. A record that was already reduced
-// has no effect and ok is false. Nor has one after a gap, unless it is a
-// checkpoint: with a record missing, a change that was made on it would be
-// rejected here and accepted everywhere else.
+// Apply reduces the record at a log offset. If the record was already reduced, it has no effect and ok
+// is false. The same holds for a record after a gap, unless it is a checkpoint: a change based on the
+// missing record would be rejected here and accepted by all other processes.
 func (s *State) Apply(offset int64, data []byte) (o Outcome, ok bool) {
 	if offset < s.offset {
 		return o, false
 	}
 	c, err := ParseChange(data)
 	if err == nil && c.Kind == CheckpointChange {
-		return s.applySaved(offset, c)
+		return s.applyCheckpoint(offset, c)
 	}
 	if offset > s.offset {
 		return o, false
@@ -90,12 +87,12 @@
 	if old, seen := s.outcomes[c.ID]; seen {
 		return old, true
 	}
-	o = s.judge(offset, c)
-	s.remember(o)
+	o = s.evaluate(offset, c)
+	s.recordOutcome(o)
 	return o, true
 }
 
-func (s *State) judge(offset int64, c *Change) (o Outcome) {
+func (s *State) evaluate(offset int64, c *Change) (o Outcome) {
 	o = Outcome{ID: c.ID, Author: c.Author, Revision: offset}
 	if c.Base != s.Revision() {
 		o.Reason = ErrConflict.New("made on revision %d, current is %d", c.Base, s.Revision()).Error()
@@ -106,7 +103,7 @@
 		err = next.Check()
 	}
 	if err == nil {
-		err = next.fits()
+		err = next.checkSize()
 	}
 	if err != nil {
 		o.Reason = err.Error()
@@ -118,12 +115,12 @@
 	return o
 }
 
-// merge returns the tables after a change: a patch replaces whole entries and
-// removes others, which must exist and may not stand in it as well.
+// merge returns the tables after a change. A patch replaces complete entries and removes others; an
+// entry to remove must exist and must not be set by the same patch.
 func (s *State) merge(c *Change) (next *Tables, err error) {
 	if c.Kind == Whole {
 		t := c.Tables
-		t.tidy()
+		t.normalize()
 		return &t, nil
 	}
 	old := s.tables
@@ -150,30 +147,30 @@
 	for _, path := range c.Remove {
 		next.remove(path)
 	}
-	next.tidy()
+	next.normalize()
 	return next, nil
 }
 
-// tidy makes empty sections nil, so that tables built from changes and those
-// read from a checkpoint are written alike.
-func (t *Tables) tidy() {
-	tidyMap(&t.Organisations)
-	tidyMap(&t.Versions)
-	tidyMap(&t.Routes)
-	tidyMap(&t.Services)
-	tidyMap(&t.Pools)
-	tidyMap(&t.Zones)
-	tidyMap(&t.VMs)
+// normalize sets empty sections to nil, so that tables merged from changes and tables decoded from a
+// checkpoint are encoded identically.
+func (t *Tables) normalize() {
+	normalizeMap(&t.Organisations)
+	normalizeMap(&t.Versions)
+	normalizeMap(&t.Routes)
+	normalizeMap(&t.Services)
+	normalizeMap(&t.Pools)
+	normalizeMap(&t.Zones)
+	normalizeMap(&t.VMs)
 }
 
-func tidyMap[V any](m *map[string]V) {
+func normalizeMap[V any](m *map[string]V) {
 	if len(*m) == 0 {
 		*m = nil
 	}
 }
 
-// fits refuses tables that no checkpoint could hold.
-func (t *Tables) fits() error {
+// checkSize returns an error for tables that are too large for a checkpoint.
+func (t *Tables) checkSize() error {
 	data, err := toml.Marshal(t)
 	if err != nil {
 		return ErrInvalid.Wrap(err, "encode tables")
@@ -184,8 +181,8 @@
 	return nil
 }
 
-// has reports whether there is an entry at a path such as "routes.dossier". The
-// entry's name begins after the first dot and may hold others.
+// has reports whether there is an entry at a path such as "routes.dossier". The name of the entry starts
+// after the first dot and may contain further dots.
 func (t *Tables) has(path string) (ok bool) {
 	section, name, _ := strings.Cut(path, ".")
 	switch section {
@@ -207,7 +204,7 @@
 	return ok
 }
 
-// remove drops the entry at a path such as "routes.dossier".
+// remove deletes the entry at a path such as "routes.dossier".
 func (t *Tables) remove(path string) {
 	section, name, _ := strings.Cut(path, ".")
 	switch section {
@@ -228,14 +225,14 @@
 	}
 }
 
-func mergeMap[V any](old, add map[string]V) map[string]V {
-	next := make(map[string]V, len(old)+len(add))
+func mergeMap[V any](old, changed map[string]V) map[string]V {
+	next := make(map[string]V, len(old)+len(changed))
 	maps.Copy(next, old)
-	maps.Copy(next, add)
+	maps.Copy(next, changed)
 	return next
 }
 
-func (s *State) remember(o Outcome) {
+func (s *State) recordOutcome(o Outcome) {
 	if o.ID == "" {
 		return
 	}
@@ -247,7 +244,7 @@
 	}
 	s.outcomes[o.ID] = o
 	s.order = append(s.order, o.ID)
-	if len(s.order) > maxRemembered {
+	if len(s.order) > maxOutcomes {
 		delete(s.outcomes, s.order[0])
 		s.order = s.order[1:]
 	}
--- a/table/state_test.go
+++ b/table/state_test.go
@@ -15,9 +15,8 @@
 weight = 1
 `
 
-// Two operators publish on the same revision. Both see their append succeed,
-// yet only the first in log order may take effect, or the second would silently
-// undo the first.
+// Guards against lost updates: two operators publish changes based on the same revision and both appends
+// succeed. Only the first in log order may be accepted, or the second would silently undo it.
 func TestOnlyFirstOfConcurrentChangesIsAccepted(t *testing.T) {
 	is := is.New(t)
 	var s State
@@ -33,8 +32,8 @@
 	is.True(!s.Tables().ZoneOut("b"))
 }
 
-// A publisher loses the answer to its append and sends the change again. The
-// second record must change nothing, whatever was published in between.
+// Guards against applying a change twice: a publisher loses the reply to its append and sends the change
+// again. The second record must have no effect, whatever was published in between.
 func TestRepeatedChangeHasNoEffect(t *testing.T) {
 	is := is.New(t)
 	var s State
@@ -43,13 +42,13 @@
 	s.Apply(2, []byte("id=\"c\"\nkind=\"patch\"\nbase=1\n[tables.zones.a]\nstate=\"in\"\n"))
 	o, ok := s.Apply(3, []byte("id=\"b\"\nkind=\"patch\"\nbase=2\n[tables.zones.a]\nstate=\"out\"\n"))
 	is.True(ok)
-	is.Equal(o.Revision, int64(1)) // the verdict on the first record
+	is.Equal(o.Revision, int64(1)) // the outcome of the first record
 	is.Equal(s.Revision(), int64(2))
 	is.True(!s.Tables().ZoneOut("a"))
 }
 
-// A change says "nan" for a quality, as TOML allows. Every comparison with it is
-// false, so it passed each check and no version could be chosen on it.
+// Guards against NaN and infinity, which TOML allows: comparisons with NaN are false, so a quality of NaN
+// once passed each check and then no version could be chosen.
 func TestNaNAndInfinityAreRejected(t *testing.T) {
 	is := is.New(t)
 	for _, body := range []string{
@@ -65,8 +64,8 @@
 	}
 }
 
-// An operator misspells an entry to remove, or sets what the same change
-// removes. Taking the rest of the change would leave the tables half changed.
+// Guards against changes that are applied in part: an operator misspells an entry to remove, or sets an
+// entry that the same change removes. The complete change must be rejected.
 func TestRemovalsMustNameAnEntry(t *testing.T) {
 	is := is.New(t)
 	for remove, accepted := range map[string]bool{
--- a/table/table.go
+++ b/table/table.go
@@ -1,6 +1,5 @@
-// Package table holds the operators' tables: organisations, routes, versions,
-// pools, services, zones and VMs, and the rules by which changes to them from
-// the log are accepted or rejected.
+// Package table defines the operators' configuration tables (organisations, routes, versions, pools,
+// services, zones and VMs) and the rules by which changes on the log are accepted or rejected.
 package table
 
 import (
@@ -12,76 +11,74 @@
 	"github.com/parsleydeal/parsleydeal/clock"
 )
 
-// StaleRule says what a route does when the process cannot tell whether its
-// tables are current.
+// StaleRule defines what a route or service does while the process cannot confirm that its tables are
+// current.
 type StaleRule string
 
 // The stale rules.
 const (
-	// ServeWhenStale keeps serving on the last known tables.
+	// ServeWhenStale continues to serve with the last known tables.
 	ServeWhenStale StaleRule = "serve"
-	// RefuseWhenStale refuses new work until the tables are confirmed.
+	// RefuseWhenStale refuses new requests until the tables are confirmed.
 	RefuseWhenStale StaleRule = "refuse"
 )
 
-// AdminState says whether a zone or VM may receive new work.
+// AdminState defines whether a zone or VM may receive new requests.
 type AdminState string
 
-// The placements.
+// The administrative states.
 const (
 	In  AdminState = "in"
 	Out AdminState = "out"
 )
 
-// Organisation is a customer that holds keys.
+// Organisation is a customer with API keys.
 type Organisation struct {
-	// KeyHashes are lower-case hex SHA-256 digests; keys themselves are never
+	// KeyHashes holds the SHA-256 digests of the keys in lower-case hex. The keys themselves are never
 	// stored.
 	KeyHashes []string `toml:"key-hashes"`
-	// Weight is the organisation's fair share relative to others, at least 1.
+	// Weight is the organisation's weight in fair sharing, at least 1.
 	Weight int `toml:"weight"`
 }
 
-// Version is one version of a model, known by "model@number".
+// Version is one version of a model. Its key in Tables is "model@number".
 type Version struct {
-	// InputCost and OutputCost are micro-units of currency per thousand tokens.
+	// InputCost and OutputCost are in micro-units of currency per 1000 tokens.
 	InputCost  int64 `toml:"input-cost"`
 	OutputCost int64 `toml:"output-cost"`
-	// Quality is the operators' prior for the rating, between 0 and 1.
+	// Quality is the operators' prior of the mean rating, from 0 to 1.
 	Quality float64 `toml:"quality"`
-	// Withdrawn versions receive no new work, not even from their sessions.
+	// Withdrawn versions receive no new requests, not even from sessions that use them.
 	Withdrawn bool `toml:"withdrawn"`
-	// Released ends a hold placed before this value was last raised.
+	// Released is a counter. Raising it ends all holds placed on the version before.
 	Released int `toml:"released"`
 }
 
-// RouteModel is one model a route may use, with the shares of its versions.
+// RouteModel is one model of a route with the traffic shares of its versions.
 type RouteModel struct {
 	Model string `toml:"model"`
-	// Shares maps version numbers to parts of the traffic; they sum to 1.
+	// Shares maps version numbers to fractions of the traffic, which sum to 1.
 	Shares map[string]float64 `toml:"shares"`
 }
 
-// Objective is a route's service-level objective; zero fields are not judged.
+// Objective is the service-level objective of a route or service. Zero fields are not evaluated.
 type Objective struct {
-	// FirstToken and TokenGap are limits at which a request counts as bad.
+	// FirstToken and TokenGap are the latency limits above which a request counts as bad.
 	FirstToken clock.Millis `toml:"first-token"`
 	TokenGap   clock.Millis `toml:"token-gap"`
-	// Target is the share of good requests, such as 0.95.
+	// Target is the fraction of requests that must be good, such as 0.95.
 	Target float64 `toml:"target"`
-	// Availability is the share of requests that get a whole answer.
+	// Availability is the fraction of requests that must get a complete answer.
 	Availability float64 `toml:"availability"`
 }
 
-// HoldLimits say from when on a version is held back. Zero fields take the
-// defaults beside them.
+// HoldLimits are the limits beyond which a version is put on hold. Zero fields mean the defaults.
 type HoldLimits struct {
-	// Errors is the part of attempts that may fail through the version's fault.
+	// Errors is the fraction of attempts that may fail because of the version.
 	Errors float64 `toml:"errors"`
-	// Slow is the part of answers that may miss the route's objective.
+	// Slow is the fraction of answers that may miss the latency limits of the route's objective.
 	Slow float64 `toml:"slow"`
-	// RatingLoss is how far the mean rating may lie below the version's quality
-	// in the tables.
+	// RatingLoss is how far the mean rating may be below the version's Quality.
 	RatingLoss float64 `toml:"rating-loss"`
 }
 
@@ -92,7 +89,7 @@
 	DefaultHoldRatingLoss = 0.1
 )
 
-// WithDefaults returns the limits with zero fields filled.
+// WithDefaults returns the limits with zero fields replaced by the defaults.
 func (h HoldLimits) WithDefaults() HoldLimits {
 	if h.Errors == 0 {
 		h.Errors = DefaultHoldErrors
@@ -106,80 +103,75 @@
 	return h
 }
 
-// Route says which models and versions organisations may reach under a name.
+// Route defines which models and versions organisations may use under one name.
 type Route struct {
-	// Organisations lists who may use the route.
+	// Organisations lists the organisations that may use the route.
 	Organisations []string `toml:"organisations"`
-	// Models is ordered as the operators wrote it; choice orders by cost.
+	// Models is in the operators' order; package choice orders by cost.
 	Models []RouteModel `toml:"models"`
-	// QualityTarget is the mean rating the route must reach, between 0 and 1.
+	// QualityTarget is the mean rating that the route must reach, from 0 to 1.
 	QualityTarget float64 `toml:"quality-target"`
-	// Cascade allows a dearer model to answer again after a poor rating.
+	// Cascade lets a more expensive model answer again after a poor rating.
 	Cascade bool `toml:"cascade"`
-	// Explore is the largest part of requests used to learn about versions
-	// whose quality is uncertain.
+	// Explore is the largest fraction of requests used to explore versions of uncertain quality.
 	Explore float64 `toml:"explore"`
-	// WhenStale and StaleAfter decide what an unconfirmed table may serve.
+	// WhenStale applies once the tables have been unconfirmed for longer than StaleAfter; 0 means never.
 	WhenStale  StaleRule    `toml:"when-stale"`
 	StaleAfter clock.Millis `toml:"stale-after"`
-	// Deadline bounds a whole request.
+	// Deadline limits the total time of a request.
 	Deadline  clock.Millis `toml:"deadline"`
 	Objective Objective    `toml:"objective"`
 	Hold      HoldLimits   `toml:"hold"`
 }
 
-// Service is a plain service reached under /v1/services/{name}.
+// Service is a plain service, served at /v1/services/{name}.
 type Service struct {
 	Pool          string   `toml:"pool"`
 	Organisations []string `toml:"organisations"`
-	// Repeatable lists HTTP methods that are idempotent; all others run at
-	// most once.
+	// Repeatable lists the HTTP methods that are idempotent; requests with others run at most once.
 	Repeatable []string `toml:"repeatable"`
-	// Fee is billed for each call, in micro-units of currency.
+	// Fee is the price of each call, in micro-units of currency.
 	Fee      int64        `toml:"fee"`
 	Deadline clock.Millis `toml:"deadline"`
-	// WhenLogDown says whether keyed calls that may not be repeated are served
-	// without a claim while the log is out: "refuse" (default) or "serve".
+	// WhenLogDown defines whether calls with an idempotency key that must not be repeated are served
+	// without a claim while the log is unavailable: "refuse" (default) or "serve".
 	WhenLogDown StaleRule    `toml:"when-log-down"`
 	WhenStale   StaleRule    `toml:"when-stale"`
 	StaleAfter  clock.Millis `toml:"stale-after"`
 	Objective   Objective    `toml:"objective"`
 }
 
-// Pool says where versions or a plain service run.
+// Pool is a group of endpoints that serve the same versions or one plain service.
 type Pool struct {
-	// Versions are the "model@number" names its endpoints serve; empty for a
-	// pool of plain services.
+	// Versions lists the "model@number" names that the endpoints serve; empty for plain services.
 	Versions []string `toml:"versions"`
-	// Zones limits the pool to these availability zones; empty means all.
+	// Zones restricts the pool to these availability zones; empty means all zones.
 	Zones []string `toml:"zones"`
-	// ColdWindow is how many requests an endpoint in cold start may hold.
+	// ColdWindow is how many requests an endpoint in cold start processes at once.
 	ColdWindow int `toml:"cold-window"`
-	// FullWindow is how many a warm endpoint may hold.
+	// FullWindow is how many requests a warm endpoint processes at once.
 	FullWindow int `toml:"full-window"`
-	// Queue is how many requests may wait for a place at one endpoint; 0 allows
-	// as many as full-window.
+	// Queue is the maximum number of requests that wait for a slot at one endpoint; 0 means the value
+	// of FullWindow.
 	Queue int `toml:"queue"`
-	// QueueWait is how long a request may wait for a place; 0 means 250 ms.
+	// QueueWait is how long a request may wait for a slot; 0 means 250 ms.
 	QueueWait clock.Millis `toml:"queue-wait"`
-	// ChecksFencing says that the engines refuse an order carrying an old
-	// fencing number.
+	// ChecksFencing is true if the engines refuse orders with an outdated fencing token.
 	ChecksFencing bool `toml:"checks-fencing"`
-	// Role is the role that the engines shall have, such as "prefill"; empty leaves
-	// it to them.
+	// Role is the role that the engines must have, such as "prefill"; empty means that they choose.
 	Role string `toml:"role"`
-	// Resumes says that the engines can resume a stream after a given token.
+	// Resumes is true if the engines can resume a stream after a given token.
 	Resumes bool `toml:"resumes"`
-	// MovesCache says that the engines export and import KV cache.
+	// MovesCache is true if the engines can export and import their KV cache.
 	MovesCache bool `toml:"moves-cache"`
 }
 
-// Location is the operators' word on one zone or VM.
+// Location is the operators' setting for one zone or VM.
 type Location struct {
 	State AdminState `toml:"state"`
 }
 
-// Tables is one whole configuration. A published value is never changed.
+// Tables is one complete configuration. A published value is immutable.
 type Tables struct {
 	Organisations map[string]Organisation `toml:"organisations"`
 	Versions      map[string]Version      `toml:"versions"`
@@ -190,29 +182,29 @@
 	VMs           map[string]Location     `toml:"vms"`
 }
 
-// VersionName joins a model and a version number.
+// VersionName returns the name of a version, "model@number".
 func VersionName(model, number string) string {
 	return model + "@" + number
 }
 
-// SplitVersion parts a version name into model and number; ok is false when
-// the name has no "@" or an empty side.
+// SplitVersion splits a version name into model and number; ok is false if the name has no "@" or either
+// part is empty.
 func SplitVersion(name string) (model, number string, ok bool) {
 	model, number, ok = strings.Cut(name, "@")
 	return model, number, ok && model != "" && number != ""
 }
 
-// ZoneOut reports whether operators have taken a zone out.
+// ZoneOut reports whether operators have taken a zone out of service.
 func (t *Tables) ZoneOut(zone string) bool {
 	return t.Zones[zone].State == Out
 }
 
-// VMOut reports whether operators have taken a VM out.
+// VMOut reports whether operators have taken a VM out of service.
 func (t *Tables) VMOut(vm string) bool {
 	return t.VMs[vm].State == Out
 }
 
-// PoolsOf returns the names of the pools that serve a version, in no order.
+// PoolsOf returns the names of the pools that serve a version, in no particular order.
 func (t *Tables) PoolsOf(version string) (names []string) {
 	for name, p := range t.Pools {
 		for _, v := range p.Versions {
@@ -224,7 +216,7 @@
 	return names
 }
 
-// Allows reports whether a route lists a version, with a share or without.
+// Allows reports whether a route lists a version, even with a share of 0.
 func (r Route) Allows(version string) bool {
 	model, number, ok := SplitVersion(version)
 	if !ok {
@@ -238,7 +230,7 @@
 	return false
 }
 
-// Cost prices an answer in micro-units of currency, rounded up.
+// Cost returns the price of an answer in micro-units of currency, rounded up.
 func (v Version) Cost(inputTokens, outputTokens int64) int64 {
 	const perThousand = 1000
 	return (v.InputCost*inputTokens + v.OutputCost*outputTokens + perThousand - 1) / perThousand
@@ -249,7 +241,7 @@
 	return len(p.Zones) == 0 || slices.Contains(p.Zones, zone)
 }
 
-// OrganisationOf finds the organisation that holds a key, by its hash.
+// OrganisationOf returns the organisation that owns a key, given the key's hash from HashKey.
 func (t *Tables) OrganisationOf(hash string) (name string, ok bool) {
 	for name, o := range t.Organisations {
 		if slices.Contains(o.KeyHashes, hash) {
@@ -259,7 +251,7 @@
 	return "", false
 }
 
-// RoutesOf lists the routes an organisation may use, sorted.
+// RoutesOf returns the names of the routes that an organisation may use, sorted.
 func (t *Tables) RoutesOf(organisation string) (names []string) {
 	for name, r := range t.Routes {
 		if slices.Contains(r.Organisations, organisation) {
@@ -270,7 +262,7 @@
 	return names
 }
 
-// HashKey returns the digest under which a bearer key stands in the tables.
+// HashKey returns the digest of a bearer key as stored in KeyHashes.
 func HashKey(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
