--- a/emulator/emulator_test.go
+++ b/emulator/emulator_test.go
@@ -15,121 +15,121 @@
 	"pgregory.net/rapid"
 )
 
-// replay is a file of testdata: a load that callers once suffered under, and what they
-// may expect of it.
-type replay struct {
-	Story string `toml:"story"`
-	// Ways are those that the replay is for; the ways in force else.
-	Ways   map[string]string `toml:"ways"`
-	Site   Site              `toml:"site"`
-	Load   Load              `toml:"load"`
-	Bounds struct {
-		// Late is the part of the answers that may be late, Refused the part of the
-		// requests that may be refused, InZone the least part of prompts in their entry's
-		// zone.
+// scenario is a file in testdata: a load under which requests were once served badly, and the bounds that
+// must hold for it.
+type scenario struct {
+	Description string `toml:"story"`
+	// Strategies holds the strategies to use instead of the defaults.
+	Strategies map[string]string `toml:"ways"`
+	Site       Site              `toml:"site"`
+	Load       Load              `toml:"load"`
+	Bounds     struct {
+		// Late is the maximum fraction of late answers, Refused that of refused requests, InZone
+		// the minimum fraction of prompts sent to the zone of their entry.
 		Late    float64 `toml:"late"`
 		Refused float64 `toml:"refused"`
 		InZone  float64 `toml:"in-zone"`
-		// Poor is the part of the answers that may be poor; none is checked at 0.
+		// Poor is the maximum fraction of poor answers; 0 means no check.
 		Poor float64 `toml:"poor"`
-		// Again is the part of the tokens read that some endpoint had read before; none is
-		// checked at 0.
-		Again float64 `toml:"again"`
+		// Repeated is the maximum fraction of prefilled tokens that some endpoint had prefilled
+		// before; 0 means no check.
+		Repeated float64 `toml:"again"`
 	} `toml:"bounds"`
 }
 
-// TestScenariosStayWithinBounds plays the loads of testdata; each file tells its story.
+// TestScenariosStayWithinBounds runs the loads in testdata; each file describes the failure it guards
+// against.
 func TestScenariosStayWithinBounds(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.toml")
 	is.New(t).NoErr(err)
 	for _, file := range files {
 		t.Run(filepath.Base(file), func(t *testing.T) {
 			is := is.New(t)
-			x := read(t, file)
-			ways, err := decision.Choose(x.Ways)
+			s := readScenario(t, file)
+			strategies, err := decision.Choose(s.Strategies)
 			is.NoErr(err)
-			r, err := Run(x.Site, x.Load, ways)
+			result, err := Run(s.Site, s.Load, strategies)
 			is.NoErr(err)
-			t.Logf("%+v", r)
-			is.True(float64(r.Late) <= x.Bounds.Late*float64(r.InTime+r.Late))
-			is.True(float64(r.Refused) <= x.Bounds.Refused*float64(r.Requests))
-			is.True(float64(r.InZone) >= x.Bounds.InZone*float64(r.Sent))
-			is.True(x.Bounds.Again == 0 || float64(r.RepeatedTokens) <= x.Bounds.Again*float64(r.PrefillTokens))
-			is.True(x.Bounds.Poor == 0 || float64(r.Poor) <= x.Bounds.Poor*float64(r.InTime+r.Late))
-			is.Equal(r.InTime+r.Late+r.Refused, r.Requests) // nobody is left without a word
-			is.Equal(r.OverRate, 0)
+			t.Logf("%+v", result)
+			is.True(float64(result.Late) <= s.Bounds.Late*float64(result.InTime+result.Late))
+			is.True(float64(result.Refused) <= s.Bounds.Refused*float64(result.Requests))
+			is.True(float64(result.InZone) >= s.Bounds.InZone*float64(result.Sent))
+			is.True(s.Bounds.Repeated == 0 || float64(result.RepeatedTokens) <= s.Bounds.Repeated*float64(result.PrefillTokens))
+			is.True(s.Bounds.Poor == 0 || float64(result.Poor) <= s.Bounds.Poor*float64(result.InTime+result.Late))
+			is.Equal(result.InTime+result.Late+result.Refused, result.Requests) // every request has an outcome
+			is.Equal(result.OverRate, 0)
 		})
 	}
 }
 
-func read(t *testing.T, file string) (x replay) {
+func readScenario(t *testing.T, file string) (s scenario) {
 	t.Helper()
 	is := is.New(t)
 	f, err := os.Open(file)
 	is.NoErr(err)
 	defer f.Close()
-	is.NoErr(toml.NewDecoder(f).DisallowUnknownFields().Decode(&x))
-	return x
+	is.NoErr(toml.NewDecoder(f).DisallowUnknownFields().Decode(&s))
+	return s
 }
 
-// A trial is repeated to find out what a change did. Were its figures to differ by
-// themselves, they would say nothing.
+// Guards against results that differ between runs: the effect of a change could then not be told from
+// noise.
 func TestSameSeedGivesSameResult(t *testing.T) {
 	is := is.New(t)
-	x := read(t, "testdata/six-zones.toml")
-	x.Load.Seconds = 3
-	a, err := Run(x.Site, x.Load, decision.Strategies{})
+	s := readScenario(t, "testdata/six-zones.toml")
+	s.Load.Seconds = 3
+	a, err := Run(s.Site, s.Load, decision.Strategies{})
 	is.NoErr(err)
-	b, err := Run(x.Site, x.Load, decision.Strategies{})
+	b, err := Run(s.Site, s.Load, decision.Strategies{})
 	is.NoErr(err)
 	is.Equal(a, b)
-	x.Load.Seed++
-	c, err := Run(x.Site, x.Load, decision.Strategies{})
+	s.Load.Seed++
+	c, err := Run(s.Site, s.Load, decision.Strategies{})
 	is.NoErr(err)
 	is.True(a != c)
 }
 
-// A mistake in a site's file is named before anything is played.
+// Guards against simulating an invalid site or load: the faulty value must be named and nothing run.
 func TestInvalidSiteOrLoadIsRejected(t *testing.T) {
-	for names, change := range map[string]func(x *replay){
-		"endpoints":  func(x *replay) { x.Site.Endpoints = 0 },
-		"slots":      func(x *replay) { x.Site.Slots = 0 },
-		"models":     func(x *replay) { x.Site.Models = nil },
-		"per-second": func(x *replay) { x.Load.PerSecond = -1 },
-		"draft":      func(x *replay) { x.Load.Kinds[0].TargetMillis = 0 },
-		"summary":    func(x *replay) { x.Load.Kinds[1].HardFraction = 1.5 },
+	for faulty, change := range map[string]func(s *scenario){
+		"endpoints":  func(s *scenario) { s.Site.Endpoints = 0 },
+		"slots":      func(s *scenario) { s.Site.Slots = 0 },
+		"models":     func(s *scenario) { s.Site.Models = nil },
+		"per-second": func(s *scenario) { s.Load.PerSecond = -1 },
+		"draft":      func(s *scenario) { s.Load.Kinds[0].TargetMillis = 0 },
+		"summary":    func(s *scenario) { s.Load.Kinds[1].HardFraction = 1.5 },
 	} {
-		t.Run(names, func(t *testing.T) {
+		t.Run(faulty, func(t *testing.T) {
 			is := is.New(t)
-			x := read(t, "testdata/six-zones.toml")
-			change(&x)
-			r, err := Run(x.Site, x.Load, decision.Strategies{})
+			s := readScenario(t, "testdata/six-zones.toml")
+			change(&s)
+			result, err := Run(s.Site, s.Load, decision.Strategies{})
 			is.True(errorx.IsOfType(err, ErrSite))
-			is.True(strings.Contains(err.Error(), names))
-			is.Equal(r, Result{}) // nothing was played
+			is.True(strings.Contains(err.Error(), faulty))
+			is.Equal(result, Result{}) // nothing was run
 		})
 	}
 }
 
-// An endpoint reads one prompt after another and never streams more answers than it has
-// slots, whatever it is given, and reads no token that it keeps.
+// Checks for random prompts that an endpoint prefills one prompt after another, never streams more answers
+// than it has slots, and does not prefill cached tokens.
 func TestEndpointStaysWithinItsSlots(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := Site{Slots: rapid.IntRange(1, 4).Draw(t, "slots"), CacheTokens: 1000}
 		m := Model{Name: "m", TokenMillis: 0.1, OverheadMillis: 5, EventMillis: 10}
 		e := newEndpoint(s, nil)
-		now, readUntil := clock.Millis(0), clock.Millis(0)
+		now, lastFirstByte := clock.Millis(0), clock.Millis(0)
 		for range rapid.IntRange(1, 60).Draw(t, "prompts") {
 			now += clock.Millis(rapid.IntRange(0, 50).Draw(t, "pause"))
-			parts := []placement.Block{{ID: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "part"), Tokens: 300}}
-			known := e.kept["m/"+parts[0].ID] > 0
-			first, end, read := e.begin(now, m, parts, 5)
-			if first < readUntil || end < first || known && read > 0 {
-				t.Fatalf("first byte at %d after %d, end %d, %d tokens read", first, readUntil, end, read)
+			blocks := []placement.Block{{ID: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "block"), Tokens: 300}}
+			cached := e.lastUsed["m/"+blocks[0].ID] > 0
+			first, end, uncached := e.start(now, m, blocks, 5)
+			if first < lastFirstByte || end < first || cached && uncached > 0 {
+				t.Fatalf("first byte at %d after %d, end %d, %d uncached tokens", first, lastFirstByte, end, uncached)
 			}
-			readUntil = first
+			lastFirstByte = first
 			running := 0
-			for _, at := range e.ends {
+			for _, at := range e.answerEnds {
 				if at > float64(first) {
 					running++
 				}
--- a/emulator/endpoint.go
+++ b/emulator/endpoint.go
@@ -7,86 +7,90 @@
 	"github.com/parsleydeal/parsleydeal/placement"
 )
 
-// endpoint reads prompts in the order in which they came and streams answers.
+// endpoint prefills prompts in the order of their arrival and streams answers. Times are in
+// milliseconds of virtual time.
 type endpoint struct {
-	slots  int
-	memory int
-	// freeAt is when it has read all it was given, in milliseconds.
-	freeAt float64
-	// held counts requests that it reads or answers; ends holds when the slots in use
-	// become free.
-	held int
-	ends []float64
-	// kept holds when a part was last used, and size its tokens.
-	kept map[string]float64
-	size map[string]int
-	used int
-	// limits holds when it names a rate, toldAt when it first told each entry of the one
-	// in force, and arrivals when those entries sent something, within limitSpan.
-	limits   []Limit
-	toldAt   map[string]clock.Millis
-	arrivals []clock.Millis
+	slots int
+	// cacheCapacity is in tokens.
+	cacheCapacity int
+	// prefillFreeAt is when all prompts received so far are prefilled.
+	prefillFreeAt float64
+	// outstanding is the number of requests that wait, are in prefill or stream. answerEnds holds the
+	// times at which their answers end and their slots become free.
+	outstanding int
+	answerEnds  []float64
+	// lastUsed holds the time at which each cached block was last used, blockTokens its size, and
+	// cachedTokens the sum of the sizes.
+	lastUsed     map[string]float64
+	blockTokens  map[string]int
+	cachedTokens int
+	// limits holds the rate limits that the endpoint advertises. limitReceivedAt is when each entry
+	// first received the limit in force, arrivals the times of their requests within limitWindow.
+	limits          []Limit
+	limitReceivedAt map[string]clock.Millis
+	arrivals        []clock.Millis
 }
 
 func newEndpoint(s Site, limits []Limit) *endpoint {
-	return &endpoint{slots: s.Slots, memory: s.CacheTokens, kept: make(map[string]float64), size: make(map[string]int), limits: limits, toldAt: make(map[string]clock.Millis)}
+	return &endpoint{slots: s.Slots, cacheCapacity: s.CacheTokens, lastUsed: make(map[string]float64), blockTokens: make(map[string]int), limits: limits, limitReceivedAt: make(map[string]clock.Millis)}
 }
 
-// begin takes a prompt and tells when its first byte and its end come, and how many
-// tokens are read for it.
-func (e *endpoint) begin(now clock.Millis, m Model, parts []placement.Block, events int) (first, end clock.Millis, read int) {
-	start := max(e.freeAt, float64(now), e.slotAt(float64(now)))
-	read = e.read(start, m, parts)
-	e.freeAt = start + m.TokenMillis*float64(read)
-	byteAt := e.freeAt + m.OverheadMillis
-	endAt := byteAt + m.EventMillis*float64(events-1)
-	e.held++
-	e.ends = append(e.ends, endAt)
-	return clock.Millis(byteAt), clock.Millis(endAt), read
+// start starts a request. It returns the times of the first byte and of the end of the answer, and the
+// number of tokens to prefill.
+func (e *endpoint) start(now clock.Millis, m Model, blocks []placement.Block, events int) (first, end clock.Millis, uncached int) {
+	start := max(e.prefillFreeAt, float64(now), e.nextSlotAt(float64(now)))
+	uncached = e.prefill(start, m, blocks)
+	e.prefillFreeAt = start + m.TokenMillis*float64(uncached)
+	firstByteAt := e.prefillFreeAt + m.OverheadMillis
+	endAt := firstByteAt + m.EventMillis*float64(events-1)
+	e.outstanding++
+	e.answerEnds = append(e.answerEnds, endAt)
+	return clock.Millis(firstByteAt), clock.Millis(endAt), uncached
 }
 
-// slotAt is when a slot is free for one more than those that have one or wait for one.
-func (e *endpoint) slotAt(now float64) float64 {
-	e.ends = slices.DeleteFunc(e.ends, func(at float64) bool { return at <= now })
-	if len(e.ends) < e.slots {
+// nextSlotAt returns the time at which a slot is free for a further request, after those that have one or
+// wait for one.
+func (e *endpoint) nextSlotAt(now float64) float64 {
+	e.answerEnds = slices.DeleteFunc(e.answerEnds, func(at float64) bool { return at <= now })
+	if len(e.answerEnds) < e.slots {
 		return now
 	}
-	slices.Sort(e.ends)
-	return e.ends[len(e.ends)-e.slots]
+	slices.Sort(e.answerEnds)
+	return e.answerEnds[len(e.answerEnds)-e.slots]
 }
 
-// read counts the tokens that are not kept, from the first missing part on, and keeps
-// all of them.
-func (e *endpoint) read(now float64, m Model, parts []placement.Block) (read int) {
+// prefill caches the blocks of a prompt and returns the number of tokens to prefill: those from the first
+// block on that is not cached.
+func (e *endpoint) prefill(now float64, m Model, blocks []placement.Block) (uncached int) {
 	missing := false
-	for _, p := range parts {
-		key := m.Name + "/" + p.ID
-		_, ok := e.kept[key]
+	for _, b := range blocks {
+		key := m.Name + "/" + b.ID
+		_, ok := e.lastUsed[key]
 		missing = missing || !ok
 		if missing {
-			read += p.Tokens
+			uncached += b.Tokens
 		}
 		if !ok {
-			e.used += p.Tokens
-			e.size[key] = p.Tokens
+			e.cachedTokens += b.Tokens
+			e.blockTokens[key] = b.Tokens
 		}
-		e.kept[key] = now
+		e.lastUsed[key] = now
 	}
-	for e.used > e.memory && len(e.kept) > 0 {
-		e.forget()
+	for e.cachedTokens > e.cacheCapacity && len(e.lastUsed) > 0 {
+		e.evictOldest()
 	}
-	return read
+	return uncached
 }
 
-// forget drops the part that was used least recently.
-func (e *endpoint) forget() {
+// evictOldest evicts the least recently used block.
+func (e *endpoint) evictOldest() {
 	oldest := ""
-	for key, at := range e.kept {
-		if oldest == "" || at < e.kept[oldest] || at == e.kept[oldest] && key < oldest {
+	for key, at := range e.lastUsed {
+		if oldest == "" || at < e.lastUsed[oldest] || at == e.lastUsed[oldest] && key < oldest {
 			oldest = key
 		}
 	}
-	e.used -= e.size[oldest]
-	delete(e.kept, oldest)
-	delete(e.size, oldest)
+	e.cachedTokens -= e.blockTokens[oldest]
+	delete(e.lastUsed, oldest)
+	delete(e.blockTokens, oldest)
 }
--- a/emulator/limit.go
+++ b/emulator/limit.go
@@ -5,31 +5,31 @@
 	"github.com/parsleydeal/parsleydeal/placement"
 )
 
-// What an endpoint that names a rate may get at the most, in requests from entries that
-// were told of it.
+// Bounds on the requests that an endpoint with an advertised rate limit may receive. Only entries that
+// have received the limit count.
 const (
-	// limitSpan is the span in which requests are counted, limitSettle how long after a
-	// rate was first named they begin to be, and limitHeard how long an entry may take to
-	// act on it.
-	limitSpan   = 4 * clock.Second
-	limitSettle = 3 * clock.Second
-	limitHeard  = 500 * clock.Millis(1)
-	// limitFactor and limitExtra widen the rate.
+	// limitWindow is the duration of the sliding count of requests. limitSettleTime is the time between
+	// the start of a limit and the first check, limitReactionTime the time that an entry has to apply
+	// the limit once it has received it.
+	limitWindow       = 4 * clock.Second
+	limitSettleTime   = 3 * clock.Second
+	limitReactionTime = 500 * clock.Millis(1)
+	// limitFactor multiplies the rate; limitSlack is added to the requests per window.
 	limitFactor = 1.5
-	limitExtra  = 5.0
+	limitSlack  = 5.0
 )
 
-// limitsOf returns the limits of the endpoint at a place of its zone.
-func (l Load) limitsOf(place int) (limits []Limit) {
+// limitsOf returns the limits of the endpoint with an index in its zone.
+func (l Load) limitsOf(index int) (limits []Limit) {
 	for _, x := range l.Limits {
-		if place < x.Endpoints {
+		if index < x.Endpoints {
 			limits = append(limits, x)
 		}
 	}
 	return limits
 }
 
-// limitAt returns the limit in force at an instant.
+// limitAt returns the limit in force at a time.
 func (e *endpoint) limitAt(now clock.Millis) (x Limit, ok bool) {
 	seconds := float64(now) / float64(clock.Second)
 	for _, x := range e.limits {
@@ -40,33 +40,35 @@
 	return x, false
 }
 
-// state is what the endpoint says of itself in an answer to an entry.
-func (e *endpoint) state(entry string, now clock.Millis) (s placement.Advertisement) {
+// advertisement returns what the endpoint advertises in an answer to an entry, and records that the entry
+// has received it.
+func (e *endpoint) advertisement(entry string, now clock.Millis) (s placement.Advertisement) {
 	x, ok := e.limitAt(now)
 	if !ok {
-		clear(e.toldAt)
+		clear(e.limitReceivedAt)
 		return s
 	}
-	if _, told := e.toldAt[entry]; !told {
-		e.toldAt[entry] = now
+	if _, received := e.limitReceivedAt[entry]; !received {
+		e.limitReceivedAt[entry] = now
 	}
 	return placement.Advertisement{Rate: x.Rate, HasRate: true}
 }
 
-// arrived takes in a request of an entry, and counts it where it is beyond the rate.
-func (e *endpoint) arrived(entry string, now clock.Millis) (over int) {
+// recordArrival records a request of an entry. It returns 1 if the request exceeds the bound on the limit
+// in force, else 0.
+func (e *endpoint) recordArrival(entry string, now clock.Millis) (over int) {
 	x, ok := e.limitAt(now)
-	toldAt, told := e.toldAt[entry]
-	if !ok || !told || now-toldAt < limitHeard {
+	receivedAt, received := e.limitReceivedAt[entry]
+	if !ok || !received || now-receivedAt < limitReactionTime {
 		return 0
 	}
 	e.arrivals = append(e.arrivals, now)
-	for now-e.arrivals[0] >= limitSpan {
+	for now-e.arrivals[0] >= limitWindow {
 		e.arrivals = e.arrivals[1:]
 	}
-	named := clock.Millis(x.From * float64(clock.Second))
-	allowed := limitFactor*x.Rate*float64(limitSpan)/float64(clock.Second) + limitExtra
-	if now-named >= limitSettle && float64(len(e.arrivals)) > allowed {
+	limitStart := clock.Millis(x.From * float64(clock.Second))
+	allowed := limitFactor*x.Rate*float64(limitWindow)/float64(clock.Second) + limitSlack
+	if now-limitStart >= limitSettleTime && float64(len(e.arrivals)) > allowed {
 		return 1
 	}
 	return 0
--- a/emulator/play.go
+++ b/emulator/play.go
@@ -13,297 +13,299 @@
 )
 
 const (
-	// reportApart is the least span between two reports of an entry, wholeApart that
-	// between two whole ones: about what the bound on their bytes leaves at a dozen
-	// neighbours.
-	reportApart = 80 * clock.Millis(1)
-	wholeApart  = 500 * clock.Millis(1)
-	// sureness is how far a model's opinion of a good answer lies from that of a poor
-	// one, in points of confidence to either side of 50, and noise its spread.
-	sureness = 13.0
-	noise    = 10.0
+	// reportInterval is the shortest time between two reports of an entry, fullReportInterval between
+	// two full ones. The limit on the bytes of reports permits about this with a dozen peers.
+	reportInterval     = 80 * clock.Millis(1)
+	fullReportInterval = 500 * clock.Millis(1)
+	// confidenceOffset is how far the mean confidence of a good answer is above 50 and that of a poor
+	// one below, in points; confidenceNoise is the standard deviation.
+	confidenceOffset = 13.0
+	confidenceNoise  = 10.0
 )
 
-// Result counts what became of the requests.
+// Result counts the outcomes of the requests.
 type Result struct {
 	Requests int
-	// InTime requests had their first byte within its aim; Late ones after it.
+	// InTime counts requests whose first byte met its latency target, Late those where it came later.
 	InTime int
 	Late   int
-	// Refused requests found no endpoint.
+	// Refused counts requests for which no endpoint was found.
 	Refused int
-	// Poor answers were too hard for the model that made them.
+	// Poor counts answers to requests that were too hard for the model that answered.
 	Poor int
-	// Escalated counts requests that were asked of the larger model as well.
+	// Escalated counts requests that were sent to the largest model as well.
 	Escalated int
-	// InZone counts prompts sent to an endpoint of their entry's zone, Sent all.
+	// InZone counts prompts sent to an endpoint in the zone of their entry, Sent all prompts.
 	InZone int
 	Sent   int
-	// PrefillTokens is the number of tokens read, Again those of shared parts that some endpoint
-	// had read before.
+	// PrefillTokens is the number of prefilled tokens, RepeatedTokens the part in shared blocks that
+	// some endpoint had prefilled before.
 	PrefillTokens  int
 	RepeatedTokens int
-	// OverRate counts the requests that an endpoint got beyond the rate that it names.
+	// OverRate counts the requests that exceeded the advertised rate limit of an endpoint by more than
+	// the tolerance.
 	OverRate int
 }
 
-// play is one play. The same site, load and switches give the same result.
-type play struct {
-	site      Site
-	load      Load
-	ways      decision.Strategies
-	rnd       *rand.Rand
-	fleet     *fleet.Snapshot
-	endpoints map[string]*endpoint
-	entries   []*entry
-	events    queue
-	// planned counts the events ever planned.
-	planned int
-	result  Result
-	read    map[string]bool
+// simulation is one run. The same site, load and strategies give the same result.
+type simulation struct {
+	site       Site
+	load       Load
+	strategies decision.Strategies
+	rnd        *rand.Rand
+	fleet      *fleet.Snapshot
+	endpoints  map[string]*endpoint
+	entries    []*entry
+	events     queue
+	// scheduled is the number of events scheduled so far.
+	scheduled int
+	result    Result
+	prefilled map[string]bool
 }
 
-// entry is one entry and what it knows.
+// entry is one entry with its state.
 type entry struct {
-	name  string
-	zone  string
-	board *placement.Selector
-	judge *cascade.Escalator
-	// shares holds its share of what endpoints take, by their zone.
+	name      string
+	zone      string
+	selector  *placement.Selector
+	escalator *cascade.Escalator
+	// shares holds the entry's share of the capacity of endpoints, by their zone.
 	shares map[string]placement.Share
-	// toldAt is when it last told others, wholeAt when it last told them all.
-	toldAt  clock.Millis
-	wholeAt clock.Millis
-	// urgent is true while it has news that its allowance did not let out.
+	// reportedAt is the time of the last report to peers, fullReportAt that of the last full one.
+	reportedAt   clock.Millis
+	fullReportAt clock.Millis
+	// urgent is true while there is an urgent report that reportInterval still delays.
 	urgent bool
 }
 
-// Run plays a load on a site with some mechanisms switched off.
-func Run(s Site, l Load, ways decision.Strategies) (r Result, err error) {
+// Run simulates a load on a site with the given strategies. It returns ErrSite if the site or load is
+// invalid.
+func Run(s Site, l Load, strategies decision.Strategies) (r Result, err error) {
 	if err = Check(s, l); err != nil {
 		return r, err
 	}
-	p := newPlay(s, l, ways)
-	span := clock.Millis(l.Seconds * float64(clock.Second))
-	for now := clock.Millis(0); now < span || len(p.events) > 0; now++ {
-		for len(p.events) > 0 && p.events[0].at <= now {
-			heap.Pop(&p.events).(event).do(now)
+	sim := newSimulation(s, l, strategies)
+	duration := clock.Millis(l.Seconds * float64(clock.Second))
+	for now := clock.Millis(0); now < duration || len(sim.events) > 0; now++ {
+		for len(sim.events) > 0 && sim.events[0].at <= now {
+			heap.Pop(&sim.events).(event).do(now)
 		}
-		p.tell(now)
-		if now < span {
-			p.ask(now)
+		sim.exchangeReports(now)
+		if now < duration {
+			sim.generateRequests(now)
 		}
 	}
-	return p.result, nil
+	return sim.result, nil
 }
 
-func newPlay(s Site, l Load, ways decision.Strategies) *play {
-	p := &play{site: s, load: l, ways: ways, rnd: rand.New(rand.NewPCG(l.Seed, l.Seed)), endpoints: make(map[string]*endpoint), read: make(map[string]bool)}
+func newSimulation(s Site, l Load, strategies decision.Strategies) *simulation {
+	sim := &simulation{site: s, load: l, strategies: strategies, rnd: rand.New(rand.NewPCG(l.Seed, l.Seed)), endpoints: make(map[string]*endpoint), prefilled: make(map[string]bool)}
 	f := fleet.New()
 	for z := range s.Zones {
 		zone := fmt.Sprint("zone-", z)
 		for i := range s.Endpoints {
 			id := fmt.Sprintf("i-%d-%d", z, i)
-			p.endpoints[id] = newEndpoint(s, l.limitsOf(i))
+			sim.endpoints[id] = newEndpoint(s, l.limitsOf(i))
 			f.Apply([]fleet.Change{{ID: id, Endpoint: &fleet.Endpoint{ID: id, Service: "pool", Zone: zone, Version: "v1", Slots: s.Slots}}}, false)
 		}
 		for i := range s.Entries {
-			p.entries = append(p.entries, &entry{name: fmt.Sprintf("entry-%d-%d", z, i), zone: zone, board: placement.NewSelectorWith(ways), judge: cascade.NewEscalator(ways), shares: sharesOf(s, z, i)})
+			sim.entries = append(sim.entries, &entry{name: fmt.Sprintf("entry-%d-%d", z, i), zone: zone, selector: placement.NewSelectorWith(strategies), escalator: cascade.NewEscalator(strategies), shares: sharesOf(s, z, i)})
 		}
 	}
-	p.fleet = f.Snapshot()
-	return p
+	sim.fleet = f.Snapshot()
+	return sim
 }
 
-// homePart is the part of what an endpoint takes that the entries of its zone share.
-const homePart = 0.5
+// localFraction is the fraction of an endpoint's capacity that the entries of its zone share. The entries
+// of other zones share the rest.
+const localFraction = 0.5
 
-// sharesOf are the shares of an entry, by its place in its zone.
-func sharesOf(s Site, zone, place int) map[string]placement.Share {
+// sharesOf returns the shares of the entry with an index in a zone, by the zone of endpoints.
+func sharesOf(s Site, zone, index int) map[string]placement.Share {
 	shares := make(map[string]placement.Share)
 	for z := range s.Zones {
-		share := placement.Share{Fraction: homePart, Entries: s.Entries, Index: place}
+		share := placement.Share{Fraction: localFraction, Entries: s.Entries, Index: index}
 		switch {
 		case s.Zones == 1:
 			share.Fraction = 1
 		case z != zone:
-			others := zone
+			otherZone := zone
 			if z < zone {
-				others--
+				otherZone--
 			}
-			share = placement.Share{Fraction: 1 - homePart, Entries: (s.Zones - 1) * s.Entries, Index: others*s.Entries + place}
+			share = placement.Share{Fraction: 1 - localFraction, Entries: (s.Zones - 1) * s.Entries, Index: otherZone*s.Entries + index}
 		}
 		shares[fmt.Sprint("zone-", z)] = share
 	}
 	return shares
 }
 
-// tell has entries tell the others of their zone: at once when there is news, as far as
-// their allowance goes, and else now and then.
-func (p *play) tell(now clock.Millis) {
-	for _, e := range p.entries {
+// exchangeReports lets entries report to their peers in the zone: as soon as reportInterval permits if
+// there is an urgent report, else a full report every fullReportInterval.
+func (sim *simulation) exchangeReports(now clock.Millis) {
+	for _, e := range sim.entries {
 		select {
-		case <-e.board.Urgent():
+		case <-e.selector.Urgent():
 			e.urgent = true
 		default:
 		}
-		whole := now-e.wholeAt >= wholeApart
-		if now-e.toldAt < reportApart || !e.urgent && !whole {
+		full := now-e.fullReportAt >= fullReportInterval
+		if now-e.reportedAt < reportInterval || !e.urgent && !full {
 			continue
 		}
-		e.toldAt, e.urgent = now, false
-		if whole {
-			e.wholeAt = now
+		e.reportedAt, e.urgent = now, false
+		if full {
+			e.fullReportAt = now
 		}
-		told := e.board.Report(now, whole)
-		for _, other := range p.entries {
-			if other != e && other.zone == e.zone {
-				other.board.Receive(e.name, told, whole, now)
+		reported := e.selector.Report(now, full)
+		for _, peer := range sim.entries {
+			if peer != e && peer.zone == e.zone {
+				peer.selector.Receive(e.name, reported, full, now)
 			}
 		}
 	}
 }
 
-// ask draws the requests of one millisecond.
-func (p *play) ask(now clock.Millis) {
-	rate := p.load.PerSecond / float64(clock.Second)
+// generateRequests generates the requests of one millisecond.
+func (sim *simulation) generateRequests(now clock.Millis) {
+	rate := sim.load.PerSecond / float64(clock.Second)
 	seconds := float64(now) / float64(clock.Second)
-	for _, b := range p.load.Bursts {
+	for _, b := range sim.load.Bursts {
 		if seconds >= b.From && seconds < b.Until {
 			rate *= b.Factor
 		}
 	}
 	for ; rate > 0; rate-- {
-		if p.rnd.Float64() < rate {
-			p.request(now)
+		if sim.rnd.Float64() < rate {
+			sim.startRequest(now)
 		}
 	}
 }
 
-// request is one request on its way.
+// request is one request in progress.
 type request struct {
-	kind  Kind
-	entry *entry
-	parts []placement.Block
-	hard  bool
-	// model is the place of the model that is asked now.
+	kind   Kind
+	entry  *entry
+	blocks []placement.Block
+	hard   bool
+	// model is the index of the current model.
 	model     int
 	startedAt clock.Millis
 }
 
-func (p *play) request(now clock.Millis) {
-	k := p.kind()
-	r := &request{kind: k, entry: p.entries[p.rnd.IntN(len(p.entries))], hard: p.rnd.Float64() < k.HardFraction, startedAt: now}
-	subject := p.rnd.IntN(k.Subjects)
-	if k.HotFraction > 0 && p.rnd.Float64() < k.HotFraction {
+func (sim *simulation) startRequest(now clock.Millis) {
+	k := sim.drawKind()
+	r := &request{kind: k, entry: sim.entries[sim.rnd.IntN(len(sim.entries))], hard: sim.rnd.Float64() < k.HardFraction, startedAt: now}
+	subject := sim.rnd.IntN(k.Subjects)
+	if k.HotFraction > 0 && sim.rnd.Float64() < k.HotFraction {
 		subject = 0
 	}
-	own := int(float64(k.OwnTokens) * (0.5 + p.rnd.Float64()))
-	r.parts = []placement.Block{
+	own := int(float64(k.OwnTokens) * (0.5 + sim.rnd.Float64()))
+	r.blocks = []placement.Block{
 		{ID: fmt.Sprintf("%s/%d", k.Name, subject), Tokens: k.SharedTokens},
-		{ID: fmt.Sprintf("own/%d", p.result.Requests), Tokens: own},
+		{ID: fmt.Sprintf("own/%d", sim.result.Requests), Tokens: own},
 	}
-	p.result.Requests++
-	p.send(r, now)
+	sim.result.Requests++
+	sim.send(r, now)
 }
 
-func (p *play) kind() Kind {
+func (sim *simulation) drawKind() Kind {
 	total := 0.0
-	for _, k := range p.load.Kinds {
+	for _, k := range sim.load.Kinds {
 		total += k.Share
 	}
-	draw := p.rnd.Float64() * total
-	for _, k := range p.load.Kinds {
+	draw := sim.rnd.Float64() * total
+	for _, k := range sim.load.Kinds {
 		if draw -= k.Share; draw < 0 {
 			return k
 		}
 	}
-	return p.load.Kinds[len(p.load.Kinds)-1]
+	return sim.load.Kinds[len(sim.load.Kinds)-1]
 }
 
-func (p *play) query(r *request, model int, now clock.Millis) placement.Query {
+func (sim *simulation) query(r *request, model int, now clock.Millis) placement.Query {
 	return placement.Query{
-		Service: "pool", Version: "v1", Zone: r.entry.zone, Model: p.site.Models[model].Name, Blocks: r.parts, Bytes: r.parts[1].Tokens,
-		FullMesh: p.site.Zones == 1, Bounds: placement.Bounds{Shares: r.entry.shares}, FirstByteBudget: placement.FirstByteBudget(r.kind.aim(), now-r.startedAt), Now: now,
+		Service: "pool", Version: "v1", Zone: r.entry.zone, Model: sim.site.Models[model].Name, Blocks: r.blocks, Bytes: r.blocks[1].Tokens,
+		FullMesh: sim.site.Zones == 1, Bounds: placement.Bounds{Shares: r.entry.shares}, FirstByteBudget: placement.FirstByteBudget(r.kind.target(), now-r.startedAt), Now: now,
 	}
 }
 
-// send sends a request to the endpoint that its entry picks.
-func (p *play) send(r *request, now clock.Millis) {
-	q := p.query(r, r.model, now)
-	at, _ := r.entry.board.Select(p.fleet, q)
-	if at == nil {
-		p.result.Refused++
+// send sends a request to the endpoint that its entry selects.
+func (sim *simulation) send(r *request, now clock.Millis) {
+	q := sim.query(r, r.model, now)
+	target, _ := r.entry.selector.Select(sim.fleet, q)
+	if target == nil {
+		sim.result.Refused++
 		return
 	}
-	p.result.Sent++
-	work := r.entry.board.Begin(at, q)
-	e := p.endpoints[at.ID]
-	p.result.OverRate += e.arrived(r.entry.name, now)
-	m := p.site.Models[r.model]
-	first, end, read := e.begin(now, m, r.parts, r.kind.Events)
-	if at.Zone == r.entry.zone {
-		p.result.InZone++
+	sim.result.Sent++
+	work := r.entry.selector.Begin(target, q)
+	e := sim.endpoints[target.ID]
+	sim.result.OverRate += e.recordArrival(r.entry.name, now)
+	m := sim.site.Models[r.model]
+	first, end, uncached := e.start(now, m, r.blocks, r.kind.Events)
+	if target.Zone == r.entry.zone {
+		sim.result.InZone++
 	}
-	p.count(m, r.parts[0], read)
-	p.after(first, func(now clock.Millis) {
+	sim.countTokens(m, r.blocks[0], uncached)
+	sim.schedule(first, func(now clock.Millis) {
 		work.FirstByte(now)
-		r.entry.board.RecordActivity(at.ID, now)
-		r.entry.board.RecordLoad(at.ID, e.held, e.slots, now)
-		r.entry.board.RecordAdvertisement(at, e.state(r.entry.name, now), q.Now, now)
-		if !p.climbs(r, now) {
-			p.answered(r, now)
-			p.after(end, func(clock.Millis) { e.held--; work.End() })
+		r.entry.selector.RecordActivity(target.ID, now)
+		r.entry.selector.RecordLoad(target.ID, e.outstanding, e.slots, now)
+		r.entry.selector.RecordAdvertisement(target, e.advertisement(r.entry.name, now), q.Now, now)
+		if !sim.escalates(r, now) {
+			sim.recordAnswer(r, now)
+			sim.schedule(end, func(clock.Millis) { e.outstanding--; work.End() })
 			return
 		}
-		e.held--
+		e.outstanding--
 		work.End()
-		r.model = len(p.site.Models) - 1
-		p.result.Escalated++
-		p.send(r, now)
+		r.model = len(sim.site.Models) - 1
+		sim.result.Escalated++
+		sim.send(r, now)
 	})
 }
 
-// count counts what was read.
-func (p *play) count(m Model, shared placement.Block, read int) {
-	p.result.PrefillTokens += read
+// countTokens counts the tokens of a prefill.
+func (sim *simulation) countTokens(m Model, shared placement.Block, uncached int) {
+	sim.result.PrefillTokens += uncached
 	key := m.Name + "/" + shared.ID
-	if p.read[key] && read >= shared.Tokens {
-		p.result.RepeatedTokens += shared.Tokens
+	if sim.prefilled[key] && uncached >= shared.Tokens {
+		sim.result.RepeatedTokens += shared.Tokens
 	}
-	p.read[key] = true
+	sim.prefilled[key] = true
 }
 
-// climbs decides whether the smallest model's answer is dropped for the largest one's.
-func (p *play) climbs(r *request, now clock.Millis) bool {
-	last := len(p.site.Models) - 1
+// escalates decides whether the smallest model's answer is dropped in favour of the largest one's.
+func (sim *simulation) escalates(r *request, now clock.Millis) bool {
+	last := len(sim.site.Models) - 1
 	if r.model == last {
 		return false
 	}
-	expected, room := r.entry.board.Expect(p.fleet, p.query(r, last, now))
-	if !room {
+	expected, hasCapacity := r.entry.selector.Expect(sim.fleet, sim.query(r, last, now))
+	if !hasCapacity {
 		return false
 	}
-	confidence := 50 + sureness + noise*p.rnd.NormFloat64()
+	confidence := 50 + confidenceOffset + confidenceNoise*sim.rnd.NormFloat64()
 	if r.hard {
-		confidence -= 2 * sureness
+		confidence -= 2 * confidenceOffset
 	}
-	answer := cascade.Answer{Confidence: int(min(max(confidence, 0), 100)), Remaining: r.startedAt + r.kind.aim() - now}
-	return r.entry.judge.ShouldEscalate(answer, cascade.LargerModel{FirstByte: expected.FirstByte, QueueWait: expected.Wait})
+	answer := cascade.Answer{Confidence: int(min(max(confidence, 0), 100)), Remaining: r.startedAt + r.kind.target() - now}
+	return r.entry.escalator.ShouldEscalate(answer, cascade.LargerModel{FirstByte: expected.FirstByte, QueueWait: expected.Wait})
 }
 
-func (p *play) answered(r *request, now clock.Millis) {
-	if now-r.startedAt > r.kind.aim() {
-		p.result.Late++
+func (sim *simulation) recordAnswer(r *request, now clock.Millis) {
+	if now-r.startedAt > r.kind.target() {
+		sim.result.Late++
 	} else {
-		p.result.InTime++
+		sim.result.InTime++
 	}
-	if r.hard && r.model < len(p.site.Models)-1 {
-		p.result.Poor++
+	if r.hard && r.model < len(sim.site.Models)-1 {
+		sim.result.Poor++
 	}
 }
 
-func (p *play) after(at clock.Millis, do func(now clock.Millis)) {
-	p.planned++
-	heap.Push(&p.events, event{at: at, number: p.planned, do: do})
+func (sim *simulation) schedule(at clock.Millis, do func(now clock.Millis)) {
+	sim.scheduled++
+	heap.Push(&sim.events, event{at: at, sequence: sim.scheduled, do: do})
 }
--- a/emulator/queue.go
+++ b/emulator/queue.go
@@ -2,23 +2,23 @@
 
 import "github.com/parsleydeal/parsleydeal/clock"
 
-// event is something that happens at a moment. Of two at the same moment the one that
-// was planned first goes first, so that a play repeats.
+// event is an action scheduled for a point of virtual time. Events of the same time run in the order in
+// which they were scheduled, so that a simulation is deterministic.
 type event struct {
-	at     clock.Millis
-	number int
-	do     func(now clock.Millis)
+	at       clock.Millis
+	sequence int
+	do       func(now clock.Millis)
 }
 
-// queue holds events, the next one first.
+// queue is a heap of events with the next one first.
 type queue []event
 
-// Len, Less, Swap, Push and Pop make the queue a heap.
+// Len implements heap.Interface, as do the methods below.
 func (q queue) Len() int { return len(q) }
 
-// Less orders events by time.
+// Less orders events by time, then by sequence.
 func (q queue) Less(i, j int) bool {
-	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].number < q[j].number
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].sequence < q[j].sequence
 }
 
 // Swap exchanges two events.
@@ -27,7 +27,7 @@
 // Push adds an event.
 func (q *queue) Push(x any) { *q = append(*q, x.(event)) }
 
-// Pop takes the last event.
+// Pop removes and returns the last event.
 func (q *queue) Pop() any {
 	last := (*q)[len(*q)-1]
 	*q = (*q)[:len(*q)-1]
--- a/emulator/site.go
+++ b/emulator/site.go
@@ -1,14 +1,13 @@
-// Package emulator plays a site in virtual time: callers, entries that decide by the
-// product's own packages, and endpoints that read prompts and answer them. It replays
-// loads that an operator or a test describes, to the digit from one seed, so that a
-// change of a decision can be judged without a site.
+// Package emulator simulates a site in virtual time: callers, entries that decide with the product's own
+// packages, and endpoints that prefill and answer prompts. A simulation of a load described by an operator
+// or a test is deterministic for a seed, so that a change of a decision can be evaluated without a site.
 //
-// What is modelled: an endpoint reads prompts one after another, by model and length,
-// keeps shared parts in a limited memory, and streams answers in a limited number of
-// slots; entries hear of one another's work within their zone; the smallest model's
-// opinion of its answer is a noisy word on how good that is; endpoints may name a rate that
-// they take. What is not: how running
-// streams slow one another, pre-emption, cold starts, faults, upgrades and the store.
+// The model covers these effects: an endpoint prefills prompts one after another, in a time that depends
+// on the model and the length; it caches shared blocks in a limited memory and streams answers in a limited
+// number of slots; entries report their work to each other within their zone only; the smallest model's
+// confidence in its answer is a noisy measure of how good the answer is; endpoints may advertise a rate
+// limit. It does not cover how concurrent streams slow each other, pre-emption, cold starts, faults,
+// upgrades and the store.
 package emulator
 
 import (
@@ -19,37 +18,37 @@
 // Errors is the namespace of this package's errors.
 var Errors = errorx.NewNamespace("emulator")
 
-// ErrSite marks a site or load that cannot be played.
+// ErrSite marks a site or load with invalid values.
 var ErrSite = Errors.NewType("site")
 
-// Site describes the machines.
+// Site describes the zones, entries and endpoints of a site.
 type Site struct {
 	Zones int `toml:"zones"`
-	// Entries and Endpoints are their numbers in each zone.
+	// Entries and Endpoints are their numbers per zone.
 	Entries   int `toml:"entries"`
 	Endpoints int `toml:"endpoints"`
-	// Slots is how many answers an endpoint streams at once, Memory how many tokens of
-	// prompt parts it keeps.
+	// Slots is the number of answers that an endpoint streams at once, CacheTokens the size of its
+	// prefix cache in tokens.
 	Slots       int `toml:"slots"`
 	CacheTokens int `toml:"memory"`
-	// Models are in the order of their size, the smallest first.
+	// Models is ordered by size, the smallest first.
 	Models []Model `toml:"models"`
 }
 
-// Model is a model that all endpoints serve.
+// Model is a model. Every endpoint serves all models.
 type Model struct {
 	Name string `toml:"name"`
-	// TokenMillis is how long a token takes to read, Foot what a first byte takes beside the
-	// reading, Event the span between two events; all in milliseconds.
+	// TokenMillis is the prefill time of one token, OverheadMillis the time to the first byte besides
+	// the prefill, EventMillis the time between two events of an answer; all in milliseconds.
 	TokenMillis    float64 `toml:"token"`
 	OverheadMillis float64 `toml:"foot"`
 	EventMillis    float64 `toml:"event"`
 }
 
-// Load describes what callers ask.
+// Load describes the requests of callers.
 type Load struct {
 	Seed uint64 `toml:"seed"`
-	// Seconds is how long callers ask, PerSecond how often all together.
+	// Seconds is the duration of the load, PerSecond the request rate of all callers together.
 	Seconds   float64 `toml:"seconds"`
 	PerSecond float64 `toml:"per-second"`
 	Bursts    []Burst `toml:"bursts"`
@@ -57,44 +56,45 @@
 	Kinds     []Kind  `toml:"kinds"`
 }
 
-// Burst is a span in which callers ask more often.
+// Burst multiplies the request rate by Factor for a time. From and Until are in seconds from the start.
 type Burst struct {
 	From   float64 `toml:"from"`
 	Until  float64 `toml:"until"`
 	Factor float64 `toml:"factor"`
 }
 
-// Limit is a span in which the first endpoints of each zone name a rate in their answers.
+// Limit is a time in which the first endpoints of each zone advertise a rate limit in their answers. From
+// and Until are in seconds from the start.
 type Limit struct {
 	From      float64 `toml:"from"`
 	Until     float64 `toml:"until"`
 	Endpoints int     `toml:"endpoints"`
-	// Rate is how many requests a second each of them takes from all entries.
+	// Rate is the number of requests per second that each of them accepts from all entries together.
 	Rate float64 `toml:"rate"`
 }
 
 // Kind is a kind of request.
 type Kind struct {
 	Name string `toml:"name"`
-	// Share is its part of all requests, by weight.
+	// Share is the weight of the kind among all requests.
 	Share float64 `toml:"share"`
-	// TargetMillis is when its first byte should come at the latest.
+	// TargetMillis is the latency target of the first byte, in milliseconds.
 	TargetMillis int64 `toml:"aim-ms"`
-	// Subjects is how many shared parts there are, of Shared tokens each; Own is the
-	// mean of what a prompt has beside its shared part.
+	// Subjects is the number of different shared blocks, of SharedTokens each. OwnTokens is the mean
+	// number of tokens of a prompt besides its shared block.
 	Subjects int `toml:"subjects"`
-	// HotFraction is the part of the requests that ask for one and the same subject.
+	// HotFraction is the fraction of the requests that have the same subject.
 	HotFraction  float64 `toml:"hot"`
 	SharedTokens int     `toml:"shared"`
 	OwnTokens    int     `toml:"own"`
 	Events       int     `toml:"events"`
-	// HardFraction is the part of requests that are too hard for the smallest model.
+	// HardFraction is the fraction of the requests that are too hard for the smallest model.
 	HardFraction float64 `toml:"hard"`
 }
 
-func (k Kind) aim() clock.Millis { return clock.Millis(k.TargetMillis) }
+func (k Kind) target() clock.Millis { return clock.Millis(k.TargetMillis) }
 
-// Check tells what makes a site and a load unplayable.
+// Check returns ErrSite if a site or load has invalid values.
 func Check(s Site, l Load) (err error) {
 	switch {
 	case s.Zones < 1, s.Entries < 1, s.Endpoints < 1:
@@ -102,25 +102,25 @@
 	case s.Slots < 1, s.CacheTokens < 0:
 		return ErrSite.New("slots must be 1 or more, memory 0 or more")
 	case len(s.Models) == 0:
-		return ErrSite.New("models: there must be one")
+		return ErrSite.New("models: at least one is required")
 	case l.Seconds <= 0, l.PerSecond <= 0:
 		return ErrSite.New("seconds and per-second must be more than 0")
 	case len(l.Kinds) == 0:
-		return ErrSite.New("kinds: there must be one")
+		return ErrSite.New("kinds: at least one is required")
 	}
 	for _, m := range s.Models {
 		if m.TokenMillis < 0 || m.OverheadMillis < 0 || m.EventMillis < 0 {
-			return ErrSite.New("models: %s has a negative span", m.Name)
+			return ErrSite.New("models: %s has a negative duration", m.Name)
 		}
 	}
 	for _, x := range l.Limits {
 		if x.Until <= x.From || x.Endpoints < 1 || x.Endpoints > s.Endpoints || x.Rate < 0 {
-			return ErrSite.New("limits: one has a figure out of range")
+			return ErrSite.New("limits: a value is out of range")
 		}
 	}
 	for _, k := range l.Kinds {
 		if k.Share <= 0 || k.TargetMillis <= 0 || k.SharedTokens < 0 || k.OwnTokens < 0 || k.Events < 1 || k.Subjects < 1 || k.HardFraction < 0 || k.HardFraction > 1 || k.HotFraction < 0 || k.HotFraction > 1 {
-			return ErrSite.New("kinds: %s has a figure out of range", k.Name)
+			return ErrSite.New("kinds: %s has a value out of range", k.Name)
 		}
 	}
 	return nil
