--- a/provider/http.go
+++ b/provider/http.go
@@ -15,16 +15,16 @@
 	"github.com/parsleydeal/parsleydeal/clock"
 )
 
-// maxReplyBytes bounds what is read of one answer of the platform.
+// maxReplyBytes limits the size of a reply of the platform.
 const maxReplyBytes = 64 << 20
 
-// HTTP is the adapter to a platform that speaks JSON over HTTP.
+// HTTP is the adapter for a platform that uses JSON over HTTP. It is safe for concurrent use.
 type HTTP struct {
 	base   string
 	client *http.Client
 }
 
-// NewHTTP makes an adapter to a base URL such as "http://10.0.0.1:7000".
+// NewHTTP returns an adapter for a base URL such as "http://10.0.0.1:7000".
 func NewHTTP(base string, client *http.Client) *HTTP {
 	return &HTTP{base: base, client: client}
 }
@@ -78,7 +78,7 @@
 }
 
 type appendReply struct {
-	// Offset is nil in an answer that tells none.
+	// Offset is nil if the reply has none.
 	Offset *int64 `json:"offset"`
 }
 
@@ -108,11 +108,11 @@
 	return h.call(ctx, http.MethodPost, path, data, reply)
 }
 
-// call does one exchange. Only a failed dial and the platform's own refusals
-// prove that nothing happened; every other failure leaves the effect unknown.
+// call sends one request and decodes the reply. Only a failed dial and an explicit refusal by the platform
+// prove that the call had no effect; after every other failure the effect is unknown.
 func (h *HTTP) call(ctx context.Context, method, path string, body []byte, reply any) (err error) {
 	defer func() {
-		if err != nil && !Errors.IsNamespaceOf(errTypeOf(err)) {
+		if err != nil && !Errors.IsNamespaceOf(errorType(err)) {
 			err = ErrUnknown.Wrap(err, "%s %s", method, path)
 		}
 	}()
--- a/provider/http_test.go
+++ b/provider/http_test.go
@@ -9,33 +9,32 @@
 	"github.com/matryer/is"
 )
 
-// An append fails. What the journal does next hangs on whether the record may
-// stand on the log: "refused" sends it again at once, "unknown" reads the log
-// first. Taking a lost answer for a refusal would write records twice.
+// Guards against treating a lost reply to an append as a refusal, which would write the record twice: after
+// a refusal the journal appends the record again at once, after an unknown result it reads the log first.
 func TestAppendErrorsDistinguishRefusedFromUnknown(t *testing.T) {
 	is := is.New(t)
-	answers := map[string]struct {
+	cases := map[string]struct {
 		handler http.HandlerFunc
 		want    *errorx.Type
 	}{
-		"out of service": {func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) }, ErrUnavailable},
-		"rate limit":     {func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusTooManyRequests) }, ErrBusy},
-		"expired":        {func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusGone) }, ErrExpired},
-		"broken off":     {func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, ErrUnknown},
-		"other status":   {func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusInternalServerError) }, ErrUnknown},
-		"no offset":      {func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("{}")) }, ErrUnknown},
-		"no JSON":        {func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("{")) }, ErrUnknown},
+		"out of service":     {func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) }, ErrUnavailable},
+		"rate limit":         {func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusTooManyRequests) }, ErrBusy},
+		"expired":            {func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusGone) }, ErrExpired},
+		"connection aborted": {func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, ErrUnknown},
+		"other status":       {func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusInternalServerError) }, ErrUnknown},
+		"no offset":          {func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("{}")) }, ErrUnknown},
+		"invalid JSON":       {func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("{")) }, ErrUnknown},
 	}
-	for name, a := range answers {
-		srv := httptest.NewServer(a.handler)
+	for name, c := range cases {
+		srv := httptest.NewServer(c.handler)
 		_, err := NewHTTP(srv.URL, srv.Client()).Log().Append(t.Context(), "s", []byte("x"))
 		srv.Close()
-		if !errorx.IsOfType(err, a.want) {
-			t.Errorf("%s: got %v, want %v", name, err, a.want)
+		if !errorx.IsOfType(err, c.want) {
+			t.Errorf("%s: got %v, want %v", name, err, c.want)
 		}
 	}
-	gone := httptest.NewServer(http.NotFoundHandler())
-	gone.Close()
-	_, err := NewHTTP(gone.URL, http.DefaultClient).Log().Append(t.Context(), "s", []byte("x"))
-	is.True(errorx.IsOfType(err, ErrUnavailable)) // nobody heard it
+	closed := httptest.NewServer(http.NotFoundHandler())
+	closed.Close()
+	_, err := NewHTTP(closed.URL, http.DefaultClient).Log().Append(t.Context(), "s", []byte("x"))
+	is.True(errorx.IsOfType(err, ErrUnavailable)) // no server received it
 }
