--- a/certificate/certificate.go
+++ b/certificate/certificate.go
@@ -1,5 +1,5 @@
-// Package certificate keeps the TLS certificates of an interface and takes new
-// ones from their files without a restart.
+// Package certificate manages the TLS certificate of an interface and reloads it from its files without a
+// restart.
 package certificate
 
 import (
@@ -23,167 +23,166 @@
 
 // Kinds of errors.
 var (
-	// ErrUnusable marks files that hold no usable certificate.
+	// ErrUnusable marks certificate files that cannot be used.
 	ErrUnusable = Errors.NewType("unfit")
-	// ErrUntrusted marks a peer whose certificate is of no known authority, or
-	// not valid now.
+	// ErrUntrusted marks a peer whose certificate is missing, expired, not yet valid or not issued by a
+	// trusted authority.
 	ErrUntrusted = Errors.NewType("foreign")
 )
 
-// Reloader holds the certificate of one interface.
+// Reloader holds the current certificate of one interface and reloads it from its files. It is safe for
+// concurrent use.
 type Reloader struct {
 	files settings.Certificate
-	// current is replaced whole; connections that are open keep what they began
-	// with.
-	current atomic.Pointer[loaded]
+	// current is replaced atomically; open connections keep the snapshot with which they started.
+	current atomic.Pointer[snapshot]
 }
 
-// loaded is what one look at the files found.
-type loaded struct {
-	text        [][]byte
+// snapshot is the immutable result of one load of the files.
+type snapshot struct {
+	// contents holds the bytes of the certificate, key and authorities files.
+	contents    [][]byte
 	certificate tls.Certificate
-	// authorities is nil when the other side needs no certificate.
+	// authorities is nil if the peer needs no certificate.
 	authorities *x509.CertPool
-	// server is made once a load, so that session tickets given under earlier
-	// authorities are worth nothing.
+	// server is created for each load, so that session tickets issued under earlier authorities are no
+	// longer accepted.
 	server *tls.Config
 }
 
-// Open reads the files. ErrUnfit says what is wrong with them.
-func Open(files settings.Certificate) (k *Reloader, err error) {
-	k = &Reloader{files: files}
-	_, err = k.Reload()
-	return k, err
+// Open loads the files. The message of ErrUnusable describes what is wrong with them.
+func Open(files settings.Certificate) (r *Reloader, err error) {
+	r = &Reloader{files: files}
+	_, err = r.Reload()
+	return r, err
 }
 
-// Reload looks at the files and takes what is new. Files that cannot be used,
-// such as a key that was written before its certificate, leave the old
-// certificate in place.
-func (k *Reloader) Reload() (changed bool, err error) {
+// Reload loads the files if they have changed. If they cannot be used, for example because a new key was
+// written before its certificate, Reload returns ErrUnusable and the current certificate remains in use.
+func (r *Reloader) Reload() (changed bool, err error) {
 	defer func() {
 		if err != nil {
-			err = ErrUnusable.Wrap(err, "%s", k.files.Certificate)
+			err = ErrUnusable.Wrap(err, "%s", r.files.Certificate)
 		}
 	}()
-	text, err := k.read()
+	contents, err := r.read()
 	if err != nil {
 		return false, err
 	}
-	old := k.current.Load()
-	if old != nil && slices.EqualFunc(old.text, text, bytes.Equal) {
+	current := r.current.Load()
+	if current != nil && slices.EqualFunc(current.contents, contents, bytes.Equal) {
 		return false, nil
 	}
-	next, err := load(text)
+	next, err := newSnapshot(contents)
 	if err != nil {
 		return false, err
 	}
-	k.current.Store(next)
+	r.current.Store(next)
 	return true, nil
 }
 
-func (k *Reloader) read() (text [][]byte, err error) {
-	for _, path := range []string{k.files.Certificate, k.files.Key, k.files.Authorities} {
+func (r *Reloader) read() (contents [][]byte, err error) {
+	for _, path := range []string{r.files.Certificate, r.files.Key, r.files.Authorities} {
 		var data []byte
 		if path != "" {
 			if data, err = os.ReadFile(path); err != nil {
 				return nil, err
 			}
 		}
-		text = append(text, data)
+		contents = append(contents, data)
 	}
-	return text, nil
+	return contents, nil
 }
 
-func load(text [][]byte) (l *loaded, err error) {
-	l = &loaded{text: text}
-	if l.certificate, err = tls.X509KeyPair(text[0], text[1]); err != nil {
+func newSnapshot(contents [][]byte) (s *snapshot, err error) {
+	s = &snapshot{contents: contents}
+	if s.certificate, err = tls.X509KeyPair(contents[0], contents[1]); err != nil {
 		return nil, err
 	}
-	if until := l.certificate.Leaf.NotAfter; time.Now().After(until) {
-		return nil, ErrUnusable.New("certificate expired at %s", until.UTC().Format(time.RFC3339))
+	if notAfter := s.certificate.Leaf.NotAfter; time.Now().After(notAfter) {
+		return nil, ErrUnusable.New("certificate expired at %s", notAfter.UTC().Format(time.RFC3339))
 	}
-	if len(text[2]) > 0 {
-		l.authorities = x509.NewCertPool()
-		if !l.authorities.AppendCertsFromPEM(text[2]) {
-			return nil, ErrUnusable.New("file of authorities holds no certificate")
+	if len(contents[2]) > 0 {
+		s.authorities = x509.NewCertPool()
+		if !s.authorities.AppendCertsFromPEM(contents[2]) {
+			return nil, ErrUnusable.New("authorities file contains no certificate")
 		}
 	}
-	l.server = l.serverConfig()
-	return l, nil
+	s.server = s.serverConfig()
+	return s, nil
 }
 
-func (l *loaded) serverConfig() *tls.Config {
-	c := &tls.Config{MinVersion: tls.VersionTLS12, Certificates: []tls.Certificate{l.certificate}}
-	if l.authorities != nil {
+func (s *snapshot) serverConfig() *tls.Config {
+	c := &tls.Config{MinVersion: tls.VersionTLS12, Certificates: []tls.Certificate{s.certificate}}
+	if s.authorities != nil {
 		c.ClientAuth = tls.RequireAndVerifyClientCert
-		c.ClientCAs = l.authorities
+		c.ClientCAs = s.authorities
 	}
 	return c
 }
 
-// Watch reloads until the context ends. Report hears of each new certificate,
-// with a nil error, and of each failure once until it changes.
-func (k *Reloader) Watch(ctx context.Context, every clock.Millis, report func(err error)) {
-	t := time.NewTicker(every.Duration())
+// Watch reloads at an interval until the context ends. It calls report with a nil error for each new
+// certificate, and once for each failure that differs from the last one.
+func (r *Reloader) Watch(ctx context.Context, interval clock.Millis, report func(err error)) {
+	t := time.NewTicker(interval.Duration())
 	defer t.Stop()
-	last := ""
+	lastFailure := ""
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-t.C:
 		}
-		changed, err := k.Reload()
+		changed, err := r.Reload()
 		switch {
-		case err != nil && err.Error() != last:
-			last = err.Error()
+		case err != nil && err.Error() != lastFailure:
+			lastFailure = err.Error()
 			report(err)
 		case changed:
-			last = ""
+			lastFailure = ""
 			report(nil)
 		}
 	}
 }
 
 // NotAfter returns when the certificate in use expires.
-func (k *Reloader) NotAfter() time.Time { return k.current.Load().certificate.Leaf.NotAfter }
+func (r *Reloader) NotAfter() time.Time { return r.current.Load().certificate.Leaf.NotAfter }
 
-// Listener speaks TLS on the connections of a listener, each with the
-// certificate that is current when it begins.
-func (k *Reloader) Listener(lis net.Listener) net.Listener {
+// Listener wraps a listener with TLS. Each connection uses the certificate that is current when it starts.
+func (r *Reloader) Listener(lis net.Listener) net.Listener {
 	return tls.NewListener(lis, &tls.Config{
 		MinVersion:         tls.VersionTLS12,
-		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) { return k.current.Load().server, nil },
+		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) { return r.current.Load().server, nil },
 	})
 }
 
-// Dial connects to another process of the system and has it prove that it is
-// one. Its name is not compared: processes are known by IP numbers that go from
-// VM to VM, so a certificate of the system's own authority is the proof.
-func (k *Reloader) Dial(ctx context.Context, network, address string) (conn net.Conn, err error) {
-	l := k.current.Load()
+// Dial connects to another process of the system and verifies its certificate against the authorities. It
+// returns ErrUntrusted if the verification fails. The host name is not verified: processes are addressed by
+// IP addresses that are reused by other VMs, so a certificate issued by the system's own authority is the
+// proof of identity.
+func (r *Reloader) Dial(ctx context.Context, network, address string) (conn net.Conn, err error) {
+	s := r.current.Load()
 	d := &tls.Dialer{Config: &tls.Config{
 		MinVersion:   tls.VersionTLS12,
-		Certificates: []tls.Certificate{l.certificate},
-		// VerifyConnection takes the place of the check that is skipped here,
-		// which would compare names.
+		Certificates: []tls.Certificate{s.certificate},
+		// The default verification would also compare host names. VerifyConnection replaces it.
 		InsecureSkipVerify: true,
-		VerifyConnection:   l.verify,
+		VerifyConnection:   s.verify,
 	}}
 	return d.DialContext(ctx, network, address)
 }
 
-func (l *loaded) verify(state tls.ConnectionState) (err error) {
+func (s *snapshot) verify(state tls.ConnectionState) (err error) {
 	if len(state.PeerCertificates) == 0 {
-		return ErrUntrusted.New("the other side shows no certificate")
+		return ErrUntrusted.New("peer presented no certificate")
 	}
-	between := x509.NewCertPool()
+	intermediates := x509.NewCertPool()
 	for _, c := range state.PeerCertificates[1:] {
-		between.AddCert(c)
+		intermediates.AddCert(c)
 	}
-	_, err = state.PeerCertificates[0].Verify(x509.VerifyOptions{Roots: l.authorities, Intermediates: between, KeyUsages: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth}})
+	_, err = state.PeerCertificates[0].Verify(x509.VerifyOptions{Roots: s.authorities, Intermediates: intermediates, KeyUsages: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth}})
 	if err != nil {
-		return ErrUntrusted.Wrap(err, "verify the other side")
+		return ErrUntrusted.Wrap(err, "verify peer certificate")
 	}
 	return nil
 }
--- a/certificate/certificate_test.go
+++ b/certificate/certificate_test.go
@@ -24,7 +24,7 @@
 	"github.com/parsleydeal/parsleydeal/settings"
 )
 
-// authority issues certificates in a test.
+// authority is a certificate authority for tests.
 type authority struct {
 	t    *testing.T
 	cert *x509.Certificate
@@ -37,7 +37,7 @@
 	return a
 }
 
-func (a *authority) issue(serial int64, life time.Duration, isCA bool) (key *ecdsa.PrivateKey, cert *x509.Certificate) {
+func (a *authority) issue(serial int64, lifetime time.Duration, isCA bool) (key *ecdsa.PrivateKey, cert *x509.Certificate) {
 	a.t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -45,7 +45,7 @@
 	}
 	template := &x509.Certificate{
 		SerialNumber: big.NewInt(serial), Subject: pkix.Name{CommonName: fmt.Sprint("serial ", serial)}, IsCA: isCA, BasicConstraintsValid: true,
-		NotBefore: time.Now().Add(-2 * time.Hour), NotAfter: time.Now().Add(life),
+		NotBefore: time.Now().Add(-2 * time.Hour), NotAfter: time.Now().Add(lifetime),
 		KeyUsage:    x509.KeyUsageDigitalSignature | x509.KeyUsageCertSign,
 		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth},
 	}
@@ -64,24 +64,24 @@
 	return key, cert
 }
 
-// write puts a new certificate into the files, verified by some authorities.
-func (a *authority) write(files settings.Certificate, serial int64, life time.Duration, trusted ...*authority) {
+// write writes a new certificate to the files, with the authorities that its owner trusts.
+func (a *authority) write(files settings.Certificate, serial int64, lifetime time.Duration, trusted ...*authority) {
 	a.t.Helper()
-	key, cert := a.issue(serial, life, false)
+	key, cert := a.issue(serial, lifetime, false)
 	der, err := x509.MarshalPKCS8PrivateKey(key)
 	if err != nil {
 		a.t.Fatal(err)
 	}
-	put(a.t, files.Certificate, "CERTIFICATE", cert.Raw)
-	put(a.t, files.Key, "PRIVATE KEY", der)
+	writePEM(a.t, files.Certificate, "CERTIFICATE", cert.Raw)
+	writePEM(a.t, files.Key, "PRIVATE KEY", der)
 	var raws [][]byte
 	for _, t := range trusted {
 		raws = append(raws, t.cert.Raw)
 	}
-	put(a.t, files.Authorities, "CERTIFICATE", raws...)
+	writePEM(a.t, files.Authorities, "CERTIFICATE", raws...)
 }
 
-func put(t *testing.T, path, kind string, raws ...[]byte) {
+func writePEM(t *testing.T, path, kind string, raws ...[]byte) {
 	t.Helper()
 	var text []byte
 	for _, raw := range raws {
@@ -97,14 +97,14 @@
 	return settings.Certificate{Certificate: filepath.Join(dir, "cert.pem"), Key: filepath.Join(dir, "key.pem"), Authorities: filepath.Join(dir, "authorities.pem")}
 }
 
-// serveEcho answers lines on a listener until the test ends.
-func serveEcho(t *testing.T, k *Reloader) (address string) {
+// serveEcho echoes lines on a listener until the test ends.
+func serveEcho(t *testing.T, r *Reloader) (address string) {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = inner.Close() })
-	lis := k.Listener(inner)
+	lis := r.Listener(inner)
 	go func() {
 		for {
 			c, err := lis.Accept()
@@ -117,8 +117,8 @@
 	return inner.Addr().String()
 }
 
-// echo sends a line and reads it back. With TLS 1.3 a client hears only at its
-// first read that its certificate was refused.
+// echo sends a line and reads it back. With TLS 1.3 a client learns only at its first read that its
+// certificate was rejected.
 func echo(c net.Conn) (err error) {
 	_ = c.SetDeadline(time.Now().Add(20 * time.Second))
 	if _, err = io.WriteString(c, "renewal\n"); err != nil {
@@ -128,120 +128,119 @@
 	return err
 }
 
-func call(k *Reloader, address string) (c net.Conn, err error) {
-	c, err = k.Dial(context.Background(), "tcp", address)
+func call(r *Reloader, address string) (c net.Conn, err error) {
+	c, err = r.Dial(context.Background(), "tcp", address)
 	if err != nil {
 		return nil, err
 	}
 	return c, echo(c)
 }
 
-// Operators write a new certificate while requests stream. The streams must go
-// on, new connections must get the new certificate, and nothing restarts.
+// Guards against interrupted streams when operators write a new certificate: open connections must
+// continue, and new ones must get the new certificate without a restart.
 func TestRotationKeepsOpenConnections(t *testing.T) {
 	is := is.New(t)
 	a := newAuthority(t)
 	files := newFiles(t)
 	a.write(files, 2, time.Hour, a)
-	k, err := Open(files)
+	r, err := Open(files)
 	is.NoErr(err)
-	address := serveEcho(t, k)
-	before, err := call(k, address)
+	address := serveEcho(t, r)
+	oldConn, err := call(r, address)
 	is.NoErr(err)
 	a.write(files, 3, time.Hour, a)
-	changed, err := k.Reload()
+	changed, err := r.Reload()
 	is.NoErr(err)
 	is.True(changed)
-	is.NoErr(echo(before))
-	after, err := call(k, address)
+	is.NoErr(echo(oldConn))
+	newConn, err := call(r, address)
 	is.NoErr(err)
-	is.Equal(serial(before), int64(2))
-	is.Equal(serial(after), int64(3))
+	is.Equal(serial(oldConn), int64(2))
+	is.Equal(serial(newConn), int64(3))
 }
 
 func serial(c net.Conn) int64 {
 	return c.(*tls.Conn).ConnectionState().PeerCertificates[0].SerialNumber.Int64()
 }
 
-// A process that another authority vouches for speaks to the system's own. It
-// must get no further than the handshake, in either direction.
+// Guards against a peer with a certificate of another authority: the handshake must fail in either
+// direction.
 func TestUntrustedCertificateIsRejected(t *testing.T) {
 	is := is.New(t)
 	ours, theirs := newAuthority(t), newAuthority(t)
 	ourFiles, theirFiles := newFiles(t), newFiles(t)
 	ours.write(ourFiles, 2, time.Hour, ours)
-	theirs.write(theirFiles, 2, time.Hour, theirs, ours) // it trusts us
-	us, err := Open(ourFiles)
+	theirs.write(theirFiles, 2, time.Hour, theirs, ours) // the other system trusts ours
+	ourReloader, err := Open(ourFiles)
 	is.NoErr(err)
-	them, err := Open(theirFiles)
+	theirReloader, err := Open(theirFiles)
 	is.NoErr(err)
-	_, err = call(them, serveEcho(t, us))
-	is.True(err != nil) // our server refuses their client
-	_, err = call(us, serveEcho(t, them))
-	is.True(errorx.IsOfType(err, ErrUntrusted)) // our client refuses their server
+	_, err = call(theirReloader, serveEcho(t, ourReloader))
+	is.True(err != nil) // our server rejects their client
+	_, err = call(ourReloader, serveEcho(t, theirReloader))
+	is.True(errorx.IsOfType(err, ErrUntrusted)) // our client rejects their server
 }
 
-// A certificate expires on a VM whose files nobody renewed. Others must refuse
-// it from then on, and a process must not take an expired one in place of one
-// that still holds.
+// Guards against a certificate that expires because its files are not renewed: peers must reject it from
+// then on, and a process must not replace a valid certificate by an expired one.
 func TestExpiredCertificateIsRejected(t *testing.T) {
 	is := is.New(t)
 	a := newAuthority(t)
 	files, old := newFiles(t), newFiles(t)
 	a.write(files, 2, time.Hour, a)
-	k, err := Open(files)
+	r, err := Open(files)
 	is.NoErr(err)
 	a.write(files, 3, -time.Hour, a)
-	_, err = k.Reload()
+	_, err = r.Reload()
 	is.True(errorx.IsOfType(err, ErrUnusable))
-	_, err = call(k, serveEcho(t, k))
-	is.NoErr(err) // the old one goes on
+	_, err = call(r, serveEcho(t, r))
+	is.NoErr(err) // the old one remains in use
 	a.write(old, 4, -time.Hour, a)
 	_, err = Open(old)
 	is.True(errorx.IsOfType(err, ErrUnusable))
-	expired, err := loadExpired(old)
+	expired, err := newExpiredReloader(old)
 	is.NoErr(err)
-	_, err = call(expired, serveEcho(t, k))
-	is.True(err != nil) // refused by the server
-	_, err = call(k, serveEcho(t, expired))
-	is.True(errorx.IsOfType(err, ErrUntrusted)) // refused by the client
+	_, err = call(expired, serveEcho(t, r))
+	is.True(err != nil) // rejected by the server
+	_, err = call(r, serveEcho(t, expired))
+	is.True(errorx.IsOfType(err, ErrUntrusted)) // rejected by the client
 }
 
-// loadExpired is a process that has held its certificate past its end.
-func loadExpired(files settings.Certificate) (k *Reloader, err error) {
-	k = &Reloader{files: files}
-	text, err := k.read()
+// newExpiredReloader returns a Reloader whose certificate has expired since it was loaded.
+func newExpiredReloader(files settings.Certificate) (r *Reloader, err error) {
+	r = &Reloader{files: files}
+	contents, err := r.read()
 	if err != nil {
 		return nil, err
 	}
-	l := &loaded{text: text}
-	if l.certificate, err = tls.X509KeyPair(text[0], text[1]); err != nil {
+	s := &snapshot{contents: contents}
+	if s.certificate, err = tls.X509KeyPair(contents[0], contents[1]); err != nil {
 		return nil, err
 	}
-	l.authorities = x509.NewCertPool()
-	l.authorities.AppendCertsFromPEM(text[2])
-	l.server = l.serverConfig()
-	k.current.Store(l)
-	return k, nil
+	s.authorities = x509.NewCertPool()
+	s.authorities.AppendCertsFromPEM(contents[2])
+	s.server = s.serverConfig()
+	r.current.Store(s)
+	return r, nil
 }
 
-// A reload falls between the writing of the key and of its certificate. The
-// pair does not match and must not replace the one in use.
+// Guards against a reload between the writes of a key and of its certificate: the pair does not match and
+// must not replace the one in use.
 func TestMismatchedPairIsNotLoaded(t *testing.T) {
 	is := is.New(t)
 	a := newAuthority(t)
 	files, next := newFiles(t), newFiles(t)
 	a.write(files, 2, time.Hour, a)
 	a.write(next, 3, time.Hour, a)
-	k, err := Open(files)
+	r, err := Open(files)
 	is.NoErr(err)
 	is.NoErr(os.Rename(next.Key, files.Key))
-	_, err = k.Reload()
+	_, err = r.Reload()
 	is.True(errorx.IsOfType(err, ErrUnusable))
-	_, err = call(k, serveEcho(t, k))
+	_, err = call(r, serveEcho(t, r))
 	is.NoErr(err)
 	is.NoErr(os.Rename(next.Certificate, files.Certificate))
-	changed, err := k.Reload()
+	changed, err := r.Reload()
 	is.NoErr(err)
 	is.True(changed)
 }
