--- a/table/table.go
+++ b/table/table.go
@@ -156,7 +156,7 @@
 	Queue int `toml:"queue"`
 	// QueueWait is how long a request may wait for a slot; 0 means 250 ms.
 	QueueWait clock.Millis `toml:"queue-wait"`
-	// ChecksFencing is true if the engines refuse orders with an outdated fencing token.
+	// ChecksFencing is true if the engines refuse orders with an outdated fencing number.
 	ChecksFencing bool `toml:"checks-fencing"`
 	// Role is the role that the engines must have, such as "prefill"; empty means that they choose.
 	Role string `toml:"role"`
