--- a/event/event.go
+++ b/event/event.go
@@ -1,4 +1,5 @@
-// Package event holds every input and output of the control reducer as data.
+// Package event defines the inputs (events) and outputs (effects) of the control reducer. Both are plain
+// data; the node delivers the events and executes the effects.
 package event
 
 import (
@@ -10,93 +11,92 @@
 // Event is an input of the reducer.
 type Event interface{ isEvent() }
 
-// Effect is something the loop shell shall do.
+// Effect is an action that the node executes for the reducer.
 type Effect interface{ isEffect() }
 
-// Tick tells the time. All other events take effect at the last tick's or
-// their own instant.
+// Tick advances the time of the reducer. Other events are applied at their own time or, if they have none,
+// at that of the last tick.
 type Tick struct{ Now clock.Millis }
 
-// LogRead brings a page of a stream.
+// LogRead delivers a page of a stream.
 type LogRead struct {
 	Now    clock.Millis
 	Stream string
 	Page   provider.Page
 }
 
-// LogFailed tells that a stream could not be read.
+// LogFailed reports that a stream could not be read.
 type LogFailed struct {
 	Now    clock.Millis
 	Stream string
 	Err    error
 }
 
-// VMsListed brings the platform's VM list.
+// VMsListed delivers the platform's VM list.
 type VMsListed struct {
 	Now clock.Millis
 	VMs []provider.VM
 }
 
-// DigestReceived brings what a peer knows.
+// DigestReceived delivers the digest of a peer's state.
 type DigestReceived struct {
 	Now    clock.Millis
 	Digest *wire.Digest
-	// Reply is true when the digest answers an exchange that this process began
-	// at Sent, on its own clock.
+	// Reply is true if the digest is the reply to an exchange that this process started at Sent by its
+	// own clock.
 	Reply bool
 	Sent  clock.Millis
 }
 
-// PeerFailed tells that a peer could not be reached.
+// PeerFailed reports that a peer could not be reached.
 type PeerFailed struct {
 	Now clock.Millis
 	VM  string
 }
 
-// RecordsReceived brings configuration records from a peer.
+// RecordsReceived delivers configuration records from a peer.
 type RecordsReceived struct {
 	Now   clock.Millis
 	From  string
 	Reply *wire.RecordsReply
 }
 
-// LoadReceived brings an endpoint's load from an answer.
+// LoadReceived delivers an endpoint's load report from an answer.
 type LoadReceived struct {
 	Now  clock.Millis
 	Load *wire.Load
 }
 
-// AttemptEnded tells the end of one attempt on a version, as traffic saw it.
+// AttemptEnded reports the end of one attempt on a version.
 type AttemptEnded struct {
 	Now          clock.Millis
 	Route        string
 	Version      string
 	Organisation string
 	VM           string
-	// Failed attempts ended without a whole answer through the version's fault.
+	// Failed is true if there was no complete answer because of a fault of the version.
 	Failed bool
-	// FirstToken and TokenGap are the spans before the first token and the mean
-	// between tokens.
+	// FirstToken is the time to the first token, TokenGap the mean time between tokens.
 	FirstToken clock.Millis
 	TokenGap   clock.Millis
-	// Slow says that the answer missed its route's objective for either.
+	// Slow is true if either exceeded the limit of the route's objective.
 	Slow bool
 }
 
-// Rated brings a late rating of an answer.
+// Rated delivers the asynchronous rating of an answer.
 type Rated struct {
 	Now          clock.Millis
 	Route        string
 	Version      string
 	Organisation string
-	// Score is between 0 and 1.
+	// Score is from 0 to 1.
 	Score float64
 }
 
-// Draining tells that this process has been asked to stop.
+// Draining reports that this process was requested to stop.
 type Draining struct{ Now clock.Millis }
 
-// AppendDone tells the end of an Append effect.
+// AppendDone reports the result of an Append effect.
 type AppendDone struct {
 	Now    clock.Millis
 	Stream string
@@ -118,32 +118,32 @@
 func (Draining) isEvent()        {}
 func (AppendDone) isEvent()      {}
 
-// Append asks for a record on a stream; AppendDone follows with the same ID.
+// Append appends a record to a stream. An AppendDone event with the same ID follows.
 type Append struct {
 	Stream string
 	ID     string
 	Data   []byte
 }
 
-// Exchange asks for a digest exchange with a peer. The shell fills the digest in
-// with what the process knows at that instant; Digest adds the counts.
+// Exchange exchanges digests with a peer. The node completes Digest with the process's state at the time of
+// sending; the reducer sets only the counts.
 type Exchange struct {
 	VM      string
 	Address string
 	Digest  *wire.Digest
 }
 
-// FetchRecords asks a peer for configuration records.
+// FetchRecords requests configuration records from a peer, starting at offset From.
 type FetchRecords struct {
 	VM      string
 	Address string
 	From    int64
 }
 
-// Publish asks the shell to publish the state's view to traffic.
+// Publish publishes the current view of the state to the request path.
 type Publish struct{}
 
-// WriteLog asks for a log line about a verdict on a change.
+// WriteLog writes a log line, for example on the outcome of a change.
 type WriteLog struct {
 	Message string
 	Fields  []any
--- a/event/evidence.go
+++ b/event/evidence.go
@@ -2,9 +2,8 @@
 
 import "github.com/parsleydeal/parsleydeal/clock"
 
-// AnswerStarted tells that the first token of an answer came. It counts the answers
-// against which errors are set: an answer's end comes too late for that, since
-// errors end sooner than good answers.
+// AnswerStarted reports the first token of an answer. Error rates are computed relative to started answers
+// instead of finished ones, as failed attempts end sooner than good answers.
 type AnswerStarted struct {
 	Now          clock.Millis
 	Route        string
@@ -12,15 +11,15 @@
 	Organisation string
 }
 
-// CascadeRated brings the rater's word on the first answer of a cascade.
+// CascadeRated delivers the rating of the first answer of a cascade.
 type CascadeRated struct {
 	Now          clock.Millis
 	Route        string
 	Version      string
 	Organisation string
-	// Score is between 0 and 1.
+	// Score is from 0 to 1.
 	Score float64
-	// Passed says that the answer was good enough to be delivered.
+	// Passed is true if the answer was good enough to be delivered.
 	Passed bool
 }
 
--- a/event/lease.go
+++ b/event/lease.go
@@ -2,7 +2,7 @@
 
 import "github.com/parsleydeal/parsleydeal/clock"
 
-// OrderKind says what an engine shall do.
+// OrderKind is the action that an order requests from an engine.
 type OrderKind string
 
 // The kinds of orders.
@@ -12,45 +12,45 @@
 	ChangeRole    OrderKind = "role"
 )
 
-// OrderOutcome says what became of an order.
+// OrderOutcome is the outcome of an order.
 type OrderOutcome int
 
 // The outcomes of orders.
 const (
-	// OrderAccepted orders were accepted; their effect shows in a later EngineSeen.
+	// OrderAccepted means that the engine accepted the order. A later EngineReported shows the effect.
 	OrderAccepted OrderOutcome = iota
-	// OrderRefused orders were refused by the engine, such as for lack of room.
+	// OrderRefused means that the engine refused the order, for example for lack of memory.
 	OrderRefused
-	// OrderFenced orders carried an old fencing number.
+	// OrderFenced means that the order was refused because of an outdated fencing number.
 	OrderFenced
-	// OrderNotSent orders never left.
+	// OrderNotSent means that the order was not sent.
 	OrderNotSent
-	// OrderUnknown orders may have had effect, or may yet have.
+	// OrderUnknown means that the order may have taken effect or may still do so.
 	OrderUnknown
 )
 
-// EngineReported brings what the engine beside this process says of itself.
+// EngineReported delivers the status of this VM's engine.
 type EngineReported struct {
 	Now        clock.Millis
 	Generation uint64
-	// Versions is nil when the engine does not tell what it has loaded; it takes
-	// no orders then.
+	// Versions is nil if the engine does not report which versions are loaded; it then accepts no
+	// orders.
 	Versions []string
 	Role     string
-	// Busy lists the versions that answered requests at the gate, on a view with
-	// tables of this Revision.
+	// Busy lists the versions that have admitted attempts. Revision is that of the tables in force just
+	// before Busy was read.
 	Busy     []string
 	Revision int64
 }
 
-// WeightsDone tells the end of a FetchWeights effect.
+// WeightsDone reports the result of a FetchWeights effect.
 type WeightsDone struct {
 	Now     clock.Millis
 	Version string
 	Err     error
 }
 
-// OrderDone tells the end of a GiveOrder effect.
+// OrderDone reports the outcome of a SendOrder effect.
 type OrderDone struct {
 	Now     clock.Millis
 	ID      uint64
@@ -61,22 +61,22 @@
 func (WeightsDone) isEvent()    {}
 func (OrderDone) isEvent()      {}
 
-// FetchWeights asks the weight store to make a version available to this VM.
+// FetchWeights requests that the weight store makes a version available to this VM. A WeightsDone event
+// follows.
 type FetchWeights struct{ Version string }
 
-// SendOrder asks the shell to give the engine an order; OrderDone follows with
-// the same ID.
+// SendOrder sends an order to the engine. An OrderDone event with the same ID follows.
 type SendOrder struct {
 	ID      uint64
 	Kind    OrderKind
 	Version string
 	Role    string
-	// Fence is the offset of the lease under which the order is given.
+	// Fence is the fencing number: the log offset of the lease under which the order is sent.
 	Fence int64
-	// Until is the instant after which the order may not be given any more.
+	// Until is the time after which the order must not be sent.
 	Until clock.Millis
-	// CompareFence is true when the engine ignores fencing numbers, so that the shell
-	// compares them itself.
+	// CompareFence is true if the engine ignores fencing numbers, so that the process must compare them
+	// before it sends the order.
 	CompareFence bool
 }
 
