--- a/account/account.go
+++ b/account/account.go
@@ -23,8 +23,8 @@
 	Cause string
 	// Took is its whole time at the entry, First the time to the first byte; 0 when
 	// none came.
-	Took  clock.Millis
-	First clock.Millis
+	Took      clock.Millis
+	FirstByte clock.Millis
 	// Phases holds how long the phases of an answered request took; nil where its line
 	// does not say.
 	Phases *Phases
@@ -34,47 +34,47 @@
 type Phases struct {
 	// Body is the reading of the caller's body, Placed what passed after it until the
 	// first attempt began.
-	Body   clock.Millis
-	Placed clock.Millis
+	Body      clock.Millis
+	Placement clock.Millis
 	// Connect is the making of connections, Answer the rest until the first byte, and
 	// Stream what came after it.
-	Connect clock.Millis
-	Answer  clock.Millis
-	Stream  clock.Millis
+	Connect   clock.Millis
+	FirstByte clock.Millis
+	Stream    clock.Millis
 }
 
 // Attempt is an attempt that did not bring the answer.
 type Attempt struct {
 	// Result is what became of it, in the words of the log.
-	Result string
-	Model  string
-	After  clock.Millis
-	// First is how long the first byte took, Expected how long it was expected to take;
+	Result  string
+	Model   string
+	Elapsed clock.Millis
+	// FirstByte is how long the first byte took, Expected how long it was expected to take;
 	// First is 0 when none came.
-	First    clock.Millis
-	Expected clock.Millis
+	FirstByte clock.Millis
+	Expected  clock.Millis
 }
 
 // Log holds what log lines told.
 type Log struct {
 	Requests []Request
 	Attempts []Attempt
-	// Torn counts lines of requests and attempts that lack a field or cannot be read;
+	// Malformed counts lines of requests and attempts that lack a field or cannot be read;
 	// Other counts lines that tell of something else.
-	Torn  int
-	Other int
+	Malformed int
+	Other     int
 }
 
 // Causes of requests that were not answered, or late.
 const (
 	// Answered requests had their whole answer in time.
 	Answered = "answered"
-	// LateFirst and LatePause are answers whose first byte came after its aim, or that
+	// LateFirstByte and LatePause are answers whose first byte came after its aim, or that
 	// paused for longer than their route allows.
-	LateFirst = "late: first byte"
-	LatePause = "late: pause"
-	// Left requests ended because their caller went away.
-	Left = "left by caller"
+	LateFirstByte = "late: first byte"
+	LatePause     = "late: pause"
+	// LeftByCaller requests ended because their caller went away.
+	LeftByCaller = "left by caller"
 )
 
 var pairs = regexp.MustCompile(`([a-z-]+)=("(?:[^"\\]|\\.)*"|\S*)`)
@@ -82,7 +82,7 @@
 // Read adds the lines of a log.
 func (l *Log) Read(r io.Reader) (err error) {
 	s := bufio.NewScanner(r)
-	s.Buffer(make([]byte, 64<<10), explain.MaxLine)
+	s.Buffer(make([]byte, 64<<10), explain.MaxLineBytes)
 	for s.Scan() {
 		l.line(s.Text())
 	}
@@ -123,14 +123,14 @@
 
 func (l *Log) request(text string) {
 	f := fieldsOf(text)
-	at, _ := explain.Split(text)
+	at, _ := explain.SplitTimestamp(text)
 	took, ok := f.span("took")
 	first, hasFirst := f.span("first")
 	if at.IsZero() || !ok || !hasFirst || f["route"] == "" && f["error"] == "" {
-		l.Torn++
+		l.Malformed++
 		return
 	}
-	l.Requests = append(l.Requests, Request{At: at, Route: f["route"], Cause: causeOf(f), Took: took, First: first, Phases: phasesOf(f, took, first)})
+	l.Requests = append(l.Requests, Request{At: at, Route: f["route"], Cause: causeOf(f), Took: took, FirstByte: first, Phases: phasesOf(f, took, first)})
 }
 
 // phasesOf parts the time of a request that was answered.
@@ -144,7 +144,7 @@
 	if first == 0 {
 		first = took
 	}
-	return &Phases{Body: body, Placed: max(placed-body, 0), Connect: connect, Answer: max(first-placed-connect, 0), Stream: max(took-first, 0)}
+	return &Phases{Body: body, Placement: max(placed-body, 0), Connect: connect, FirstByte: max(first-placed-connect, 0), Stream: max(took-first, 0)}
 }
 
 // causeOf names the cause by a line's fields.
@@ -152,9 +152,9 @@
 	code, _, _ := strings.Cut(f["error"], " (")
 	switch {
 	case f["left-by-caller"] == "true":
-		return Left
+		return LeftByCaller
 	case f["error"] == "" && f["late"] == "first-byte":
-		return LateFirst
+		return LateFirstByte
 	case f["error"] == "" && f["late"] == "pause":
 		return LatePause
 	case f["error"] == "":
@@ -169,11 +169,11 @@
 	f := fieldsOf(text)
 	after, ok := f.span("after")
 	if !ok || f["result"] == "" {
-		l.Torn++
+		l.Malformed++
 		return
 	}
-	a := Attempt{Result: f["result"], Model: f["model"], After: after}
-	a.First, _ = f.span("first")
+	a := Attempt{Result: f["result"], Model: f["model"], Elapsed: after}
+	a.FirstByte, _ = f.span("first")
 	a.Expected, _ = f.span("expected")
 	l.Attempts = append(l.Attempts, a)
 }
--- a/account/account_test.go
+++ b/account/account_test.go
@@ -9,7 +9,7 @@
 
 // On-call engineers have logs of several programs, torn at the ends. What became of
 // the requests is summed up from the lines that can be read, and the rest is counted.
-func TestAccountOfLogs(t *testing.T) {
+func TestPrintSummary(t *testing.T) {
 	datadriven.RunTest(t, "testdata/hour", func(t *testing.T, d *datadriven.TestData) string {
 		l := &Log{}
 		if err := l.Read(strings.NewReader(d.Input)); err != nil {
--- a/account/print.go
+++ b/account/print.go
@@ -33,7 +33,7 @@
 	l.phases(t)
 	l.errors(t)
 	l.seconds(t)
-	fmt.Fprintf(t, "\n%d lines of other things, %d torn ones passed over\n", l.Other, l.Torn)
+	fmt.Fprintf(t, "\n%d lines of other things, %d torn ones passed over\n", l.Other, l.Malformed)
 	return t.Flush()
 }
 
@@ -48,17 +48,17 @@
 	switch {
 	case r.Cause == Answered:
 		c.answered++
-	case r.Cause == LateFirst || r.Cause == LatePause:
+	case r.Cause == LateFirstByte || r.Cause == LatePause:
 		c.late++
-	case r.Cause == Left:
+	case r.Cause == LeftByCaller:
 		c.left++
 	case strings.HasPrefix(r.Cause, "refused"):
 		c.refused++
 	default:
 		c.failed++
 	}
-	if r.First > 0 {
-		c.first = append(c.first, r.First)
+	if r.FirstByte > 0 {
+		c.first = append(c.first, r.FirstByte)
 	}
 }
 
@@ -116,7 +116,7 @@
 
 func (l *Log) attempts(w io.Writer) {
 	fmt.Fprintln(w, "\nattempts that brought no answer\tnumber\ttime")
-	for _, s := range sums(l.Attempts, func(a Attempt) (string, clock.Millis) { return strings.TrimSpace(a.Result + " " + a.Model), a.After }) {
+	for _, s := range sums(l.Attempts, func(a Attempt) (string, clock.Millis) { return strings.TrimSpace(a.Result + " " + a.Model), a.Elapsed }) {
 		fmt.Fprintf(w, "%s\t%d\t%s\n", s.name, s.n, s.took)
 	}
 }
@@ -134,9 +134,9 @@
 	}
 	columns := []func(p Phases) clock.Millis{
 		func(p Phases) clock.Millis { return p.Body },
-		func(p Phases) clock.Millis { return p.Placed },
+		func(p Phases) clock.Millis { return p.Placement },
 		func(p Phases) clock.Millis { return p.Connect },
-		func(p Phases) clock.Millis { return p.Answer },
+		func(p Phases) clock.Millis { return p.FirstByte },
 		func(p Phases) clock.Millis { return p.Stream },
 	}
 	fmt.Fprintln(w, "\nphases of answered requests, p50 and p99\tnumber\tbody\tplaced\tconnect\tfirst byte\tstream")
@@ -158,8 +158,8 @@
 func (l *Log) errors(w io.Writer) {
 	by := make(map[string][]clock.Millis)
 	for _, a := range l.Attempts {
-		if a.Model != "" && a.First > 0 {
-			by[a.Model] = append(by[a.Model], a.First-a.Expected)
+		if a.Model != "" && a.FirstByte > 0 {
+			by[a.Model] = append(by[a.Model], a.FirstByte-a.Expected)
 		}
 	}
 	if len(by) == 0 {
--- a/answer/copy_test.go
+++ b/answer/copy_test.go
@@ -10,9 +10,9 @@
 // An endpoint reuses its buffers for the next answer. What is kept of this one
 // must not change with them, nor hold on to them: its memory grew by several KB
 // for each kept answer.
-func TestWhatIsKeptIsACopy(t *testing.T) {
+func TestRetainedPiecesAreCopied(t *testing.T) {
 	is := is.New(t)
-	k := NewKeeping(KeepLimits{Answers: 1, Bytes: 1 << 20, One: 1 << 20})
+	k := NewStore(StoreLimits{MaxAnswers: 1, MaxBytes: 1 << 20, MaxAnswerBytes: 1 << 20})
 	a := k.Start(Owner{Request: "r", Organisation: "desk"})
 	data, usage := []byte("one"), &wire.Usage{OutputTokens: 1}
 	p := &wire.Piece{Request: "r", Attempt: 1, Data: data}
@@ -23,7 +23,7 @@
 	usage.OutputTokens = 2
 	a.End(0)
 	var got []*wire.Piece
-	is.NoErr(a.From(t.Context(), 0, func(p *wire.Piece) error {
+	is.NoErr(a.Replay(t.Context(), 0, func(p *wire.Piece) error {
 		got = append(got, p)
 		return nil
 	}))
--- a/answer/keeping.go
+++ b/answer/keeping.go
@@ -8,15 +8,15 @@
 	"github.com/parsleydeal/parsleydeal/peer/wire"
 )
 
-// KeepLimits bound what is kept.
-type KeepLimits struct {
-	// Answers and Bytes bound all answers together, One the bytes of a single
+// StoreLimits bound what is kept.
+type StoreLimits struct {
+	// MaxAnswers and Bytes bound all answers together, One the bytes of a single
 	// one. Beyond them the oldest finished answer falls out first.
-	Answers int
-	Bytes   int
-	One     int
-	// For is how long a finished answer is kept.
-	For clock.Millis
+	MaxAnswers     int
+	MaxBytes       int
+	MaxAnswerBytes int
+	// Retention is how long a finished answer is kept.
+	Retention clock.Millis
 }
 
 // Owner says whose answer it is and under which key it can be asked for again.
@@ -32,22 +32,22 @@
 	key          string
 }
 
-// Keeping keeps answers while they are made and for a time after, so that a
+// Store keeps answers while they are made and for a time after, so that a
 // caller whose entry vanished gets the whole answer on its retry.
-type Keeping struct {
+type Store struct {
 	mu     sync.Mutex
-	limits KeepLimits
+	limits StoreLimits
 	// byRequest and byKey hold the same answers; order lists them by start and
 	// has at most limits.Answers.
-	byRequest map[string]*Kept
-	byKey     map[ownerKey]*Kept
-	order     []*Kept
+	byRequest map[string]*Retained
+	byKey     map[ownerKey]*Retained
+	order     []*Retained
 	bytes     int
 }
 
-// Kept is one answer being kept.
-type Kept struct {
-	keeping *Keeping
+// Retained is one answer being kept.
+type Retained struct {
+	keeping *Store
 	owner   Owner
 	pieces  pack
 	bytes   int
@@ -60,16 +60,16 @@
 	grown chan struct{}
 }
 
-// NewKeeping makes an empty keeping.
-func NewKeeping(l KeepLimits) *Keeping {
-	return &Keeping{limits: l, byRequest: make(map[string]*Kept), byKey: make(map[ownerKey]*Kept)}
+// NewStore makes an empty keeping.
+func NewStore(l StoreLimits) *Store {
+	return &Store{limits: l, byRequest: make(map[string]*Retained), byKey: make(map[ownerKey]*Retained)}
 }
 
 // Start begins to keep an answer.
-func (k *Keeping) Start(o Owner) *Kept {
+func (k *Store) Start(o Owner) *Retained {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	a := &Kept{keeping: k, owner: o, grown: make(chan struct{})}
+	a := &Retained{keeping: k, owner: o, grown: make(chan struct{})}
 	k.byRequest[o.Request] = a
 	if o.Key != "" {
 		k.byKey[ownerKey{o.Organisation, o.Key}] = a
@@ -81,7 +81,7 @@
 
 // Find returns the answer of a request, or of an organisation's key. An answer
 // is found only by the organisation it belongs to.
-func (k *Keeping) Find(o Owner) (a *Kept, ok bool) {
+func (k *Store) Find(o Owner) (a *Retained, ok bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	a, ok = k.byRequest[o.Request]
@@ -95,12 +95,12 @@
 }
 
 // Expire drops answers that have been kept long enough.
-func (k *Keeping) Expire(now clock.Millis) {
+func (k *Store) Expire(now clock.Millis) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for i := 0; i < len(k.order); {
 		a := k.order[i]
-		if a.done && now-a.ended > k.limits.For {
+		if a.done && now-a.ended > k.limits.Retention {
 			k.drop(i)
 			continue
 		}
@@ -109,7 +109,7 @@
 }
 
 // Size returns how many answers are kept and their bytes.
-func (k *Keeping) Size() (answers, bytes int) {
+func (k *Store) Size() (answers, bytes int) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return len(k.order), k.bytes
@@ -117,8 +117,8 @@
 
 // trim drops the oldest finished answers, and unfinished ones only when there is
 // no other, until the bounds hold.
-func (k *Keeping) trim() {
-	for len(k.order) > k.limits.Answers || k.bytes > k.limits.Bytes {
+func (k *Store) trim() {
+	for len(k.order) > k.limits.MaxAnswers || k.bytes > k.limits.MaxBytes {
 		oldest := 0
 		for i, a := range k.order {
 			if a.done {
@@ -130,7 +130,7 @@
 	}
 }
 
-func (k *Keeping) drop(i int) {
+func (k *Store) drop(i int) {
 	a := k.order[i]
 	k.order = append(k.order[:i], k.order[i+1:]...)
 	k.bytes -= a.bytes
@@ -147,7 +147,7 @@
 }
 
 // Add keeps a copy of the next piece.
-func (a *Kept) Add(p *wire.Piece) {
+func (a *Retained) Add(p *wire.Piece) {
 	k := a.keeping
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -158,14 +158,14 @@
 	a.bytes += n
 	k.bytes += n
 	a.wake()
-	if a.bytes > k.limits.One {
+	if a.bytes > k.limits.MaxAnswerBytes {
 		k.dropAnswer(a)
 		return
 	}
 	k.trim()
 }
 
-func (k *Keeping) dropAnswer(a *Kept) {
+func (k *Store) dropAnswer(a *Retained) {
 	for i, o := range k.order {
 		if o == a {
 			k.drop(i)
@@ -175,7 +175,7 @@
 }
 
 // End tells that the answer has all its pieces.
-func (a *Kept) End(now clock.Millis) {
+func (a *Retained) End(now clock.Millis) {
 	k := a.keeping
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -186,20 +186,20 @@
 
 // Drop forgets an answer that will not be whole; whoever follows it hears that
 // it is not kept.
-func (a *Kept) Drop() {
+func (a *Retained) Drop() {
 	a.keeping.mu.Lock()
 	defer a.keeping.mu.Unlock()
 	a.keeping.dropAnswer(a)
 }
 
-func (a *Kept) wake() {
+func (a *Retained) wake() {
 	close(a.grown)
 	a.grown = make(chan struct{})
 }
 
-// From hands on the pieces from a number on, waiting for those to come until the
+// Replay hands on the pieces from a number on, waiting for those to come until the
 // answer ends. It fails when the answer falls out before its end.
-func (a *Kept) From(ctx context.Context, number uint32, emit func(*wire.Piece) error) (err error) {
+func (a *Retained) Replay(ctx context.Context, number uint32, emit func(*wire.Piece) error) (err error) {
 	for {
 		p, grown, err := a.piece(number)
 		if err != nil {
@@ -220,7 +220,7 @@
 	}
 }
 
-func (a *Kept) piece(number uint32) (p *wire.Piece, grown chan struct{}, err error) {
+func (a *Retained) piece(number uint32) (p *wire.Piece, grown chan struct{}, err error) {
 	a.keeping.mu.Lock()
 	defer a.keeping.mu.Unlock()
 	if a.lost {
--- a/answer/keeping_test.go
+++ b/answer/keeping_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-func texts(ctx context.Context, a *Kept, after uint32) (text string, err error) {
-	err = a.From(ctx, after, func(p *wire.Piece) error {
+func texts(ctx context.Context, a *Retained, after uint32) (text string, err error) {
+	err = a.Replay(ctx, after, func(p *wire.Piece) error {
 		text += p.GetText()
 		return nil
 	})
@@ -19,9 +19,9 @@
 
 // A caller whose entry vanished asks again while the answer is still being made.
 // It gets what is there and then the rest as it comes.
-func TestKeptAnswerIsFollowed(t *testing.T) {
+func TestRetainedAnswerIsStreamedWhileItGrows(t *testing.T) {
 	is := is.New(t)
-	k := NewKeeping(KeepLimits{Answers: 4, Bytes: 1 << 20, One: 1 << 20, For: 100})
+	k := NewStore(StoreLimits{MaxAnswers: 4, MaxBytes: 1 << 20, MaxAnswerBytes: 1 << 20, Retention: 100})
 	a := k.Start(Owner{Request: "r", Organisation: "desk", Key: "k"})
 	a.Add(&wire.Piece{Text: "one "})
 	found, ok := k.Find(Owner{Organisation: "desk", Key: "k"})
@@ -45,9 +45,9 @@
 
 // Two organisations use the same idempotency key. Neither may get the other's
 // answer.
-func TestKeptAnswerBelongsToItsOrganisation(t *testing.T) {
+func TestRetainedAnswerBelongsToItsOrganisation(t *testing.T) {
 	is := is.New(t)
-	k := NewKeeping(KeepLimits{Answers: 4, Bytes: 1 << 20, One: 1 << 20})
+	k := NewStore(StoreLimits{MaxAnswers: 4, MaxBytes: 1 << 20, MaxAnswerBytes: 1 << 20})
 	k.Start(Owner{Request: "r", Organisation: "desk", Key: "renewal-7"})
 	_, ok := k.Find(Owner{Organisation: "court", Key: "renewal-7"})
 	is.True(!ok)
@@ -57,13 +57,13 @@
 
 // However many answers of whatever size are made, what is kept stays within its
 // bounds, and what is found is whole up to where it has come.
-func TestKeepingIsBounded(t *testing.T) {
+func TestStoreIsBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l := KeepLimits{Answers: 3, Bytes: 2000, One: 900, For: 10}
-		k := NewKeeping(l)
-		var all []*Kept
-		added := make(map[*Kept]int)
-		pick := func(t *rapid.T) *Kept {
+		l := StoreLimits{MaxAnswers: 3, MaxBytes: 2000, MaxAnswerBytes: 900, Retention: 10}
+		k := NewStore(l)
+		var all []*Retained
+		added := make(map[*Retained]int)
+		pick := func(t *rapid.T) *Retained {
 			if len(all) == 0 {
 				t.Skip()
 			}
@@ -92,7 +92,7 @@
 						t.Fatalf("%d pieces kept of %d", a.pieces.size(), added[a])
 					}
 				}
-				if answers > l.Answers || bytes > l.Bytes || bytes != sum || len(k.byRequest) > answers || len(k.byKey) > answers {
+				if answers > l.MaxAnswers || bytes > l.MaxBytes || bytes != sum || len(k.byRequest) > answers || len(k.byKey) > answers {
 					t.Fatalf("%d answers with %d bytes, %d counted", answers, bytes, sum)
 				}
 			},
--- a/answer/memory.go
+++ b/answer/memory.go
@@ -36,10 +36,10 @@
 	reopened
 )
 
-// Memory knows what became of the attempts that may run at most once, so that a
+// AttemptTracker knows what became of the attempts that may run at most once, so that a
 // refusal which says "not run" is true: an attempt that was said not to have run
 // is barred, also when it arrives later.
-type Memory struct {
+type AttemptTracker struct {
 	mu sync.Mutex
 	// bound is the most attempts remembered. Beyond it the oldest that is not
 	// under way falls out, and with it all knowledge of claims up to its own.
@@ -60,15 +60,15 @@
 // maxStreams bounds the streams of claims that are told apart.
 const maxStreams = 1024
 
-// NewMemory makes a memory of at most so many attempts.
-func NewMemory(bound int) *Memory {
-	return &Memory{bound: bound, fates: make(map[Attempt]fate), claims: make(map[Attempt]Claim), forgotten: make(map[string]int64)}
+// NewAttemptTracker makes a memory of at most so many attempts.
+func NewAttemptTracker(bound int) *AttemptTracker {
+	return &AttemptTracker{bound: bound, fates: make(map[Attempt]fate), claims: make(map[Attempt]Claim), forgotten: make(map[string]int64)}
 }
 
 // Arrive notes an attempt that came in. It returns the run state to refuse with
 // when the attempt may not go on: barred attempts did not run, known ones are
 // not run twice.
-func (m *Memory) Arrive(a Attempt, c Claim) (run refusal.Run, ok bool) {
+func (m *AttemptTracker) Arrive(a Attempt, c Claim) (run refusal.Run, ok bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	switch m.fates[a] {
@@ -89,7 +89,7 @@
 
 // Dispatch marks a waiting attempt as run. It reports false when the attempt
 // was barred while it waited: the two cannot both happen.
-func (m *Memory) Dispatch(a Attempt) (ok bool) {
+func (m *AttemptTracker) Dispatch(a Attempt) (ok bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.fates[a] != waiting {
@@ -101,7 +101,7 @@
 
 // End notes that an attempt is over. One that was not dispatched is barred: its
 // refusal has said that it did not run.
-func (m *Memory) End(a Attempt) {
+func (m *AttemptTracker) End(a Attempt) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	switch m.fates[a] {
@@ -115,7 +115,7 @@
 // Reopen notes that an attempt which may be repeated is over without a whole
 // answer. A caller that asks again with its key makes the same attempt; were it
 // barred, that key would be refused here until the memory is full.
-func (m *Memory) Reopen(a Attempt) {
+func (m *AttemptTracker) Reopen(a Attempt) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	switch m.fates[a] {
@@ -124,10 +124,10 @@
 	}
 }
 
-// Bar refuses an attempt for ever and returns what can be said of it: not-run
+// Revoke refuses an attempt for ever and returns what can be said of it: not-run
 // when it did not run and never will here. Of an unknown attempt without a claim
 // nothing can be said: its bar may fall out before it arrives.
-func (m *Memory) Bar(a Attempt, c Claim) (run refusal.Run, running bool) {
+func (m *AttemptTracker) Revoke(a Attempt, c Claim) (run refusal.Run, running bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	switch m.fates[a] {
@@ -150,12 +150,12 @@
 }
 
 // lost reports whether an unknown attempt may be one that fell out.
-func (m *Memory) lost(c Claim) bool {
+func (m *AttemptTracker) lost(c Claim) bool {
 	last, some := m.forgotten[c.Stream]
 	return m.overflown || some && c.Offset <= last
 }
 
-func (m *Memory) set(a Attempt, c Claim, f fate) {
+func (m *AttemptTracker) set(a Attempt, c Claim, f fate) {
 	m.fates[a] = f
 	m.claims[a] = c
 	m.order = append(m.order, a)
@@ -165,7 +165,7 @@
 }
 
 // forget drops the oldest attempt that is not under way.
-func (m *Memory) forget() {
+func (m *AttemptTracker) forget() {
 	for i, a := range m.order {
 		if f := m.fates[a]; f == waiting || f == dispatched {
 			continue
@@ -183,7 +183,7 @@
 
 // dropOrder drops an entry of the order; the first, which is the usual one,
 // without moving the rest.
-func (m *Memory) dropOrder(i int) {
+func (m *AttemptTracker) dropOrder(i int) {
 	if i == 0 {
 		m.order = m.order[1:]
 		return
@@ -191,7 +191,7 @@
 	m.order = append(m.order[:i], m.order[i+1:]...)
 }
 
-func (m *Memory) remember(c Claim) {
+func (m *AttemptTracker) remember(c Claim) {
 	if _, some := m.forgotten[c.Stream]; !some && len(m.forgotten) == maxStreams {
 		m.overflown = true
 		return
--- a/answer/memory_test.go
+++ b/answer/memory_test.go
@@ -12,9 +12,9 @@
 // attempt arrives after all, delayed on its way, and a renewal fee is charged
 // twice. Whatever comes in whatever order, with however little memory: an attempt
 // that was said not to have run never runs, and none runs twice.
-func TestNotRunIsTrue(t *testing.T) {
+func TestAttemptReportedNotRunNeverRuns(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := NewMemory(rapid.IntRange(1, 4).Draw(t, "bound"))
+		m := NewAttemptTracker(rapid.IntRange(1, 4).Draw(t, "bound"))
 		const attempts = 12
 		said := make(map[Attempt]bool)
 		ran := make(map[Attempt]int)
@@ -51,7 +51,7 @@
 			},
 			"refuse": func(t *rapid.T) {
 				a, c := draw(t)
-				if run, _ := m.Bar(a, c); run == refusal.NotRun {
+				if run, _ := m.Revoke(a, c); run == refusal.NotRun {
 					said[a] = true
 				}
 			},
@@ -69,9 +69,9 @@
 	})
 }
 
-// BenchmarkMemory measures the time and bytes that a remembered attempt takes.
-func BenchmarkMemory(b *testing.B) {
-	m := NewMemory(16384)
+// BenchmarkAttemptTracker measures the time and bytes that a remembered attempt takes.
+func BenchmarkAttemptTracker(b *testing.B) {
+	m := NewAttemptTracker(16384)
 	b.ReportAllocs()
 	for i := range b.N {
 		a := Attempt{Request: fmt.Sprintf("request-%026d", i), Number: 1}
--- a/answer/pack_test.go
+++ b/answer/pack_test.go
@@ -13,7 +13,7 @@
 // mixture of words, tool calls, statuses and a last piece it was made of, each
 // piece must come back as it was, or the caller gets another answer than the
 // first time.
-func TestPackedPiecesComeBackAsTheyWere(t *testing.T) {
+func TestPackedPiecesRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var k pack
 		var all []*wire.Piece
@@ -43,7 +43,7 @@
 
 // A field is added to the messages and pack does not know of it. Pieces that
 // carry it must not be packed, or it would be lost from kept answers.
-func TestPackKnowsEveryField(t *testing.T) {
+func TestPiecesWithOtherFieldsAreNotPacked(t *testing.T) {
 	packed := map[protoreflect.Name]bool{"request": true, "attempt": true, "number": true, "text": true, "tokens": true}
 	fields := (&wire.Piece{}).ProtoReflect().Descriptor().Fields()
 	for i := range fields.Len() {
--- a/answer/progress.go
+++ b/answer/progress.go
@@ -7,29 +7,29 @@
 	"github.com/parsleydeal/parsleydeal/refusal"
 )
 
-// Way says how a request goes on after an attempt failed.
-type Way int
+// RetryMode says how a request goes on after an attempt failed.
+type RetryMode int
 
 // The ways.
 const (
 	// GiveUp tells the caller what happened.
-	GiveUp Way = iota
+	GiveUp RetryMode = iota
 	// Restart runs the request from the start; what was taken is dropped.
 	Restart
 	// Resume runs the request elsewhere after the last token taken.
 	Resume
 )
 
-// Rules say what a request allows.
-type Rules struct {
+// RetryRules say what a request allows.
+type RetryRules struct {
 	// Repeatable requests may run more than once.
 	Repeatable bool
-	// Resumes is true when engines of the request's version can resume.
-	Resumes bool
-	// Shown is true once the caller has been sent a part of the answer.
-	Shown bool
-	// Spent is true when the request's body cannot be sent again.
-	Spent bool
+	// CanResume is true when engines of the request's version can resume.
+	CanResume bool
+	// PartSent is true once the caller has been sent a part of the answer.
+	PartSent bool
+	// BodyConsumed is true when the request's body cannot be sent again.
+	BodyConsumed bool
 }
 
 // Progress is what a request has taken over all its attempts.
@@ -68,46 +68,46 @@
 // Tokens returns how many tokens Text holds, as far as they were counted.
 func (p *Progress) Tokens() int32 { return p.tokens }
 
-// Taken reports whether any part of the answer was taken.
-func (p *Progress) Taken() bool { return p.opaque || p.text.Len() > 0 }
+// HasOutput reports whether any part of the answer was taken.
+func (p *Progress) HasOutput() bool { return p.opaque || p.text.Len() > 0 }
 
 // Next decides how a request goes on after a failed attempt.
-func (p *Progress) Next(cause *refusal.Refusal, r Rules) Way {
+func (p *Progress) Next(cause *refusal.Refusal, r RetryRules) RetryMode {
 	p.note(cause.Run())
-	if p.Taken() {
+	if p.HasOutput() {
 		p.note(refusal.Ran)
 	}
-	if r.Spent || final(cause.Code()) {
+	if r.BodyConsumed || final(cause.Code()) {
 		return GiveUp
 	}
 	if cause.Run() != refusal.NotRun && !r.Repeatable {
 		return GiveUp
 	}
-	if !p.Taken() {
+	if !p.HasOutput() {
 		return Restart
 	}
-	if r.Resumes && !p.opaque {
+	if r.CanResume && !p.opaque {
 		return Resume
 	}
-	if r.Shown {
+	if r.PartSent {
 		return GiveUp
 	}
 	return Restart
 }
 
-// Truth returns a refusal for the caller that holds for all attempts together:
+// CombinedRefusal returns a refusal for the caller that holds for all attempts together:
 // the last one may not have run while an earlier one did.
-func (p *Progress) Truth(cause *refusal.Refusal) *refusal.Refusal {
+func (p *Progress) CombinedRefusal(cause *refusal.Refusal) *refusal.Refusal {
 	if worse(p.run, cause.Run()) {
 		return cause.WithRun(p.run)
 	}
 	return cause
 }
 
-// Ran notes that an attempt gave a whole answer which is not the caller's: a
+// RecordRan notes that an attempt gave a whole answer which is not the caller's: a
 // cascade's first one that was too poor. Were it not noted, a refusal after it
 // would say that the request did not run.
-func (p *Progress) Ran() { p.note(refusal.Ran) }
+func (p *Progress) RecordRan() { p.note(refusal.Ran) }
 
 func (p *Progress) note(run refusal.Run) {
 	if p.run == "" || worse(run, p.run) {
--- a/answer/sequence.go
+++ b/answer/sequence.go
@@ -35,17 +35,17 @@
 // Next returns the number of the piece that is due.
 func (s *Sequence) Next() uint32 { return s.next }
 
-// Own reports whether a piece belongs to this attempt. A piece of another
+// Matches reports whether a piece belongs to this attempt. A piece of another
 // attempt is late or crossed: taking it would put a stranger's text into the
 // answer.
-func (s *Sequence) Own(p *wire.Piece) bool {
+func (s *Sequence) Matches(p *wire.Piece) bool {
 	return p.GetRequest() == s.request && p.GetAttempt() == s.attempt
 }
 
-// Take judges an own piece. Ok is false for a piece that was taken before. An
+// Accept judges an own piece. Ok is false for a piece that was taken before. An
 // error says that a piece is missing, also one that the last piece's totals
 // prove to be missing.
-func (s *Sequence) Take(p *wire.Piece) (ok bool, err error) {
+func (s *Sequence) Accept(p *wire.Piece) (ok bool, err error) {
 	if p.GetNumber() < s.next {
 		return false, nil
 	}
--- a/answer/sequence_test.go
+++ b/answer/sequence_test.go
@@ -24,10 +24,10 @@
 				p.Last = true
 				_, _ = fmt.Sscanf(last, "of=%d/%d", &p.TotalPieces, &p.TotalTokens)
 			}
-			if !s.Own(p) {
+			if !s.Matches(p) {
 				continue
 			}
-			ok, err := s.Take(p)
+			ok, err := s.Accept(p)
 			if err != nil {
 				fmt.Fprintln(&out, err)
 				break
@@ -40,14 +40,14 @@
 	})
 }
 
-var wayNames = map[Way]string{GiveUp: "give up", Restart: "restart", Resume: "resume"}
+var wayNames = map[RetryMode]string{GiveUp: "give up", Restart: "restart", Resume: "resume"}
 
 // Each script is what became of one request's attempts and how it goes on.
 func TestProgress(t *testing.T) {
 	datadriven.RunTest(t, "testdata/progress", func(_ *testing.T, d *datadriven.TestData) string {
 		var out strings.Builder
 		p := &Progress{}
-		r := Rules{Repeatable: d.HasArg("repeatable"), Resumes: d.HasArg("resumes"), Spent: d.HasArg("spent")}
+		r := RetryRules{Repeatable: d.HasArg("repeatable"), CanResume: d.HasArg("resumes"), BodyConsumed: d.HasArg("spent")}
 		for line := range strings.Lines(d.Input) {
 			f := strings.Fields(line)
 			switch f[0] {
@@ -56,10 +56,10 @@
 			case "tool":
 				p.Add(&wire.Piece{Data: []byte("{}"), Tokens: 1})
 			case "fails":
-				r.Shown = p.Taken() && d.HasArg("stream")
+				r.PartSent = p.HasOutput() && d.HasArg("stream")
 				cause := refusal.New(refusal.Code(f[1]), "").WithRun(refusal.Run(f[2]))
 				way := p.Next(cause, r)
-				fmt.Fprintf(&out, "%s after %q, caller would hear %s\n", wayNames[way], p.Text(), p.Truth(cause).Run())
+				fmt.Fprintf(&out, "%s after %q, caller would hear %s\n", wayNames[way], p.Text(), p.CombinedRefusal(cause).Run())
 				if way == Restart {
 					p.Reset()
 				}
--- a/batch/batcher.go
+++ b/batch/batcher.go
@@ -37,8 +37,8 @@
 // Tick tells the time.
 type Tick struct{ Now clock.Millis }
 
-// Share tells the appends a second that this process may make.
-type Share struct {
+// SetRate tells the appends a second that this process may make.
+type SetRate struct {
 	Now  clock.Millis
 	Rate float64
 }
@@ -83,7 +83,7 @@
 func (Add) isEvent()      {}
 func (Drop) isEvent()     {}
 func (Tick) isEvent()     {}
-func (Share) isEvent()    {}
+func (SetRate) isEvent()  {}
 func (Appended) isEvent() {}
 func (Failed) isEvent()   {}
 func (Scanned) isEvent()  {}
@@ -139,8 +139,8 @@
 	return &Batcher{prefix: prefix, head: unknownHead, rate: rate, tokens: burst}
 }
 
-// Waiting returns how many entries are not yet known to stand on the log.
-func (b *Batcher) Waiting() int { return len(b.queue) + len(b.sent) }
+// Pending returns how many entries are not yet known to stand on the log.
+func (b *Batcher) Pending() int { return len(b.queue) + len(b.sent) }
 
 // Appends counts the appends tried.
 func (b *Batcher) Appends() int64 { return b.appends }
@@ -159,7 +159,7 @@
 		return nil
 	case Tick:
 		return b.next(e.Now)
-	case Share:
+	case SetRate:
 		b.fill(e.Now)
 		b.rate = e.Rate
 		return b.next(e.Now)
@@ -192,7 +192,7 @@
 	if b.phase == backingOff && now >= b.retryAt {
 		b.phase = idle
 	}
-	if b.phase != idle || b.Waiting() == 0 {
+	if b.phase != idle || b.Pending() == 0 {
 		return nil
 	}
 	// The head is read before the first append, and a lost batch is searched
--- a/batch/place.go
+++ b/batch/place.go
@@ -15,8 +15,8 @@
 	// claims they stay well under the several hundred that the log takes.
 	appenderRate = 150.0
 	otherRate    = 50.0
-	// ClaimRate is what all processes share on the streams of claims.
-	ClaimRate = 100.0
+	// ClaimAppendsPerSecond is what all processes share on the streams of claims.
+	ClaimAppendsPerSecond = 100.0
 )
 
 // Member is a process that may hold bills and append.
@@ -29,10 +29,10 @@
 	Entry bool
 }
 
-// Place says who appends and who holds, from the members that one process
+// Assignment says who appends and who holds, from the members that one process
 // knows. Two processes with other lists may choose differently, which costs an
 // append more and nothing else.
-type Place struct {
+type Assignment struct {
 	self    Member
 	members []Member
 	byID    map[string]Member
@@ -40,10 +40,10 @@
 	appenders []Member
 }
 
-// NewPlace places the live members that are not leaving, self among them or
+// NewAssignment places the live members that are not leaving, self among them or
 // not.
-func NewPlace(self Member, members []Member) *Place {
-	p := &Place{self: self, members: members, byID: make(map[string]Member, len(members))}
+func NewAssignment(self Member, members []Member) *Assignment {
+	p := &Assignment{self: self, members: members, byID: make(map[string]Member, len(members))}
 	byZone := make(map[string][]Member)
 	for _, m := range members {
 		p.byID[m.ID] = m
@@ -85,22 +85,22 @@
 
 // Holder returns the process that shall hold the other copy of a key and
 // append it: the best appender outside the zones, or else any other process.
-func (p *Place) Holder(key string, zones, not []string) (m Member, ok bool) {
+func (p *Assignment) Holder(key string, zones, not []string) (m Member, ok bool) {
 	if m, ok = p.pick(key, zones, not, p.appenders, p.tier); ok {
 		return m, true
 	}
-	return p.Spare(key, zones, not)
+	return p.FallbackHolder(key, zones, not)
 }
 
-// Spare returns a process that can hold a copy when the appenders are full, as
+// FallbackHolder returns a process that can hold a copy when the appenders are full, as
 // they are early in an outage of the log: all processes of the region share
 // the load, then those of other regions.
-func (p *Place) Spare(key string, zones, not []string) (m Member, ok bool) {
+func (p *Assignment) FallbackHolder(key string, zones, not []string) (m Member, ok bool) {
 	return p.pick(key, zones, not, p.members, func(m Member) int { return p.tier(m) &^ 1 })
 }
 
 // pick takes the member of the lowest tier that ranks first for the key.
-func (p *Place) pick(key string, zones, not []string, from []Member, tier func(Member) int) (best Member, ok bool) {
+func (p *Assignment) pick(key string, zones, not []string, from []Member, tier func(Member) int) (best Member, ok bool) {
 	var lowest int
 	var first uint64
 	for _, m := range from {
@@ -117,7 +117,7 @@
 
 // tier is lower for better holders: two for another region, one for an
 // endpoint.
-func (p *Place) tier(m Member) (t int) {
+func (p *Assignment) tier(m Member) (t int) {
 	if m.Region != p.self.Region {
 		t += 2
 	}
@@ -127,21 +127,21 @@
 	return t
 }
 
-// Rate returns this process's share of the appends a second on the stream of
+// AppendRate returns this process's share of the appends a second on the stream of
 // bills.
-func (p *Place) Rate() float64 {
+func (p *Assignment) AppendRate() float64 {
 	if slices.ContainsFunc(p.appenders, func(m Member) bool { return m.ID == p.self.ID }) {
 		return appenderRate / float64(len(p.appenders))
 	}
 	return otherRate / float64(max(len(p.members), 1))
 }
 
-// Appenders returns how many processes append for all.
-func (p *Place) Appenders() int { return len(p.appenders) }
+// AppenderCount returns how many processes append for all.
+func (p *Assignment) AppenderCount() int { return len(p.appenders) }
 
 // Writer returns the entry that appends for a stream; ok is false when there
 // is none.
-func (p *Place) Writer(stream string) (m Member, ok bool) {
+func (p *Assignment) Writer(stream string) (m Member, ok bool) {
 	var entries []Member
 	for _, m := range p.members {
 		if m.Entry {
@@ -155,7 +155,7 @@
 }
 
 // Find returns a live member by ID.
-func (p *Place) Find(id string) (m Member, ok bool) {
+func (p *Assignment) Find(id string) (m Member, ok bool) {
 	m, ok = p.byID[id]
 	return m, ok
 }
--- a/batch/writer.go
+++ b/batch/writer.go
@@ -61,14 +61,14 @@
 // Drop takes back entries that are not being sent.
 func (w *Writer) Drop(ids []string) { w.post(Drop{IDs: ids}) }
 
-// Share sets the appends a second.
-func (w *Writer) Share(rate float64) { w.post(Share{Now: w.clock.Now(), Rate: rate}) }
+// SetRate sets the appends a second.
+func (w *Writer) SetRate(rate float64) { w.post(SetRate{Now: w.clock.Now(), Rate: rate}) }
 
-// Waiting returns how many entries are not yet known to stand on the log.
-func (w *Writer) Waiting() int {
+// Pending returns how many entries are not yet known to stand on the log.
+func (w *Writer) Pending() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.b.Waiting()
+	return w.b.Pending()
 }
 
 // Appends counts the appends tried.
--- a/bench/billing.go
+++ b/bench/billing.go
@@ -25,7 +25,7 @@
 
 type billingNode struct {
 	m       batch.Member
-	place   *batch.Place
+	place   *batch.Assignment
 	ledger  *bill.Ledger
 	batcher *batch.Batcher
 }
@@ -59,11 +59,11 @@
 		members = append(members, batch.Member{ID: fmt.Sprintf("entry-%03d", i), Zone: fmt.Sprintf("zone-%02d", z), Region: fmt.Sprintf("region-%d", region), Entry: true})
 	}
 	for _, m := range members {
-		n := &billingNode{m: m, place: batch.NewPlace(m, members), ledger: bill.NewLedger(m.Zone, bound)}
-		n.batcher = batch.NewBatcher(m.ID, n.place.Rate())
+		n := &billingNode{m: m, place: batch.NewAssignment(m, members), ledger: bill.NewLedger(m.Zone, bound)}
+		n.batcher = batch.NewBatcher(m.ID, n.place.AppendRate())
 		r.nodes = append(r.nodes, n)
 		r.byID[m.ID] = n
-		r.post(n, bill.Placed{Place: n.place})
+		r.post(n, bill.MembersChanged{Place: n.place})
 	}
 	return r
 }
@@ -73,7 +73,7 @@
 	r.due[t] = append(r.due[t], f)
 }
 
-func (r *billingRun) post(n *billingNode, e bill.Event) (a bill.Accept) {
+func (r *billingRun) post(n *billingNode, e bill.Event) (a bill.ReplyHold) {
 	for _, x := range n.ledger.Reduce(e) {
 		switch x := x.(type) {
 		case bill.Append:
@@ -85,7 +85,7 @@
 		case bill.Release:
 			to := r.byID[x.VM]
 			r.after(1, func() { r.post(to, bill.Released{Requests: x.Requests}) })
-		case bill.Accept:
+		case bill.ReplyHold:
 			a = x
 		}
 	}
@@ -96,9 +96,9 @@
 	r.holds++
 	to := r.byID[x.VM]
 	r.after(1, func() {
-		a := r.post(to, bill.Taken{Now: r.now, Zone: x.Zone, Keeper: n.m.ID, Bills: []*wire.Bill{x.Bill}})
+		a := r.post(to, bill.HoldRequested{Now: r.now, Zone: x.Zone, Keeper: n.m.ID, Bills: []*wire.Bill{x.Bill}})
 		r.after(1, func() {
-			r.post(n, bill.Answered{Now: r.now, Request: x.Bill.GetRequest(), VM: x.VM, Held: a.Held})
+			r.post(n, bill.HoldReplied{Now: r.now, Request: x.Bill.GetRequest(), VM: x.VM, Held: a.Held})
 		})
 	})
 }
@@ -192,7 +192,7 @@
 			Figure{name + "log-bytes-per-bill", float64(r.bytes) / float64(r.onLog)},
 			Figure{name + "holds-per-bill", float64(r.holds) / (billingRate * seconds)},
 			Figure{name + "mean-ms-to-log", float64(r.waited) / float64(r.stored)},
-			Figure{name + "appenders", float64(r.nodes[0].place.Appenders())},
+			Figure{name + "appenders", float64(r.nodes[0].place.AppenderCount())},
 		)
 	}
 	return append(figures, outageFigures(30)...)
--- a/bill/due.go
+++ b/bill/due.go
@@ -33,8 +33,8 @@
 	return now-x.since >= lateAfter || l.others(x) == 0
 }
 
-// Keeps reports whether a request's bill is kept here.
-func (l *Ledger) Keeps(request string) bool {
+// Contains reports whether a request's bill is kept here.
+func (l *Ledger) Contains(request string) bool {
 	_, ok := l.entries[request]
 	return ok
 }
--- a/bill/event.go
+++ b/bill/event.go
@@ -20,17 +20,17 @@
 	Reserved bool
 }
 
-// Answered tells what a process said to Hold.
-type Answered struct {
+// HoldReplied tells what a process said to Hold.
+type HoldReplied struct {
 	Now     clock.Millis
 	Request string
 	VM      string
 	Held    bool
 }
 
-// Taken brings bills that another process asks this one to hold. Zone is where
+// HoldRequested brings bills that another process asks this one to hold. Zone is where
 // the other copy stands.
-type Taken struct {
+type HoldRequested struct {
 	Now    clock.Millis
 	Zone   string
 	Keeper string
@@ -43,10 +43,10 @@
 // Released tells that another process saw bills on the log.
 type Released struct{ Requests []string }
 
-// Placed brings the members anew.
-type Placed struct {
+// MembersChanged brings the members anew.
+type MembersChanged struct {
 	Now   clock.Millis
-	Place *batch.Place
+	Place *batch.Assignment
 }
 
 // Tick tells the time.
@@ -85,24 +85,24 @@
 	Requests []string
 }
 
-// Accept answers Taken.
-type Accept struct {
+// ReplyHold answers Taken.
+type ReplyHold struct {
 	Held   bool
 	Reason string
 }
 
-func (Finish) isEvent()   {}
-func (Answered) isEvent() {}
-func (Taken) isEvent()    {}
-func (Stored) isEvent()   {}
-func (Released) isEvent() {}
-func (Placed) isEvent()   {}
-func (Tick) isEvent()     {}
-func (Drain) isEvent()    {}
-
-func (Hold) isEffect()     {}
-func (Append) isEffect()   {}
-func (Withdraw) isEffect() {}
-func (Safe) isEffect()     {}
-func (Release) isEffect()  {}
-func (Accept) isEffect()   {}
+func (Finish) isEvent()         {}
+func (HoldReplied) isEvent()    {}
+func (HoldRequested) isEvent()  {}
+func (Stored) isEvent()         {}
+func (Released) isEvent()       {}
+func (MembersChanged) isEvent() {}
+func (Tick) isEvent()           {}
+func (Drain) isEvent()          {}
+
+func (Hold) isEffect()      {}
+func (Append) isEffect()    {}
+func (Withdraw) isEffect()  {}
+func (Safe) isEffect()      {}
+func (Release) isEffect()   {}
+func (ReplyHold) isEffect() {}
--- a/bill/fuzz_test.go
+++ b/bill/fuzz_test.go
@@ -58,9 +58,9 @@
 		}
 		const bound = 3
 		l := NewLedger("zone-a", bound)
-		l.Reduce(Placed{Place: placeOf("vm-b zone-b\nvm-c zone-c")})
+		l.Reduce(MembersChanged{Place: placeOf("vm-b zone-b\nvm-c zone-c")})
 		for now := range 3 {
-			l.Reduce(Taken{Zone: in.GetZone(), Keeper: in.GetFrom(), Bills: in.GetBills()})
+			l.Reduce(HoldRequested{Zone: in.GetZone(), Keeper: in.GetFrom(), Bills: in.GetBills()})
 			for _, b := range in.GetBills() {
 				l.Reduce(Stored{IDs: []string{b.GetRequest() + "/0"}})
 				l.Reduce(Released{Requests: []string{b.GetRequest()}})
--- a/bill/ledger.go
+++ b/bill/ledger.go
@@ -22,8 +22,8 @@
 	// are full, and asking without a bound would be most of the traffic.
 	maxAsked = 8
 	maxSeeks = 64
-	// HoldLimit is how long an answer of a holder is good.
-	HoldLimit = 400 * clock.Millis(1)
+	// HoldTimeout is how long an answer of a holder is good.
+	HoldTimeout = 400 * clock.Millis(1)
 	// lateAfter is when the keeper of a bill appends it itself, because the
 	// holder has not told that it did.
 	lateAfter = 10 * clock.Second
@@ -63,7 +63,7 @@
 type Ledger struct {
 	zone  string
 	bound int
-	place *batch.Place
+	place *batch.Assignment
 	// reserved counts places of requests under way.
 	reserved int
 	// entries holds bills by request, own ones at most bound less reserved, and
@@ -99,9 +99,9 @@
 // Reserved returns the places of requests under way.
 func (l *Ledger) Reserved() int { return l.reserved }
 
-// Secure reports whether every bill kept here is also safe without this
+// Replicated reports whether every bill kept here is also safe without this
 // process: on the log, or held by two others.
-func (l *Ledger) Secure() bool {
+func (l *Ledger) Replicated() bool {
 	for _, e := range l.entries {
 		if l.others(e) < 2 {
 			return false
@@ -140,15 +140,15 @@
 	switch e := ev.(type) {
 	case Finish:
 		return l.finish(e)
-	case Answered:
+	case HoldReplied:
 		return l.answered(e)
-	case Taken:
+	case HoldRequested:
 		return l.take(e)
 	case Stored:
 		return l.stored(e)
 	case Released:
 		return l.released(e)
-	case Placed:
+	case MembersChanged:
 		l.place = e.Place
 		return l.look(e.Now)
 	case Tick:
@@ -207,7 +207,7 @@
 	zones, not := l.avoid(x)
 	choose := l.place.Holder
 	if len(x.asked) > 0 {
-		choose = l.place.Spare
+		choose = l.place.FallbackHolder
 	}
 	m, ok := choose(x.bill.GetRequest(), zones, not)
 	if !ok {
@@ -251,7 +251,7 @@
 	return []Effect{Append{ID: x.id(), Bill: x.bill}}
 }
 
-func (l *Ledger) answered(e Answered) (effects []Effect) {
+func (l *Ledger) answered(e HoldReplied) (effects []Effect) {
 	x, ok := l.entries[e.Request]
 	if !ok || x.pending != e.VM {
 		return nil
@@ -260,7 +260,7 @@
 	// An answer that this process took in late, because it was paused, says
 	// nothing: the holder may be gone since, and the caller would get the last
 	// piece while one process alone has the bill.
-	if !e.Held || e.Now-x.askedAt > HoldLimit {
+	if !e.Held || e.Now-x.askedAt > HoldTimeout {
 		return l.seek(x, maxTries+len(x.holders), e.Now)
 	}
 	x.holders = append(x.holders, e.VM)
@@ -281,22 +281,22 @@
 
 // take holds bills of another process. A holder in the keeper's own zone would
 // be lost with it, so it says no.
-func (l *Ledger) take(e Taken) (effects []Effect) {
+func (l *Ledger) take(e HoldRequested) (effects []Effect) {
 	switch {
 	case l.draining:
-		return []Effect{Accept{Reason: "leaving"}}
+		return []Effect{ReplyHold{Reason: "leaving"}}
 	case e.Zone == l.zone:
-		return []Effect{Accept{Reason: "same availability zone"}}
+		return []Effect{ReplyHold{Reason: "same availability zone"}}
 	case len(l.entries)-l.own+len(e.Bills) > l.bound:
-		return []Effect{Accept{Reason: "full"}}
+		return []Effect{ReplyHold{Reason: "full"}}
 	}
 	for _, b := range e.Bills {
 		effects = append(effects, l.hold(e, b)...)
 	}
-	return append(effects, Accept{Held: true})
+	return append(effects, ReplyHold{Held: true})
 }
 
-func (l *Ledger) hold(e Taken, b *wire.Bill) (effects []Effect) {
+func (l *Ledger) hold(e HoldRequested, b *wire.Bill) (effects []Effect) {
 	if x, ok := l.entries[b.GetRequest()]; ok {
 		return l.unite(x, b)
 	}
--- a/bill/ledger_test.go
+++ b/bill/ledger_test.go
@@ -23,7 +23,7 @@
 				return fmt.Sprintln(l.Reserve())
 			}
 			effects := l.Reduce(eventOf(t, d, clock.Millis(now)))
-			return effectsOf(effects) + fmt.Sprintf("secure=%v\n", l.Secure())
+			return effectsOf(effects) + fmt.Sprintf("secure=%v\n", l.Replicated())
 		})
 	})
 }
@@ -36,15 +36,15 @@
 	b := &wire.Bill{Request: request, Steps: []*wire.Step{{Attempt: 1, Cost: 5, Whole: true}}}
 	switch d.Cmd {
 	case "place":
-		return Placed{Now: now, Place: placeOf(d.Input)}
+		return MembersChanged{Now: now, Place: placeOf(d.Input)}
 	case "finish":
 		return Finish{Now: now, Bill: b, Reserved: true}
 	case "orphan":
 		return Finish{Now: now, Bill: &wire.Bill{Request: request, Steps: []*wire.Step{{Attempt: 2, Cost: 3, Whole: true}}}}
 	case "held", "refused":
-		return Answered{Now: now, Request: request, VM: vm, Held: d.Cmd == "held"}
+		return HoldReplied{Now: now, Request: request, VM: vm, Held: d.Cmd == "held"}
 	case "take":
-		return Taken{Now: now, Zone: zone, Keeper: vm, Bills: []*wire.Bill{b}}
+		return HoldRequested{Now: now, Zone: zone, Keeper: vm, Bills: []*wire.Bill{b}}
 	case "stored":
 		return Stored{IDs: []string{request}}
 	case "released":
@@ -56,13 +56,13 @@
 }
 
 // placeOf reads lines "vm zone".
-func placeOf(input string) *batch.Place {
+func placeOf(input string) *batch.Assignment {
 	var members []batch.Member
 	for line := range strings.Lines(input) {
 		f := strings.Fields(line)
 		members = append(members, batch.Member{ID: f[0], Zone: f[1], Entry: true})
 	}
-	return batch.NewPlace(batch.Member{ID: "self", Zone: "zone-a"}, members)
+	return batch.NewAssignment(batch.Member{ID: "self", Zone: "zone-a"}, members)
 }
 
 func effectsOf(effects []Effect) string {
@@ -79,7 +79,7 @@
 			fmt.Fprintf(&b, "release %v at %s\n", x.Requests, x.VM)
 		case Withdraw:
 			fmt.Fprintf(&b, "withdraw %v\n", x.IDs)
-		case Accept:
+		case ReplyHold:
 			fmt.Fprintf(&b, "accept %v %s\n", x.Held, x.Reason)
 		}
 	}
@@ -90,7 +90,7 @@
 // a holder, its place in the journal left out.
 func BenchmarkWaitingBill(b *testing.B) {
 	l := NewLedger("zone-a", b.N)
-	l.Reduce(Placed{Place: placeOf("vm-b zone-b")})
+	l.Reduce(MembersChanged{Place: placeOf("vm-b zone-b")})
 	b.ReportAllocs()
 	for i := range b.N {
 		if err := l.Reserve(); err != nil {
@@ -99,7 +99,7 @@
 		id := fmt.Sprintf("%08x-0000-4000-8000-%012x", i, i)
 		step := &wire.Step{Attempt: 1, Version: "large@12", Vm: "endpoint-0417", Usage: &wire.Usage{InputTokens: 2100, OutputTokens: 270}, Cost: 2619, Whole: true}
 		l.Reduce(Finish{Reserved: true, Bill: &wire.Bill{Request: id, Organisation: "registry-desk", Route: "dossier", Steps: []*wire.Step{step}}})
-		l.Reduce(Answered{Request: id, VM: "vm-b", Held: true})
+		l.Reduce(HoldReplied{Request: id, VM: "vm-b", Held: true})
 	}
 	b.StopTimer()
 	runtime.GC()
--- a/burn/burn_test.go
+++ b/burn/burn_test.go
@@ -40,7 +40,7 @@
 	return out
 }
 
-func (v *Verdict) find(is *is.I, objective string) Line {
+func (v *Evaluation) find(is *is.I, objective string) Line {
 	for _, l := range v.Lines {
 		if l.Objective == objective {
 			return l
@@ -53,7 +53,7 @@
 // An entry is asked twice, since the first answer came late, and another was
 // restarted. Counting a life twice, or dropping one, would show a burn that never
 // was, or hide one.
-func TestMergeCountsEachLifeOnce(t *testing.T) {
+func TestMergeCountsEachIncarnationOnce(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		is := is.New(t)
 		var reports []*Report
@@ -61,11 +61,11 @@
 		for epoch := range uint64(3) {
 			x := newTimed()
 			n := rapid.Int64Range(1, 50).Draw(rt, "requests")
-			x.r.Add(Key{Route: "dossier", Zone: "z1"}, Tally{Requests: n, Unanswered: 1})
-			x.r.Latency("dossier", 100, 10)
+			x.r.Add(Key{Route: "dossier", Zone: "z1"}, Counts{Requests: n, Unanswered: 1})
+			x.r.RecordLatency("dossier", 100, 10)
 			x.now += clock.Second
 			reports = append(reports, x.report(is, "entry-1", epoch))
-			x.r.Add(Key{Route: "dossier", Zone: "z2"}, Tally{Requests: 1})
+			x.r.Add(Key{Route: "dossier", Zone: "z2"}, Counts{Requests: 1})
 			x.now += clock.Second
 			for range rapid.IntRange(1, 3).Draw(rt, "asked") {
 				reports = append(reports, x.report(is, "entry-1", epoch))
@@ -76,7 +76,7 @@
 		reports = rapid.Permutation(reports).Draw(rt, "order")
 		m, err := Merge(reports)
 		is.NoErr(err)
-		v := m.Judge()
+		v := m.Evaluate()
 		l := v.find(is, "availability")
 		is.Equal(l.Events, want)
 		is.Equal(l.Bad, float64(bad))
@@ -91,23 +91,23 @@
 	x := newTimed()
 	serve := func(span clock.Millis, unanswered int64) Line {
 		for end := x.now + span; x.now < end; x.now += 10 * clock.Second {
-			x.r.Add(Key{Route: "dossier", Version: "a@1", Zone: "z1"}, Tally{Requests: 10})
-			x.r.Add(Key{Route: "dossier", Version: "a@2", Zone: "z2"}, Tally{Requests: 10, Unanswered: unanswered})
+			x.r.Add(Key{Route: "dossier", Version: "a@1", Zone: "z1"}, Counts{Requests: 10})
+			x.r.Add(Key{Route: "dossier", Version: "a@2", Zone: "z2"}, Counts{Requests: 10, Unanswered: unanswered})
 		}
 		m, err := Merge([]*Report{x.report(is, "e", 1)})
 		is.NoErr(err)
-		return m.Judge().find(is, "availability")
+		return m.Evaluate().find(is, "availability")
 	}
-	is.Equal(serve(clock.Hour, 0).Alert, Calm)
+	is.Equal(serve(clock.Hour, 0).Alert, NoAlert)
 	during := serve(30*clock.Minute, 8)
 	is.Equal(during.Alert, Page)
-	is.Equal(during.Causes[0].Part, 1.0)
+	is.Equal(during.Causes[0].Fraction, 1.0)
 	is.True(math.Abs(during.Rates["5m"]-40) < 1e-9) // 40 in 100 unanswered, 1 allowed
 	after := serve(20*clock.Minute, 0)
 	is.True(after.Alert != Page)
 	is.Equal(after.Rates["5m"], 0.0)
-	is.True(after.Left < 0)
-	is.True(serve(4*24*clock.Hour, 0).Left > 0.999) // left the longest window
+	is.True(after.BudgetRemaining < 0)
+	is.True(serve(4*24*clock.Hour, 0).BudgetRemaining > 0.999) // left the longest window
 }
 
 // A page with parts from elsewhere shows nothing on an operator's phone beside a
@@ -115,11 +115,11 @@
 func TestPageIsSelfContained(t *testing.T) {
 	is := is.New(t)
 	x := newTimed()
-	x.r.Add(Key{Route: "dossier", Version: "a@1", Zone: "<z1>", Organisation: "desk"}, Tally{Requests: 100, Unanswered: 40, Firsts: 100, Late: 3, Ratings: 10, Score: 9.5})
-	x.r.Latency("dossier", 350, 20)
+	x.r.Add(Key{Route: "dossier", Version: "a@1", Zone: "<z1>", Organisation: "desk"}, Counts{Requests: 100, Unanswered: 40, FirstTokens: 100, LateFirstTokens: 3, Ratings: 10, RatingSum: 9.5})
+	x.r.RecordLatency("dossier", 350, 20)
 	m, err := Merge([]*Report{x.report(is, "e", 1)})
 	is.NoErr(err)
-	v := m.Judge()
+	v := m.Evaluate()
 	v.Missing = []string{"entry-2"}
 	var b, text bytes.Buffer
 	is.NoErr(v.WriteHTML(&b))
@@ -142,26 +142,26 @@
 	is := is.New(t)
 	x := newTimed()
 	for i := range 3 * maxKeys {
-		x.r.Add(Key{Route: "dossier", Organisation: string(rune(i + 1000))}, Tally{Requests: 1})
+		x.r.Add(Key{Route: "dossier", Organisation: string(rune(i + 1000))}, Counts{Requests: 1})
 	}
 	r := x.report(is, "e", 1)
 	is.True(len(r.Windows["3d"]) <= maxKeys+1)
 	m, err := Merge([]*Report{r})
 	is.NoErr(err)
-	is.Equal(m.Judge().find(is, "availability").Events, int64(3*maxKeys))
+	is.Equal(m.Evaluate().find(is, "availability").Events, int64(3*maxKeys))
 }
 
 // Entries are replaced one after the other all day. A report that lost what each
 // had served, or counted it at both heirs, would show a budget that is not there.
-func TestPlannedStopHandsOn(t *testing.T) {
+func TestPlannedStopHandsOverCounts(t *testing.T) {
 	is := is.New(t)
 	first, second, third := newTimed(), newTimed(), newTimed()
 	second.now, third.now = 5*clock.Hour, 90*clock.Hour // clocks of their own
 	hand := func(from *timed, vm string, to ...*timed) {
-		for _, l := range from.r.Lives(vm, 1) {
-			data, err := l.Pack()
+		for _, l := range from.r.Handovers(vm, 1) {
+			data, err := l.Encode()
 			is.NoErr(err)
-			got, err := Unpack(data)
+			got, err := DecodeHandover(data)
 			is.NoErr(err)
 			for _, x := range to {
 				x.r.Inherit(got)
@@ -172,9 +172,9 @@
 	judge := func() Line {
 		m, err := Merge([]*Report{second.report(is, "b", 1), third.report(is, "c", 1)})
 		is.NoErr(err)
-		return m.Judge().find(is, "availability")
+		return m.Evaluate().find(is, "availability")
 	}
-	first.r.Add(Key{Route: "dossier"}, Tally{Requests: 100, Unanswered: 50})
+	first.r.Add(Key{Route: "dossier"}, Counts{Requests: 100, Unanswered: 50})
 	first.now += clock.Minute
 	hand(first, "a", second, third)
 	is.Equal(judge().Events, int64(100))
@@ -183,13 +183,13 @@
 	third.now += 10 * clock.Minute
 	_, recent := judge().Rates["5m"]
 	is.True(!recent) // it left the short window at both heirs
-	second.r.Add(Key{Route: "dossier"}, Tally{Requests: 10})
+	second.r.Add(Key{Route: "dossier"}, Counts{Requests: 10})
 	hand(second, "b", third)
 	is.Equal(judge().Events, int64(110))
 	third.now += 80 * clock.Hour
 	m, err := Merge([]*Report{third.report(is, "c", 1)})
 	is.NoErr(err)
-	is.Equal(m.Judge().find(is, "availability").Events, int64(0))
+	is.Equal(m.Evaluate().find(is, "availability").Events, int64(0))
 }
 
 func BenchmarkAdd(b *testing.B) {
@@ -197,14 +197,14 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		x.now++
-		x.r.Add(Key{Route: "dossier", Version: "a@1", Zone: "z1", Organisation: "desk"}, Tally{Requests: 1})
+		x.r.Add(Key{Route: "dossier", Version: "a@1", Zone: "z1", Organisation: "desk"}, Counts{Requests: 1})
 	}
 }
 
 // An operator on call reads "-1900%" and has to work out what it means.
-func TestOverspentBudgetIsTold(t *testing.T) {
+func TestOverspentBudgetText(t *testing.T) {
 	is := is.New(t)
-	is.Equal(Line{Left: 0.41}.left(), "41%")
-	is.Equal(Line{Left: 0}.left(), "0%")
-	is.Equal(Line{Left: -19}.left(), "0%, spent 20.0 times")
+	is.Equal(Line{BudgetRemaining: 0.41}.left(), "41%")
+	is.Equal(Line{BudgetRemaining: 0}.left(), "0%")
+	is.Equal(Line{BudgetRemaining: -19}.left(), "0%, spent 20.0 times")
 }
--- a/burn/judge.go
+++ b/burn/judge.go
@@ -11,7 +11,7 @@
 
 // The alerts, from none to the most pressing.
 const (
-	Calm Alert = ""
+	NoAlert Alert = ""
 	// Ticket means that the budget of three days is spent within the window.
 	Ticket Alert = "ticket"
 	// Page means that a month's budget would be gone within two days.
@@ -41,18 +41,18 @@
 	// not whole for quality, where an answer may be good in part.
 	Events int64   `json:"events"`
 	Bad    float64 `json:"bad"`
-	// Left is the part of the longest window's budget that is left; below 0 it is
+	// BudgetRemaining is the part of the longest window's budget that is left; below 0 it is
 	// overspent.
-	Left   float64 `json:"left"`
-	Alert  Alert   `json:"alert,omitempty"`
-	Causes []Cause `json:"causes,omitempty"`
+	BudgetRemaining float64 `json:"left"`
+	Alert           Alert   `json:"alert,omitempty"`
+	Causes          []Cause `json:"causes,omitempty"`
 }
 
 // Cause is a part of the bad events that one version, zone or organisation has.
 type Cause struct {
-	Kind string  `json:"kind"`
-	Name string  `json:"name"`
-	Part float64 `json:"part"`
+	Kind     string  `json:"kind"`
+	Name     string  `json:"name"`
+	Fraction float64 `json:"part"`
 }
 
 // Percentiles are those of a route's last hour, in milliseconds.
@@ -66,8 +66,8 @@
 	Attempts int64  `json:"attempts"`
 }
 
-// Verdict is what operators read.
-type Verdict struct {
+// Evaluation is what operators read.
+type Evaluation struct {
 	Processes int `json:"processes"`
 	// Missing names the entries that did not answer; what they served lacks.
 	Missing       []string      `json:"missing,omitempty"`
@@ -80,16 +80,16 @@
 type part struct {
 	name   string
 	target func(Objective) float64
-	read   func(Tally) (events int64, bad float64)
+	read   func(Counts) (events int64, bad float64)
 }
 
 func parts() []part {
 	return []part{
-		{"availability", func(o Objective) float64 { return o.Availability }, func(t Tally) (int64, float64) { return t.Requests, float64(t.Unanswered) }},
-		{"first-token", func(o Objective) float64 { return pick(o.FirstTokenMillis, o.Target) }, func(t Tally) (int64, float64) { return t.Firsts, float64(t.Late) }},
-		{"token-gap", func(o Objective) float64 { return pick(o.TokenGapMillis, o.Target) }, func(t Tally) (int64, float64) { return t.Gaps, float64(t.Slow) }},
-		{"quality", func(o Objective) float64 { return o.Quality }, func(t Tally) (int64, float64) { return t.Ratings, float64(t.Ratings) - t.Score }},
-		{"exposure", func(Objective) float64 { return exposureTarget }, func(t Tally) (int64, float64) { return t.Requests, float64(t.Exposed) }},
+		{"availability", func(o Objective) float64 { return o.Availability }, func(t Counts) (int64, float64) { return t.Requests, float64(t.Unanswered) }},
+		{"first-token", func(o Objective) float64 { return pick(o.FirstTokenMillis, o.Target) }, func(t Counts) (int64, float64) { return t.FirstTokens, float64(t.LateFirstTokens) }},
+		{"token-gap", func(o Objective) float64 { return pick(o.TokenGapMillis, o.Target) }, func(t Counts) (int64, float64) { return t.TokenGaps, float64(t.SlowGaps) }},
+		{"quality", func(o Objective) float64 { return o.Quality }, func(t Counts) (int64, float64) { return t.Ratings, float64(t.Ratings) - t.RatingSum }},
+		{"exposure", func(Objective) float64 { return exposureTarget }, func(t Counts) (int64, float64) { return t.Requests, float64(t.Exposed) }},
 	}
 }
 
@@ -104,9 +104,9 @@
 	return target
 }
 
-// Judge makes the verdict, the most pressing objective first.
-func (m *Merged) Judge() *Verdict {
-	v := &Verdict{Processes: m.Processes, CoveredMillis: m.CoveredMillis}
+// Evaluate makes the verdict, the most pressing objective first.
+func (m *Merged) Evaluate() *Evaluation {
+	v := &Evaluation{Processes: m.Processes, CoveredMillis: m.CoveredMillis}
 	for _, route := range slices.Sorted(maps.Keys(m.Objectives)) {
 		for _, p := range parts() {
 			if l, ok := m.line(route, p); ok {
@@ -114,7 +114,7 @@
 			}
 		}
 	}
-	slices.SortStableFunc(v.Lines, func(a, b Line) int { return cmp.Compare(a.Left, b.Left) })
+	slices.SortStableFunc(v.Lines, func(a, b Line) int { return cmp.Compare(a.BudgetRemaining, b.BudgetRemaining) })
 	for _, route := range slices.Sorted(maps.Keys(m.first)) {
 		v.Latencies = append(v.Latencies, m.percentiles(route))
 	}
@@ -126,14 +126,14 @@
 	if target <= 0 || target >= 1 {
 		return l, false
 	}
-	l = Line{Route: route, Objective: p.name, Target: target, Rates: make(map[string]float64), Left: 1}
+	l = Line{Route: route, Objective: p.name, Target: target, Rates: make(map[string]float64), BudgetRemaining: 1}
 	events := make(map[string]int64)
 	for _, w := range Windows() {
 		n, bad := m.count(w.Name, route, p)
 		events[w.Name] = n
 		if n > 0 {
 			l.Rates[w.Name] = bad / float64(n) / (1 - target)
-			l.Events, l.Bad, l.Left = n, bad, 1-l.Rates[w.Name]
+			l.Events, l.Bad, l.BudgetRemaining = n, bad, 1-l.Rates[w.Name]
 		}
 	}
 	l.Alert = alert(l.Rates, events)
@@ -151,7 +151,7 @@
 	case over("3d", "6h", ticketRate):
 		return Ticket
 	}
-	return Calm
+	return NoAlert
 }
 
 func (m *Merged) count(window, route string, p part) (n int64, bad float64) {
@@ -182,11 +182,11 @@
 		}
 	}
 	for c, bad := range sums {
-		c.Part = bad / all
+		c.Fraction = bad / all
 		out = append(out, c)
 	}
 	slices.SortFunc(out, func(a, b Cause) int {
-		return cmp.Or(cmp.Compare(b.Part, a.Part), cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Name, b.Name))
+		return cmp.Or(cmp.Compare(b.Fraction, a.Fraction), cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Name, b.Name))
 	})
 	return out[:min(len(out), maxCauses)]
 }
@@ -201,4 +201,4 @@
 }
 
 // Percent returns the part in a hundred.
-func (c Cause) Percent() float64 { return 100 * c.Part }
+func (c Cause) Percent() float64 { return 100 * c.Fraction }
--- a/burn/life.go
+++ b/burn/life.go
@@ -19,17 +19,17 @@
 	maxLifeBytes = 32 << 20
 )
 
-// Life is what one life of a process counted, as it is handed on at a planned
+// Handover is what one life of a process counted, as it is handed on at a planned
 // stop. Ages are spans before the hand-over, so that no two clocks are compared.
-type Life struct {
-	VM            string            `json:"vm"`
-	Epoch         uint64            `json:"epoch,string"`
-	CoveredMillis int64             `json:"covered-millis"`
-	Rings         map[string][]Aged `json:"rings"`
+type Handover struct {
+	VM            string                  `json:"vm"`
+	Epoch         uint64                  `json:"epoch,string"`
+	CoveredMillis int64                   `json:"covered-millis"`
+	Rings         map[string][]AgedBucket `json:"rings"`
 }
 
-// Aged is one bucket.
-type Aged struct {
+// AgedBucket is one bucket.
+type AgedBucket struct {
 	// AgeMillis is how long before the hand-over the bucket began.
 	AgeMillis int64 `json:"age-millis"`
 	Rows      []Row `json:"rows"`
@@ -37,26 +37,26 @@
 
 // inherited is a life and when it was taken, on this process's clock.
 type inherited struct {
-	life Life
+	life Handover
 	at   clock.Millis
 }
 
-func (l Life) same(o Life) bool { return l.VM == o.VM && l.Epoch == o.Epoch }
+func (l Handover) same(o Handover) bool { return l.VM == o.VM && l.Epoch == o.Epoch }
 
-// Lives returns this process's own life and those it has taken from others, for
+// Handovers returns this process's own life and those it has taken from others, for
 // whoever takes them over.
-func (r *Recorder) Lives(vm string, epoch uint64) (lives []Life) {
+func (r *Recorder) Handovers(vm string, epoch uint64) (lives []Handover) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.now()
-	own := Life{VM: vm, Epoch: epoch, CoveredMillis: int64(now - r.startedAt), Rings: make(map[string][]Aged)}
+	own := Handover{VM: vm, Epoch: epoch, CoveredMillis: int64(now - r.startedAt), Rings: make(map[string][]AgedBucket)}
 	for i, w := range Windows() {
 		for _, b := range r.rings[i] {
-			sums := make(map[Key]Tally, len(b.tallies))
+			sums := make(map[Key]Counts, len(b.tallies))
 			for k, t := range b.tallies {
 				sums[k] = *t
 			}
-			own.Rings[w.Name] = append(own.Rings[w.Name], Aged{AgeMillis: int64(now - b.start), Rows: rowsOf(sums)})
+			own.Rings[w.Name] = append(own.Rings[w.Name], AgedBucket{AgeMillis: int64(now - b.start), Rows: rowsOf(sums)})
 		}
 	}
 	lives = append(lives, own)
@@ -67,13 +67,13 @@
 }
 
 // aged returns the life as of a later instant.
-func (x inherited) aged(now clock.Millis) Life {
+func (x inherited) aged(now clock.Millis) Handover {
 	out := x.life
-	out.Rings = make(map[string][]Aged, len(x.life.Rings))
+	out.Rings = make(map[string][]AgedBucket, len(x.life.Rings))
 	for _, w := range Windows() {
 		for _, b := range x.life.Rings[w.Name] {
 			b.AgeMillis += int64(now - x.at)
-			if b.AgeMillis < int64(w.Span) {
+			if b.AgeMillis < int64(w.Duration) {
 				out.Rings[w.Name] = append(out.Rings[w.Name], b)
 			}
 		}
@@ -83,7 +83,7 @@
 
 // Inherit takes over the life of another process. Of two hand-overs of one life
 // the later counts, so a repeated one does no harm.
-func (r *Recorder) Inherit(l Life) {
+func (r *Recorder) Inherit(l Handover) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	i := slices.IndexFunc(r.inherited, func(x inherited) bool { return x.life.same(l) })
@@ -104,11 +104,11 @@
 		l := x.aged(now)
 		report := &Report{VM: l.VM, Epoch: l.Epoch, CoveredMillis: l.CoveredMillis, Revision: -1, Windows: make(map[string][]Row)}
 		for name, ring := range l.Rings {
-			sums := make(map[Key]Tally)
+			sums := make(map[Key]Counts)
 			for _, b := range ring {
 				for _, row := range b.Rows {
 					t := sums[row.Key]
-					t.Add(row.Tally)
+					t.Add(row.Counts)
 					sums[row.Key] = t
 				}
 			}
@@ -120,8 +120,8 @@
 	return out
 }
 
-// Pack writes a life for the wire.
-func (l Life) Pack() (data []byte, err error) {
+// Encode writes a life for the wire.
+func (l Handover) Encode() (data []byte, err error) {
 	defer func() {
 		if err != nil {
 			err = ErrMalformed.Wrap(err, "pack life of %s", l.VM)
@@ -136,8 +136,8 @@
 	return b.Bytes(), err
 }
 
-// Unpack reads what Pack wrote.
-func Unpack(data []byte) (l Life, err error) {
+// DecodeHandover reads what Pack wrote.
+func DecodeHandover(data []byte) (l Handover, err error) {
 	defer func() {
 		if err != nil {
 			err = ErrMalformed.Wrap(err, "unpack life")
--- a/burn/page.go
+++ b/burn/page.go
@@ -27,7 +27,7 @@
 )
 
 type page struct {
-	*Verdict
+	*Evaluation
 	Covered string
 	Cards   []card
 }
@@ -43,13 +43,13 @@
 type cell struct{ Name, Value string }
 
 // WriteHTML writes the verdict as one page with nothing outside it.
-func (v *Verdict) WriteHTML(w io.Writer) (err error) {
+func (v *Evaluation) WriteHTML(w io.Writer) (err error) {
 	defer func() {
 		if err != nil {
 			err = ErrMalformed.Wrap(err, "write page")
 		}
 	}()
-	p := page{Verdict: v, Covered: spanText(v.CoveredMillis)}
+	p := page{Evaluation: v, Covered: spanText(v.CoveredMillis)}
 	for _, l := range v.Lines {
 		c, err := cardOf(l)
 		if err != nil {
--- a/burn/recorder.go
+++ b/burn/recorder.go
@@ -25,8 +25,8 @@
 
 // Window is a span over which burn is judged.
 type Window struct {
-	Name string
-	Span clock.Millis
+	Name     string
+	Duration clock.Millis
 	// step is the width of the buckets that it is summed from.
 	step clock.Millis
 }
@@ -34,10 +34,10 @@
 // Windows are the spans judged, the shortest first.
 func Windows() []Window {
 	return []Window{
-		{Name: "5m", Span: 5 * clock.Minute, step: clock.Minute / 2},
-		{Name: "1h", Span: clock.Hour, step: 5 * clock.Minute},
-		{Name: "6h", Span: 6 * clock.Hour, step: 30 * clock.Minute},
-		{Name: "3d", Span: 72 * clock.Hour, step: 6 * clock.Hour},
+		{Name: "5m", Duration: 5 * clock.Minute, step: clock.Minute / 2},
+		{Name: "1h", Duration: clock.Hour, step: 5 * clock.Minute},
+		{Name: "6h", Duration: 6 * clock.Hour, step: 30 * clock.Minute},
+		{Name: "3d", Duration: 72 * clock.Hour, step: 6 * clock.Hour},
 	}
 }
 
@@ -58,7 +58,7 @@
 type bucket struct {
 	// start is a multiple of the window's step.
 	start   clock.Millis
-	tallies map[Key]*Tally
+	tallies map[Key]*Counts
 }
 
 // latency holds one histogram a slot; the slot in use is overwritten after an
@@ -78,7 +78,7 @@
 }
 
 // Add counts a tally under a key.
-func (r *Recorder) Add(k Key, t Tally) {
+func (r *Recorder) Add(k Key, t Counts) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.now()
@@ -90,7 +90,7 @@
 			key = Key{Route: k.Route, Organisation: other}
 		}
 		if tallies[key] == nil {
-			tallies[key] = &Tally{}
+			tallies[key] = &Counts{}
 		}
 		tallies[key].Add(t)
 	}
@@ -100,17 +100,17 @@
 func advance(ring []bucket, w Window, now clock.Millis) []bucket {
 	start := now / w.step * w.step
 	if len(ring) == 0 || ring[len(ring)-1].start < start {
-		ring = append(ring, bucket{start: start, tallies: make(map[Key]*Tally)})
+		ring = append(ring, bucket{start: start, tallies: make(map[Key]*Counts)})
 	}
-	for ring[0].start+w.step+w.Span <= now {
+	for ring[0].start+w.step+w.Duration <= now {
 		ring = ring[1:]
 	}
 	return ring
 }
 
-// Latency counts an attempt's time to the first token and mean time between
+// RecordLatency counts an attempt's time to the first token and mean time between
 // tokens; a span of 0 is not counted.
-func (r *Recorder) Latency(route string, first, gap clock.Millis) {
+func (r *Recorder) RecordLatency(route string, first, gap clock.Millis) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	l := r.latencies[route]
--- a/burn/report.go
+++ b/burn/report.go
@@ -28,7 +28,7 @@
 // Row is what one key counted within a window.
 type Row struct {
 	Key
-	Tally
+	Counts
 }
 
 // Latency holds a route's mergeable histograms of the last hour.
@@ -94,9 +94,9 @@
 }
 
 func sum(ring []bucket, w Window, now clock.Millis) (rows []Row) {
-	sums := make(map[Key]Tally)
+	sums := make(map[Key]Counts)
 	for _, b := range ring {
-		if b.start+w.Span <= now {
+		if b.start+w.Duration <= now {
 			continue
 		}
 		for k, t := range b.tallies {
@@ -108,9 +108,9 @@
 	return rowsOf(sums)
 }
 
-func rowsOf(sums map[Key]Tally) (rows []Row) {
+func rowsOf(sums map[Key]Counts) (rows []Row) {
 	for k, t := range sums {
-		rows = append(rows, Row{Key: k, Tally: t})
+		rows = append(rows, Row{Key: k, Counts: t})
 	}
 	slices.SortFunc(rows, func(a, b Row) int {
 		return cmp.Or(cmp.Compare(a.Route, b.Route), cmp.Compare(a.Version, b.Version), cmp.Compare(a.Zone, b.Zone), cmp.Compare(a.Organisation, b.Organisation))
@@ -141,7 +141,7 @@
 	Processes  int
 	Revision   int64
 	Objectives map[string]Objective
-	windows    map[string]map[Key]Tally
+	windows    map[string]map[Key]Counts
 	first, gap map[string]*hdrhistogram.Histogram
 	// CoveredMillis is the longest that any process has counted.
 	CoveredMillis int64
@@ -163,7 +163,7 @@
 			}
 		}
 	}
-	m = &Merged{Revision: -1, Processes: len(latest), windows: make(map[string]map[Key]Tally), first: make(map[string]*hdrhistogram.Histogram), gap: make(map[string]*hdrhistogram.Histogram)}
+	m = &Merged{Revision: -1, Processes: len(latest), windows: make(map[string]map[Key]Counts), first: make(map[string]*hdrhistogram.Histogram), gap: make(map[string]*hdrhistogram.Histogram)}
 	for _, r := range latest {
 		if err = m.add(r); err != nil {
 			return nil, err
@@ -179,11 +179,11 @@
 	}
 	for name, rows := range r.Windows {
 		if m.windows[name] == nil {
-			m.windows[name] = make(map[Key]Tally)
+			m.windows[name] = make(map[Key]Counts)
 		}
 		for _, row := range rows {
 			t := m.windows[name][row.Key]
-			t.Add(row.Tally)
+			t.Add(row.Counts)
 			m.windows[name][row.Key] = t
 		}
 	}
--- a/burn/tally.go
+++ b/burn/tally.go
@@ -14,35 +14,35 @@
 	Organisation string `json:"organisation,omitempty"`
 }
 
-// Tally counts good and bad by objective. All fields only grow.
-type Tally struct {
+// Counts counts good and bad by objective. All fields only grow.
+type Counts struct {
 	// Requests counts those that should have had an answer, Unanswered those
 	// that got no whole one.
 	Requests   int64 `json:"requests,omitempty"`
 	Unanswered int64 `json:"unanswered,omitempty"`
-	// Firsts counts attempts with a first token, Late those beyond the limit.
-	Firsts int64 `json:"firsts,omitempty"`
-	Late   int64 `json:"late,omitempty"`
-	// Gaps counts attempts with more than one token, Slow those beyond the limit.
-	Gaps int64 `json:"gaps,omitempty"`
-	Slow int64 `json:"slow,omitempty"`
+	// FirstTokens counts attempts with a first token, Late those beyond the limit.
+	FirstTokens     int64 `json:"firsts,omitempty"`
+	LateFirstTokens int64 `json:"late,omitempty"`
+	// TokenGaps counts attempts with more than one token, Slow those beyond the limit.
+	TokenGaps int64 `json:"gaps,omitempty"`
+	SlowGaps  int64 `json:"slow,omitempty"`
 	// Ratings counts ratings, Score adds them up.
-	Ratings int64   `json:"ratings,omitempty"`
-	Score   float64 `json:"score,omitempty"`
+	Ratings   int64   `json:"ratings,omitempty"`
+	RatingSum float64 `json:"score,omitempty"`
 	// Exposed counts requests answered by a version that was held or withdrawn
 	// by the time the answer ended.
 	Exposed int64 `json:"exposed,omitempty"`
 }
 
 // Add adds another tally.
-func (t *Tally) Add(o Tally) {
+func (t *Counts) Add(o Counts) {
 	t.Requests += o.Requests
 	t.Unanswered += o.Unanswered
-	t.Firsts += o.Firsts
-	t.Late += o.Late
-	t.Gaps += o.Gaps
-	t.Slow += o.Slow
+	t.FirstTokens += o.FirstTokens
+	t.LateFirstTokens += o.LateFirstTokens
+	t.TokenGaps += o.TokenGaps
+	t.SlowGaps += o.SlowGaps
 	t.Ratings += o.Ratings
-	t.Score += o.Score
+	t.RatingSum += o.RatingSum
 	t.Exposed += o.Exposed
 }
--- a/burn/text.go
+++ b/burn/text.go
@@ -10,7 +10,7 @@
 )
 
 // WriteText prints the verdict for a terminal.
-func (v *Verdict) WriteText(w io.Writer) (err error) {
+func (v *Evaluation) WriteText(w io.Writer) (err error) {
 	fmt.Fprintf(w, "%d processes, counting for up to %s\n", v.Processes, clock.Millis(v.CoveredMillis))
 	if len(v.Missing) > 0 {
 		fmt.Fprintf(w, "NO ANSWER from %s: what they served is not in here\n", strings.Join(v.Missing, ", "))
@@ -44,16 +44,16 @@
 // left words the budget left. One that is overspent is told as a multiple: "20
 // times over" is read at once, "-1900%" is not.
 func (l Line) left() string {
-	if l.Left >= 0 {
-		return fmt.Sprintf("%.0f%%", 100*l.Left)
+	if l.BudgetRemaining >= 0 {
+		return fmt.Sprintf("%.0f%%", 100*l.BudgetRemaining)
 	}
-	return fmt.Sprintf("0%%, spent %.1f times", 1-l.Left)
+	return fmt.Sprintf("0%%, spent %.1f times", 1-l.BudgetRemaining)
 }
 
 func (l Line) causes() string {
 	var out []string
 	for _, c := range l.Causes {
-		out = append(out, fmt.Sprintf("%s %s %.0f%%", c.Kind, c.Name, 100*c.Part))
+		out = append(out, fmt.Sprintf("%s %s %.0f%%", c.Kind, c.Name, 100*c.Fraction))
 	}
 	return strings.Join(out, ", ")
 }
--- a/claim/book.go
+++ b/claim/book.go
@@ -38,7 +38,7 @@
 // The prefix of its batch IDs must be unique to this start of the process.
 func NewClaimer(store provider.Log, stream, prefix string, c clock.Clock) *Claimer {
 	k := &Claimer{store: store, stream: stream, waiters: make(map[string]chan int64)}
-	k.writer = batch.NewWriter(store, stream, prefix, batch.ClaimRate/Streams, c, k.appended)
+	k.writer = batch.NewWriter(store, stream, prefix, batch.ClaimAppendsPerSecond/Streams, c, k.appended)
 	return k
 }
 
--- a/cli/burn.go
+++ b/cli/burn.go
@@ -64,7 +64,7 @@
 }
 
 // Burn asks all entries of a VM list for their burn and judges the sum.
-func Burn(ctx context.Context, list provider.VMList, peers *peer.Pool) (v *burn.Verdict, err error) {
+func Burn(ctx context.Context, list provider.VMList, peers *peer.Pool) (v *burn.Evaluation, err error) {
 	vms, err := list.List(ctx)
 	if err != nil {
 		return nil, err
@@ -98,7 +98,7 @@
 	if err != nil {
 		return nil, err
 	}
-	v = m.Judge()
+	v = m.Evaluate()
 	v.Missing = missing
 	return v, nil
 }
--- a/cli/explain.go
+++ b/cli/explain.go
@@ -50,10 +50,10 @@
 	if len(lines) == 0 {
 		return fmt.Errorf("no line names %s", c.Args.Subject)
 	}
-	if err = explain.Story(out, lines); err != nil {
+	if err = explain.WriteTimeline(out, lines); err != nil {
 		return err
 	}
-	if verdict := explain.Verdict(lines); verdict != "" {
+	if verdict := explain.Outcome(lines); verdict != "" {
 		_, err = fmt.Fprintln(out, verdict)
 	}
 	return err
--- a/comparison/comparison_test.go
+++ b/comparison/comparison_test.go
@@ -15,7 +15,7 @@
 )
 
 // A slip in a plan costs an hour of plays that compare nothing.
-func TestUnplayablePlansAreNamed(t *testing.T) {
+func TestInvalidPlansAreRejected(t *testing.T) {
 	datadriven.RunTest(t, "testdata/plans", func(t *testing.T, d *datadriven.TestData) string {
 		path := filepath.Join(t.TempDir(), "plan.toml")
 		if err := os.WriteFile(path, []byte(d.Input), 0o600); err != nil {
@@ -33,7 +33,7 @@
 }
 
 // One day is better by chance. The interval of few pairs has to be wide enough to say so.
-func TestDifferenceTellsItsInterval(t *testing.T) {
+func TestDifferenceInterval(t *testing.T) {
 	is := is.New(t)
 	mean, half := difference([]float64{0.5, 0.6, 0.7}, []float64{0.6, 0.7, 0.8})
 	is.True(math.Abs(mean-0.1) < 1e-9 && half < 1e-9)
@@ -45,7 +45,7 @@
 }
 
 // Each set plays in a checkout of its own; a day that one of them cannot play counts for none.
-func TestComparisonPlaysEachSet(t *testing.T) {
+func TestRunPlaysEachSet(t *testing.T) {
 	is := is.New(t)
 	repository := repositoryWith(t, "vm = \"a\"\n")
 	player := filepath.Join(t.TempDir(), "player")
@@ -53,7 +53,7 @@
 	is.NoErr(os.WriteFile(player, []byte(script), 0o700))
 	p := &Plan{
 		Player: []string{player}, Figure: `^worth ([0-9.]+)`, Template: "template.toml", Collect: []string{"journal"}, Jobs: 2,
-		Sets:  []Set{{Name: "now", Ways: map[string]string{"drop": "by-time"}}, {Name: "other", Ways: map[string]string{"drop": "by-price"}}},
+		Sets:  []Set{{Name: "now", Strategies: map[string]string{"drop": "by-time"}}, {Name: "other", Strategies: map[string]string{"drop": "by-price"}}},
 		Plays: []Play{{Site: "sites/one.toml", Days: []string{"calm", "busy", "broken"}}},
 	}
 	is.NoErr(p.check())
--- a/comparison/plan.go
+++ b/comparison/plan.go
@@ -43,8 +43,8 @@
 
 // Set is a set of ways by the names of their decisions.
 type Set struct {
-	Name string            `toml:"name"`
-	Ways map[string]string `toml:"ways"`
+	Name       string            `toml:"name"`
+	Strategies map[string]string `toml:"ways"`
 }
 
 // Play names days of a site and the seeds that each is played on; without seeds each is
@@ -88,7 +88,7 @@
 	}
 	names := make(map[string]bool)
 	for _, s := range p.Sets {
-		if _, err = decision.Choose(s.Ways); err != nil {
+		if _, err = decision.Choose(s.Strategies); err != nil {
 			return ErrPlan.Wrap(err, "set %q", s.Name)
 		}
 		if s.Name == "" || names[s.Name] {
--- a/comparison/run.go
+++ b/comparison/run.go
@@ -66,7 +66,7 @@
 	if err = r.git(ctx, "worktree", "add", "--quiet", "--detach", at, "HEAD"); err != nil {
 		return err
 	}
-	ways, err := toml.Marshal(map[string]any{"decisions": map[string]any{"trial": true, "ways": s.Ways}})
+	ways, err := toml.Marshal(map[string]any{"decisions": map[string]any{"trial": true, "ways": s.Strategies}})
 	if err != nil {
 		return err
 	}
--- a/control/lease.go
+++ b/control/lease.go
@@ -27,7 +27,7 @@
 	if !ok {
 		return nil, false
 	}
-	env := lease.Known{VM: s.self, Epoch: s.epoch, Role: pool.Role, ChecksFencing: pool.ChecksFencing, Revision: s.tables.Revision()}
+	env := lease.Env{VM: s.self, Epoch: s.epoch, Role: pool.Role, ChecksFencing: pool.ChecksFencing, Revision: s.tables.Revision()}
 	for _, v := range pool.Versions {
 		if t.Versions[v].Withdrawn {
 			continue
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -152,7 +152,7 @@
 	settings settings.Settings
 	node     *node.Node
 	log      *log.Logger
-	port     *operations.Port
+	port     *operations.API
 	listen   ListenFunc
 	// certificates are those of the process's own interfaces.
 	certificates Certificates
--- a/daemon/direct.go
+++ b/daemon/direct.go
@@ -47,7 +47,7 @@
 	path     string
 	settings settings.Settings
 	log      *log.Logger
-	book     *logbook.Book
+	book     *logbook.Writer
 	clock    clock.Clock
 	loop     *site.Loop
 	server   *relay.Server
--- a/endpoint/attempt.go
+++ b/endpoint/attempt.go
@@ -27,7 +27,7 @@
 	// it is not counted.
 	version string
 	// retained stores the pieces of a detached run.
-	retained *answer.Kept
+	retained *answer.Retained
 	// registered is true once Endpoint.attempts contains this attempt.
 	registered bool
 	// disconnected is true once a detached run has lost the connection to its entry. Its
--- a/endpoint/chat.go
+++ b/endpoint/chat.go
@@ -16,8 +16,8 @@
 	if err != nil {
 		return refusal.New(refusal.Malformed, err.Error())
 	}
-	o := engine.Order{
-		Request: a.head.GetRequest(), Body: body, Priority: a.head.GetPriority(),
+	o := engine.ChatRequest{
+		RequestID: a.head.GetRequest(), Body: body, Priority: a.head.GetPriority(),
 		ResumeAfter: a.head.GetResumeAfter(), ResumeText: a.head.GetResumeText(),
 	}
 	if pool, ok := e.pool(); ok && pool.MovesCache {
--- a/endpoint/endpoint.go
+++ b/endpoint/endpoint.go
@@ -33,8 +33,8 @@
 	engine   *engine.Engine
 	plain    *http.Client
 	gate     *gate.Gate
-	attempts *answer.Memory
-	answers  *answer.Keeping
+	attempts *answer.AttemptTracker
+	answers  *answer.Store
 	// status is the last load reported by the engine; nil before the first report.
 	status atomic.Pointer[engine.Load]
 	// busy counts the admitted attempts per version.
@@ -62,8 +62,8 @@
 		engine:   engine.New(n.Settings().Endpoint.Engine, client),
 		plain:    client,
 		gate:     gate.New(gate.Limits{Cold: 1, Full: 1}),
-		attempts: answer.NewMemory(maxAttempts),
-		answers:  answer.NewKeeping(answer.KeepLimits{Answers: maxAnswers, Bytes: maxAnswersBytes, One: maxAnswerBytes, For: answerRetention}),
+		attempts: answer.NewAttemptTracker(maxAttempts),
+		answers:  answer.NewStore(answer.StoreLimits{MaxAnswers: maxAnswers, MaxBytes: maxAnswersBytes, MaxAnswerBytes: maxAnswerBytes, Retention: answerRetention}),
 	}
 	e.aborted, e.abort = context.WithCancel(context.Background())
 	e.orphan = n.Billing().FinishOrphaned
--- a/endpoint/kept.go
+++ b/endpoint/kept.go
@@ -14,7 +14,7 @@
 func (e *Endpoint) Refuse(_ context.Context, in *wire.RefuseRequest) (out *wire.RefuseReply, err error) {
 	epoch := e.load().GetEpoch()
 	out = &wire.RefuseReply{Run: wire.RunState_RUN_UNKNOWN, Epoch: epoch}
-	run, running := e.attempts.Bar(
+	run, running := e.attempts.Revoke(
 		answer.Attempt{Request: in.GetRequest(), Number: in.GetAttempt()},
 		answer.Claim{Stream: in.GetClaimStream(), Offset: in.GetClaim()},
 	)
@@ -39,7 +39,7 @@
 	defer e.heartbeats.add(h)()
 	kept, ok := e.answers.Find(owner)
 	if ok {
-		if err = kept.From(stream.Context(), in.GetAfter(), h.sendPiece); err == nil || stream.Context().Err() != nil {
+		if err = kept.Replay(stream.Context(), in.GetAfter(), h.sendPiece); err == nil || stream.Context().Err() != nil {
 			return err
 		}
 	}
--- a/endpoint/order.go
+++ b/endpoint/order.go
@@ -50,9 +50,9 @@
 	if remaining <= 0 {
 		return event.OrderNotSent
 	}
-	ctx, cancel := context.WithTimeout(e.aborted, min(remaining, lease.OrderLife).Duration())
+	ctx, cancel := context.WithTimeout(e.aborted, min(remaining, lease.OrderLifetime).Duration())
 	defer cancel()
-	err := e.engine.Give(ctx, engine.Command{Kind: string(f.Kind), Version: f.Version, Role: f.Role, Fence: f.Fence})
+	err := e.engine.SendOrder(ctx, engine.Command{Kind: string(f.Kind), Version: f.Version, Role: f.Role, Fence: f.Fence})
 	switch {
 	case err == nil:
 		return event.OrderAccepted
@@ -73,7 +73,7 @@
 	defer cancel()
 	for from := fence + 1; ; {
 		page, err := e.node.Store().Read(ctx, provider.LeaseStream, from, 0)
-		if err != nil || lease.Newer(page.Records, e.node.Settings().VM, fence) {
+		if err != nil || lease.HasNewer(page.Records, e.node.Settings().VM, fence) {
 			return false
 		}
 		if len(page.Records) == 0 {
--- a/endpoint/piece_test.go
+++ b/endpoint/piece_test.go
@@ -52,7 +52,7 @@
 func (r *rig) runStream(e *engine.Engine) error {
 	a := newAttempt(r.e, &discardStream{}, &wire.RunFrame{Head: r.head("r1"), Last: true})
 	a.ticket = r.e.gate.Submit(r.n.Clock().Now(), r.e.gateRequest(a))
-	err := e.Chat(r.t.Context(), engine.Order{Request: "r1", Body: []byte("{}")}, a.chunk)
+	err := e.Chat(r.t.Context(), engine.ChatRequest{RequestID: "r1", Body: []byte("{}")}, a.chunk)
 	a.e.close(a)
 	return err
 }
@@ -79,7 +79,7 @@
 		p.Text, p.Data, p.Tokens = c.Text, c.Raw, 1
 		return a.send(p)
 	}
-	if err := e.Chat(b.Context(), engine.Order{Body: []byte("{}")}, emit); err != nil {
+	if err := e.Chat(b.Context(), engine.ChatRequest{Body: []byte("{}")}, emit); err != nil {
 		b.Fatal(err)
 	}
 }
--- a/engine/engine.go
+++ b/engine/engine.go
@@ -51,11 +51,11 @@
 	return &Engine{base: base, client: client}
 }
 
-// Order is one request as the engine gets it.
-type Order struct {
-	Request  string
-	Body     []byte
-	Priority int32
+// ChatRequest is one request as the engine gets it.
+type ChatRequest struct {
+	RequestID string
+	Body      []byte
+	Priority  int32
 	// Session names the session whose KV cache the engine may use; empty outside
 	// a pool whose engines move caches.
 	Session string
@@ -67,7 +67,7 @@
 
 // Chat runs a request and hands each chunk to emit in order. It returns nil
 // only when the engine said that the stream is whole.
-func (e *Engine) Chat(ctx context.Context, o Order, emit func(Chunk) error) (err error) {
+func (e *Engine) Chat(ctx context.Context, o ChatRequest, emit func(Chunk) error) (err error) {
 	body, err := o.body()
 	if err != nil {
 		return ErrRejected.Wrap(err, "make request")
@@ -77,7 +77,7 @@
 		return ErrRejected.Wrap(err, "make request")
 	}
 	req.Header.Set("Content-Type", "application/json")
-	req.Header.Set("X-Request-Id", o.Request)
+	req.Header.Set("X-Request-Id", o.RequestID)
 	req.Header.Set("X-Priority", strconv.Itoa(int(o.Priority)))
 	if o.Session != "" {
 		req.Header.Set("X-Session", o.Session)
@@ -94,7 +94,7 @@
 }
 
 // body adds what a resumed request must follow.
-func (o Order) body() (body []byte, err error) {
+func (o ChatRequest) body() (body []byte, err error) {
 	if o.ResumeText == "" {
 		return o.Body, nil
 	}
--- a/engine/order.go
+++ b/engine/order.go
@@ -16,9 +16,9 @@
 	Fence int64 `json:"fence"`
 }
 
-// Give gives the engine an order. ErrFenced, ErrRejected and ErrNotStarted prove
+// SendOrder gives the engine an order. ErrFenced, ErrRejected and ErrNotStarted prove
 // that it had no effect; any other error leaves that open.
-func (e *Engine) Give(ctx context.Context, c Command) (err error) {
+func (e *Engine) SendOrder(ctx context.Context, c Command) (err error) {
 	body, err := json.Marshal(c)
 	if err != nil {
 		return ErrRejected.Wrap(err, "write order")
--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -161,7 +161,7 @@
 		if err != nil {
 			return true, connectionError(ctx, err)
 		}
-		if !seq.Own(p) {
+		if !seq.Matches(p) {
 			continue
 		}
 		e.recordLoad(p)
@@ -169,7 +169,7 @@
 			req.addBrokenStep(p.GetStep())
 			return false, refusal.FromWire(r)
 		}
-		ok, err := seq.Take(p)
+		ok, err := seq.Accept(p)
 		if err != nil {
 			return false, refusal.New(refusal.EndpointLost, err.Error()).WithRun(refusal.Unknown)
 		}
--- a/entry/burn.go
+++ b/entry/burn.go
@@ -16,7 +16,7 @@
 
 // inheritBurnCounts takes over the counts of an entry that stops.
 func (e *Entry) inheritBurnCounts(data []byte) (err error) {
-	l, err := burn.Unpack(data)
+	l, err := burn.DecodeHandover(data)
 	if err == nil {
 		e.burn.Inherit(l)
 	}
@@ -27,8 +27,8 @@
 // It is called at a planned stop.
 func (e *Entry) HandOverBurnCounts(ctx context.Context) (err error) {
 	var packed [][]byte
-	for _, l := range e.burn.Lives(e.node.Settings().VM, e.node.Epoch()) {
-		data, err := l.Pack()
+	for _, l := range e.burn.Handovers(e.node.Settings().VM, e.node.Epoch()) {
+		data, err := l.Encode()
 		if err != nil {
 			return err
 		}
@@ -43,7 +43,7 @@
 	if route == "" || err != nil && isCallerError(err) {
 		return
 	}
-	t := burn.Tally{Requests: 1}
+	t := burn.Counts{Requests: 1}
 	if err != nil {
 		t.Unanswered = 1
 	} else if req.version != "" && e.exposed(req) {
@@ -73,16 +73,16 @@
 
 // countAttempt counts an attempt's latencies against its route's objective.
 func (e *Entry) countAttempt(req *requestState, vm string, first, gap clock.Millis) {
-	e.burn.Latency(req.routeName, first, gap)
+	e.burn.RecordLatency(req.routeName, first, gap)
 	o := req.route.Objective
-	var t burn.Tally
+	var t burn.Counts
 	if first > 0 {
-		t.Firsts = 1
-		t.Late = countIf(o.FirstToken > 0 && first > o.FirstToken)
+		t.FirstTokens = 1
+		t.LateFirstTokens = countIf(o.FirstToken > 0 && first > o.FirstToken)
 	}
 	if gap > 0 {
-		t.Gaps = 1
-		t.Slow = countIf(o.TokenGap > 0 && gap > o.TokenGap)
+		t.TokenGaps = 1
+		t.SlowGaps = countIf(o.TokenGap > 0 && gap > o.TokenGap)
 	}
 	e.burn.Add(burn.Key{Route: req.routeName, Version: req.version, Zone: e.zoneOf(vm), Organisation: req.organisation}, t)
 }
--- a/entry/cascade.go
+++ b/entry/cascade.go
@@ -46,7 +46,7 @@
 	if err != nil {
 		return err
 	}
-	req.progress.Ran()
+	req.progress.RecordRan()
 	last := buffered[len(buffered)-1]
 	if e.meetsTarget(ctx, req, buffered) {
 		return e.deliver(ctx, req, buffered, emit)
--- a/entry/observe.go
+++ b/entry/observe.go
@@ -27,7 +27,7 @@
 // plain services have no version to rate.
 func (e *Entry) observe(req *requestState, vm string) *observer {
 	o := &observer{entry: e, req: req, vm: vm, sentAt: e.node.Clock().Now()}
-	if req.service == "" && !req.judging && !req.progress.Taken() && e.raterClient.sampler.Sample(o.sentAt, req.ratingCount(), req.trial) {
+	if req.service == "" && !req.judging && !req.progress.HasOutput() && e.raterClient.sampler.Sample(o.sentAt, req.ratingCount(), req.trial) {
 		o.sample = &sampleText{}
 	}
 	return o
--- a/entry/rate.go
+++ b/entry/rate.go
@@ -125,6 +125,6 @@
 		ev.Now = e.node.Clock().Now()
 		ev.Score = min(max(x.Score, 0), 1)
 		e.node.Loop().Offer(ev)
-		e.burn.Add(burn.Key{Route: ev.Route, Version: ev.Version, Organisation: ev.Organisation}, burn.Tally{Ratings: 1, Score: ev.Score})
+		e.burn.Add(burn.Key{Route: ev.Route, Version: ev.Version, Organisation: ev.Organisation}, burn.Counts{Ratings: 1, RatingSum: ev.Score})
 	}
 }
--- a/entry/resume.go
+++ b/entry/resume.go
@@ -22,15 +22,15 @@
 	if !ok {
 		cause = refusal.New(refusal.EndpointLost, err.Error()).WithRun(refusal.Unknown)
 	}
-	r.retryMode = r.progress.Next(cause, answers.Rules{
+	r.retryMode = r.progress.Next(cause, answers.RetryRules{
 		Repeatable: r.repeatable,
-		Resumes:    r.canResume(),
+		CanResume:  r.canResume(),
 		// The pieces of a stream and the status of a service are sent as they arrive. An answer in
 		// JSON, or one buffered for the rater, has not been shown to the caller yet.
-		Shown: r.progress.Taken() && !r.judging && (r.stream || r.service != ""),
-		Spent: r.bodySpent,
+		PartSent:     r.progress.HasOutput() && !r.judging && (r.stream || r.service != ""),
+		BodyConsumed: r.bodySpent,
 	})
-	if r.retryMode == answers.Restart && r.progress.Taken() {
+	if r.retryMode == answers.Restart && r.progress.HasOutput() {
 		r.progress.Reset()
 		r.discardAnswer()
 	}
@@ -51,7 +51,7 @@
 	if !ok {
 		return err
 	}
-	return r.progress.Truth(cause)
+	return r.progress.CombinedRefusal(cause)
 }
 
 // survivesDisconnect reports whether an endpoint continues the run and retains the answer when the
--- a/entry/run.go
+++ b/entry/run.go
@@ -138,7 +138,7 @@
 			return nil
 		}
 		if versionRefused(err) || !req.prepareRetry(err) {
-			e.node.Log().Info("Request cannot be retried on another endpoint", "request", req.id, "attempts", req.attempts, "taken", req.progress.Taken(), "error", logbook.Text(err))
+			e.node.Log().Info("Request cannot be retried on another endpoint", "request", req.id, "attempts", req.attempts, "taken", req.progress.HasOutput(), "error", logbook.Text(err))
 			return req.overallRefusal(err)
 		}
 	}
--- a/entry/work.go
+++ b/entry/work.go
@@ -49,7 +49,7 @@
 	// progress is what has been received of the answer in all attempts, and retryMode how the next
 	// attempt continues from it.
 	progress  answers.Progress
-	retryMode answers.Way
+	retryMode answers.RetryMode
 	// discardAnswer discards the pieces received of an answer that restarts.
 	discardAnswer func()
 	// bodySpent is true once a body that cannot be read again has been read.
--- a/explain/explain.go
+++ b/explain/explain.go
@@ -14,8 +14,8 @@
 	"github.com/parsleydeal/parsleydeal/clock"
 )
 
-// MaxLine bounds a log line that is read.
-const MaxLine = 1 << 20
+// MaxLineBytes bounds a log line that is read.
+const MaxLineBytes = 1 << 20
 
 // Line is one log line.
 type Line struct {
@@ -38,14 +38,14 @@
 // version's name as it stands in a field.
 func Read(r io.Reader, source, subject string) (lines []Line, err error) {
 	s := bufio.NewScanner(r)
-	s.Buffer(make([]byte, 64<<10), MaxLine)
+	s.Buffer(make([]byte, 64<<10), MaxLineBytes)
 	names := regexp.MustCompile(`[=/ ]` + regexp.QuoteMeta(subject) + `(\s|/|$)`)
 	for s.Scan() {
 		text := s.Text()
 		if !names.MatchString(text) {
 			continue
 		}
-		at, rest := Split(text)
+		at, rest := SplitTimestamp(text)
 		l := Line{At: at, Source: source, Text: rest}
 		if m := vmField.FindStringSubmatch(text); m != nil {
 			l.VM = m[1]
@@ -55,8 +55,8 @@
 	return lines, s.Err()
 }
 
-// Split parts a line at its time; one without a time keeps its place.
-func Split(text string) (at time.Time, rest string) {
+// SplitTimestamp parts a line at its time; one without a time keeps its place.
+func SplitTimestamp(text string) (at time.Time, rest string) {
 	where := stamp.FindStringIndex(text)
 	if where == nil {
 		return at, strings.TrimSpace(text)
@@ -68,9 +68,9 @@
 	return at, strings.TrimSpace(text[where[1]:])
 }
 
-// Story sorts lines by time and writes them with the span since the first. Wall
+// WriteTimeline sorts lines by time and writes them with the span since the first. Wall
 // clocks of VMs differ: lines of one VM keep their order, and each names its VM.
-func Story(w io.Writer, lines []Line) (err error) {
+func WriteTimeline(w io.Writer, lines []Line) (err error) {
 	slices.SortStableFunc(lines, func(a, b Line) int { return a.At.Compare(b.At) })
 	for _, l := range lines {
 		span := clock.Millis(0)
@@ -94,9 +94,9 @@
 // field drops the VM from a line's fields, since it stands before it.
 func field(text string) string { return vmField.ReplaceAllString(text, "") }
 
-// Verdict says in a sentence what ended a request, from its last line; empty when
+// Outcome says in a sentence what ended a request, from its last line; empty when
 // the lines do not tell.
-func Verdict(lines []Line) string {
+func Outcome(lines []Line) string {
 	for i := len(lines) - 1; i >= 0; i-- {
 		text := lines[i].Text
 		switch {
--- a/explain/explain_test.go
+++ b/explain/explain_test.go
@@ -15,25 +15,25 @@
 
 // A user names a request. Its lines come from several processes and out of order;
 // those of a request whose name merely begins alike must not be among them.
-func TestStoryOfARequest(t *testing.T) {
+func TestTimelineOfRequest(t *testing.T) {
 	is := is.New(t)
 	lines, err := Read(strings.NewReader(logs), "a.log", "r-1")
 	is.NoErr(err)
 	is.Equal(len(lines), 2)
 	var b strings.Builder
-	is.NoErr(Story(&b, lines))
+	is.NoErr(WriteTimeline(&b, lines))
 	is.True(strings.HasPrefix(strings.TrimSpace(b.String()), "0s"))
 	is.True(strings.Contains(b.String(), "650ms"))
 	is.True(!strings.Contains(b.String(), "r-10"))
-	is.Equal(Verdict(lines), "The request failed after 2 attempts: deadline-passed (unknown): time is up.")
+	is.Equal(Outcome(lines), "The request failed after 2 attempts: deadline-passed (unknown): time is up.")
 }
 
-func TestStoryOfAnEndpoint(t *testing.T) {
+func TestTimelineOfEndpoint(t *testing.T) {
 	is := is.New(t)
 	lines, err := Read(strings.NewReader(logs), "a.log", "i-7")
 	is.NoErr(err)
 	is.Equal(len(lines), 2)
-	is.Equal(Verdict(lines), "")
+	is.Equal(Outcome(lines), "")
 }
 
 func FuzzRead(f *testing.F) {
@@ -44,9 +44,9 @@
 			return
 		}
 		var b strings.Builder
-		if err = Story(&b, lines); err != nil {
+		if err = WriteTimeline(&b, lines); err != nil {
 			t.Fatal(err)
 		}
-		Verdict(lines)
+		Outcome(lines)
 	})
 }
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -16,12 +16,12 @@
 )
 
 const (
-	// Life is how long a lease is used, counted from before it was asked for, so
+	// Lifetime is how long a lease is used, counted from before it was asked for, so
 	// that it lapses here no later than anyone else may think.
-	Life = 30 * clock.Second
-	// OrderLife is the longest time in which an order may still have effect after
+	Lifetime = 30 * clock.Second
+	// OrderLifetime is the longest time in which an order may still have effect after
 	// its lease lapsed or its answer was lost.
-	OrderLife = 10 * clock.Second
+	OrderLifetime = 10 * clock.Second
 	// retryLeast and retryMost bound the pause after a failure; it doubles.
 	retryLeast = 500 * clock.Millis(1)
 	retryMost  = 30 * clock.Second
@@ -31,8 +31,8 @@
 	WeightsTimeout = 10 * clock.Minute
 )
 
-// Known is what the rest of control knows.
-type Known struct {
+// Env is what the rest of control knows.
+type Env struct {
 	VM    string
 	Epoch uint64
 	// Versions are those that the engine shall have, without withdrawn ones.
@@ -85,7 +85,7 @@
 }
 
 // Reduce takes one event and returns the next steps towards the tables.
-func (s *State) Reduce(e event.Event, k Known) (effects []event.Effect) {
+func (s *State) Reduce(e event.Event, k Env) (effects []event.Effect) {
 	s.take(e, k)
 	if s.engine == nil || s.engine.Versions == nil || !s.begun || s.engine.Revision < k.Revision {
 		return nil
@@ -93,7 +93,7 @@
 	return s.step(k)
 }
 
-func (s *State) take(e event.Event, k Known) {
+func (s *State) take(e event.Event, k Env) {
 	switch e := e.(type) {
 	case event.Tick:
 		s.tick(e.Now)
@@ -158,10 +158,10 @@
 		return
 	}
 	s.fence = e.Offset
-	s.until = s.asked + Life
+	s.until = s.asked + Lifetime
 }
 
-func (s *State) weights(e event.WeightsDone, k Known) {
+func (s *State) weights(e event.WeightsDone, k Env) {
 	if e.Version != s.fetching {
 		return
 	}
@@ -175,7 +175,7 @@
 	s.failures = 0
 }
 
-func (s *State) ordered(e event.OrderDone, k Known) {
+func (s *State) ordered(e event.OrderDone, k Env) {
 	if s.order == nil || e.ID != s.order.ID || s.order.taken {
 		return
 	}
@@ -200,9 +200,9 @@
 // uncertain notes an order that may still have effect. An engine that checks
 // fencing numbers refuses it once it has seen a newer one; of any other engine
 // the next order waits until the old one cannot have effect any more.
-func (s *State) uncertain(k Known) {
+func (s *State) uncertain(k Env) {
 	if !k.ChecksFencing {
-		s.quiet = max(s.quiet, s.now+OrderLife)
+		s.quiet = max(s.quiet, s.now+OrderLifetime)
 	}
 }
 
@@ -217,7 +217,7 @@
 }
 
 // step takes the next step, at most one of each kind at a time.
-func (s *State) step(k Known) (effects []event.Effect) {
+func (s *State) step(k Env) (effects []event.Effect) {
 	if s.order != nil {
 		if s.now < s.order.end {
 			return nil
@@ -237,13 +237,13 @@
 	if s.now < s.quietUntil(k) {
 		return nil
 	}
-	if s.now+OrderLife > s.until {
+	if s.now+OrderLifetime > s.until {
 		return s.lease(k)
 	}
 	s.number++
-	o.ID, o.Fence, o.Until, o.CompareFence = s.number, s.fence, s.now+OrderLife, !k.ChecksFencing
+	o.ID, o.Fence, o.Until, o.CompareFence = s.number, s.fence, s.now+OrderLifetime, !k.ChecksFencing
 	// The order ends here only after it can no longer be given.
-	s.order = &order{SendOrder: o, end: s.now + 2*OrderLife}
+	s.order = &order{SendOrder: o, end: s.now + 2*OrderLifetime}
 	return []event.Effect{o}
 }
 
@@ -251,18 +251,18 @@
 // that is the longest life of an order which an earlier process on this VM may
 // have given just before it ended: its late effect would undo a newer order, and
 // the engine that ignores fencing numbers would not notice.
-func (s *State) quietUntil(k Known) clock.Millis {
+func (s *State) quietUntil(k Env) clock.Millis {
 	if k.ChecksFencing {
 		return s.quiet
 	}
-	return max(s.quiet, s.started+OrderLife)
+	return max(s.quiet, s.started+OrderLifetime)
 }
 
 // next finds the order that brings the engine nearer to the tables. Withdrawn
 // versions go first. What is new is loaded before what is old is unloaded, so
 // that a pool that swaps versions does not run dry, unless the engine lacks room.
 // A version that still answers requests stays until they have ended.
-func (s *State) next(k Known) (o event.SendOrder, ok bool) {
+func (s *State) next(k Env) (o event.SendOrder, ok bool) {
 	var missing, surplus []string
 	for _, v := range k.Versions {
 		if !slices.Contains(s.engine.Versions, v) {
@@ -301,8 +301,8 @@
 	return []event.Effect{event.FetchWeights{Version: version}}
 }
 
-func (s *State) lease(k Known) (effects []event.Effect) {
-	if s.taking != "" && s.now < s.asked+Life {
+func (s *State) lease(k Env) (effects []event.Effect) {
+	if s.taking != "" && s.now < s.asked+Lifetime {
 		return nil
 	}
 	data, err := proto.Marshal(&wire.Lease{Vm: k.VM, Epoch: k.Epoch})
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -19,7 +19,7 @@
 // script drives one State by lines of a file and writes its effects.
 type script struct {
 	s   State
-	k   Known
+	k   Env
 	now clock.Millis
 	gen uint64
 	out strings.Builder
@@ -79,7 +79,7 @@
 // Each script is one story of an engine, the tables and what fails between them.
 func TestOrders(t *testing.T) {
 	datadriven.RunTest(t, "testdata/orders", func(_ *testing.T, d *datadriven.TestData) string {
-		c := &script{gen: 1, k: Known{VM: "vm-1", ChecksFencing: d.HasArg("checks-fencing")}}
+		c := &script{gen: 1, k: Env{VM: "vm-1", ChecksFencing: d.HasArg("checks-fencing")}}
 		c.k.Withdrawn = func(v string) bool { return strings.HasPrefix(v, "bad") }
 		for line := range strings.Lines(d.Input) {
 			c.line(line)
@@ -101,7 +101,7 @@
 
 // give models the last step before the engine, as endpoint.order takes it.
 func (f *fleet) give(fence int64) {
-	if !f.checks && Newer(f.log, "vm-1", fence) {
+	if !f.checks && HasNewer(f.log, "vm-1", fence) {
 		return
 	}
 	if f.checks && fence < f.seen {
@@ -119,8 +119,8 @@
 	rapid.Check(t, func(t *rapid.T) {
 		f := &fleet{checks: rapid.Bool().Draw(t, "checks"), epochs: []uint64{1, 2}, seen: -1}
 		states := []*State{{}, {}}
-		known := func(i int) Known {
-			return Known{VM: "vm-1", Epoch: f.epochs[i], Versions: []string{"a@1"}, Withdrawn: func(string) bool { return false }, Role: "decode", ChecksFencing: f.checks}
+		known := func(i int) Env {
+			return Env{VM: "vm-1", Epoch: f.epochs[i], Versions: []string{"a@1"}, Withdrawn: func(string) bool { return false }, Role: "decode", ChecksFencing: f.checks}
 		}
 		var waiting []func()
 		now := clock.Millis(0)
@@ -165,7 +165,7 @@
 // All endpoints of a pool need a new version at once, and the weight store lets
 // five through a second. Without a pause that grows and differs they would ask it
 // hundreds of times; the figures are the same each run.
-func TestWeightStoreLimitsAllAtOnce(t *testing.T) {
+func TestWeightFetchesBackOffUnderRateLimit(t *testing.T) {
 	is := is.New(t)
 	const endpoints, perSecond = 40, 5
 	states := make([]State, endpoints)
@@ -177,7 +177,7 @@
 			room = perSecond
 		}
 		for i := range states {
-			k := Known{VM: fmt.Sprintf("vm-%d", i), Versions: []string{"a@1"}, Withdrawn: func(string) bool { return false }}
+			k := Env{VM: fmt.Sprintf("vm-%d", i), Versions: []string{"a@1"}, Withdrawn: func(string) bool { return false }}
 			for _, f := range states[i].Reduce(event.EngineReported{Now: now, Generation: 1, Versions: []string{}}, k) {
 				x, ok := f.(event.FetchWeights)
 				if !ok {
--- a/lease/newer.go
+++ b/lease/newer.go
@@ -6,10 +6,10 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Newer reports whether records of the lease stream show a lease of a VM after a
+// HasNewer reports whether records of the lease stream show a lease of a VM after a
 // fencing number, be it of another start of its process or of this one, whose
 // order was held up. Records that are no leases are skipped.
-func Newer(records []provider.Record, vm string, fence int64) bool {
+func HasNewer(records []provider.Record, vm string, fence int64) bool {
 	for _, r := range records {
 		l := &wire.Lease{}
 		if r.Offset <= fence || proto.Unmarshal(r.Data, l) != nil {
--- a/node/bill.go
+++ b/node/bill.go
@@ -13,7 +13,7 @@
 	if keeper == "" {
 		keeper = in.GetFrom()
 	}
-	reply := n.billing.accept(bill.Taken{Now: n.cfg.Clock.Now(), Zone: in.GetZone(), Keeper: keeper, Bills: in.GetBills()})
+	reply := n.billing.accept(bill.HoldRequested{Now: n.cfg.Clock.Now(), Zone: in.GetZone(), Keeper: keeper, Bills: in.GetBills()})
 	return &wire.HoldBillsReply{Held: reply.Held, Reason: reply.Reason}, nil
 }
 
--- a/node/billing.go
+++ b/node/billing.go
@@ -104,13 +104,13 @@
 func (b *Billing) refreshPlace() {
 	p := b.n.newPlace()
 	b.n.currentPlace.Store(p)
-	b.writer.Share(p.Rate())
-	b.post(bill.Placed{Now: b.n.cfg.Clock.Now(), Place: p})
+	b.writer.SetRate(p.AppendRate())
+	b.post(bill.MembersChanged{Now: b.n.cfg.Clock.Now(), Place: p})
 }
 
 // newPlace returns which processes append and which hold copies of bills, computed from the
 // current members.
-func (n *Node) newPlace() *batch.Place {
+func (n *Node) newPlace() *batch.Assignment {
 	s := n.cfg.Settings
 	self := batch.Member{ID: s.VM, Zone: s.Zone, Region: s.Region}
 	members := n.View().Members()
@@ -124,7 +124,7 @@
 		}
 		live = append(live, batch.Member{ID: vm.ID, Zone: vm.Zone, Region: vm.Region, Address: vm.Address, Entry: vm.Role == provider.EntryRole})
 	}
-	return batch.NewPlace(self, live)
+	return batch.NewAssignment(self, live)
 }
 
 // Reserve reserves room for the bill of a request, before its dispatch. At the bound it
@@ -196,7 +196,7 @@
 	for {
 		b.refreshPlace()
 		b.mu.Lock()
-		secure := b.ledger.Secure() && b.ledger.Reserved() == 0
+		secure := b.ledger.Replicated() && b.ledger.Reserved() == 0
 		b.mu.Unlock()
 		if secure {
 			return nil
@@ -208,12 +208,12 @@
 }
 
 // accept stores bills of another process and returns the ledger's decision.
-func (b *Billing) accept(e bill.Taken) (out bill.Accept) {
+func (b *Billing) accept(e bill.HoldRequested) (out bill.ReplyHold) {
 	b.mu.Lock()
 	effects := b.ledger.Reduce(e)
 	b.mu.Unlock()
 	for _, f := range effects {
-		if x, ok := f.(bill.Accept); ok {
+		if x, ok := f.(bill.ReplyHold); ok {
 			out = x
 		}
 	}
@@ -272,7 +272,7 @@
 
 // sendHold asks a process to hold a copy of a bill.
 func (b *Billing) sendHold(f bill.Hold) {
-	ctx, cancel := context.WithTimeout(context.Background(), bill.HoldLimit.Duration())
+	ctx, cancel := context.WithTimeout(context.Background(), bill.HoldTimeout.Duration())
 	defer cancel()
 	out, err := b.n.cfg.Peers.Peer(ctx, f.Address).HoldBills(ctx, &wire.HoldBillsRequest{
 		From: b.n.cfg.Settings.VM, Zone: f.Zone, Bills: []*wire.Bill{f.Bill}, Revision: b.n.View().Revision(), Keeper: f.Keeper,
@@ -281,7 +281,7 @@
 	if !held {
 		b.n.cfg.Log.Debug("Peer did not accept a bill to hold", "by", f.VM, "request", f.Bill.GetRequest(), "reason", out.GetReason(), "error", err)
 	}
-	b.post(bill.Answered{Now: b.n.cfg.Clock.Now(), Request: f.Bill.GetRequest(), VM: f.VM, Held: held})
+	b.post(bill.HoldReplied{Now: b.n.cfg.Clock.Now(), Request: f.Bill.GetRequest(), VM: f.VM, Held: held})
 }
 
 // sendRelease reports to a process that bills are on the log. A lost message does no harm: when
@@ -291,7 +291,7 @@
 	if !ok {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), bill.HoldLimit.Duration())
+	ctx, cancel := context.WithTimeout(context.Background(), bill.HoldTimeout.Duration())
 	defer cancel()
 	_, err := b.n.cfg.Peers.Peer(ctx, vm.Address).ReleaseBills(ctx, &wire.ReleaseBillsRequest{Requests: f.Requests, From: b.n.cfg.Settings.VM})
 	if err != nil {
--- a/node/claim.go
+++ b/node/claim.go
@@ -62,7 +62,7 @@
 }
 
 // lastPlace returns the place computed last by billing, or a new one if there is none yet.
-func (n *Node) lastPlace() *batch.Place {
+func (n *Node) lastPlace() *batch.Assignment {
 	if p := n.currentPlace.Load(); p != nil {
 		return p
 	}
--- a/node/node.go
+++ b/node/node.go
@@ -72,7 +72,7 @@
 	metrics      *metrics.Set
 	reports      atomic.Pointer[ReportFunc]
 	billing      *Billing
-	currentPlace atomic.Pointer[batch.Place]
+	currentPlace atomic.Pointer[batch.Assignment]
 	claims       claims
 }
 
--- a/operations/operations.go
+++ b/operations/operations.go
@@ -46,8 +46,8 @@
 	Read func() any
 }
 
-// Port is the operators' interface of one process.
-type Port struct {
+// API is the operators' interface of one process.
+type API struct {
 	program string
 	version string
 	node    *node.Node
@@ -60,15 +60,15 @@
 }
 
 // New makes the port of a process and answers the reports that peers ask for.
-func New(program, version string, n *node.Node) *Port {
-	p := &Port{program: program, version: version, node: n, leaving: func() bool { return false }}
+func New(program, version string, n *node.Node) *API {
+	p := &API{program: program, version: version, node: n, leaving: func() bool { return false }}
 	p.register()
 	n.SetReports(p.Report)
 	return p
 }
 
 // Add adds a section to the status.
-func (p *Port) Add(s Section) {
+func (p *API) Add(s Section) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for i := range p.sections {
@@ -81,21 +81,21 @@
 }
 
 // SetBurn sets the function that makes the burn report.
-func (p *Port) SetBurn(f func(ctx context.Context) (report any, err error)) {
+func (p *API) SetBurn(f func(ctx context.Context) (report any, err error)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.burn = f
 }
 
 // SetLeaving sets a function that makes the process not ready before it drains.
-func (p *Port) SetLeaving(f func() bool) {
+func (p *API) SetLeaving(f func() bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.leaving = f
 }
 
 // Report makes a report as JSON. ErrNoReport marks one that is not made here.
-func (p *Port) Report(ctx context.Context, report string) (data []byte, err error) {
+func (p *API) Report(ctx context.Context, report string) (data []byte, err error) {
 	switch report {
 	case StatusReport:
 		return json.Marshal(p.Snapshot())
@@ -106,7 +106,7 @@
 	}
 }
 
-func (p *Port) burnReport(ctx context.Context) (data []byte, err error) {
+func (p *API) burnReport(ctx context.Context) (data []byte, err error) {
 	p.mu.Lock()
 	burn := p.burn
 	p.mu.Unlock()
@@ -121,7 +121,7 @@
 }
 
 // Handler returns the operators' interface.
-func (p *Port) Handler() http.Handler {
+func (p *API) Handler() http.Handler {
 	mux := goahttp.NewMuxer()
 	dec, enc := goahttp.RequestDecoder, goahttp.ResponseEncoder
 	operationsserver.New(operations.NewEndpoints(p), mux, dec, enc, nil, nil).Mount(mux)
@@ -129,7 +129,7 @@
 }
 
 // Serve answers operators on a listener until the context ends.
-func (p *Port) Serve(ctx context.Context, lis net.Listener) (err error) {
+func (p *API) Serve(ctx context.Context, lis net.Listener) (err error) {
 	srv := &http.Server{Handler: p.Handler(), ReadHeaderTimeout: headerTimeout.Duration(), IdleTimeout: idleTimeout.Duration()}
 	stop := context.AfterFunc(ctx, func() { _ = srv.Close() })
 	defer stop()
@@ -141,17 +141,17 @@
 }
 
 // Health answers while the process runs.
-func (p *Port) Health(context.Context) (res string, err error) { return "ok", nil }
+func (p *API) Health(context.Context) (res string, err error) { return "ok", nil }
 
 // Ready fails before the first tables and while the process leaves.
-func (p *Port) Ready(context.Context) (res string, err error) {
+func (p *API) Ready(context.Context) (res string, err error) {
 	if reason := p.notReady(); reason != "" {
 		return "", operations.MakeNotReady(errors.New(reason))
 	}
 	return "ready", nil
 }
 
-func (p *Port) notReady() (reason string) {
+func (p *API) notReady() (reason string) {
 	p.mu.Lock()
 	leaving := p.leaving()
 	p.mu.Unlock()
@@ -169,7 +169,7 @@
 }
 
 // Metrics writes the metrics of this node and of the Go process.
-func (p *Port) Metrics(context.Context) (body io.ReadCloser, err error) {
+func (p *API) Metrics(context.Context) (body io.ReadCloser, err error) {
 	return &page{contentType: "text/plain; version=0.0.4; charset=utf-8", write: func(w io.Writer) {
 		p.node.Metrics().WritePrometheus(w)
 		metrics.WriteProcessMetrics(w)
@@ -177,16 +177,16 @@
 }
 
 // Status writes the status as JSON.
-func (p *Port) Status(ctx context.Context) (body io.ReadCloser, err error) {
+func (p *API) Status(ctx context.Context) (body io.ReadCloser, err error) {
 	return p.report(ctx, StatusReport)
 }
 
 // Burn writes the service-level burn as JSON.
-func (p *Port) Burn(ctx context.Context) (body io.ReadCloser, err error) {
+func (p *API) Burn(ctx context.Context) (body io.ReadCloser, err error) {
 	return p.report(ctx, BurnReport)
 }
 
-func (p *Port) report(ctx context.Context, name string) (body io.ReadCloser, err error) {
+func (p *API) report(ctx context.Context, name string) (body io.ReadCloser, err error) {
 	data, err := p.Report(ctx, name)
 	if errorx.IsOfType(err, ErrNoReport) {
 		return &page{status: http.StatusNotFound, contentType: "text/plain", write: func(w io.Writer) { fmt.Fprintln(w, err) }}, nil
--- a/operations/operations_test.go
+++ b/operations/operations_test.go
@@ -25,7 +25,7 @@
 
 type fixture struct {
 	node *node.Node
-	port *operations.Port
+	port *operations.API
 	url  string
 }
 
@@ -106,7 +106,7 @@
 	is.True(strings.Contains(string(reply.GetJson()), `"vm":"vm-1"`))
 }
 
-func TestMetricsAreTheNodesOwn(t *testing.T) {
+func TestMetricsOfNodeAndProcess(t *testing.T) {
 	is := is.New(t)
 	f := newFixture(t)
 	f.node.Metrics().GetOrCreateCounter("parsleydeal_something_total").Inc()
@@ -131,7 +131,7 @@
 // A process that has just started was given tables by one peer, which may be old: it
 // refuses all work until the log or more peers have confirmed them. It said that it
 // was ready meanwhile, and its callers were refused.
-func TestTablesOfOnePeerDoNotMakeReady(t *testing.T) {
+func TestNotReadyWithUnconfirmedTables(t *testing.T) {
 	is := is.New(t)
 	f := newFixture(t)
 	reply := &wire.RecordsReply{Head: 1, Records: []*wire.Record{{Offset: 0, Data: []byte(tables)}}}
--- a/operations/status.go
+++ b/operations/status.go
@@ -46,7 +46,7 @@
 }
 
 // Snapshot returns the status at this instant.
-func (p *Port) Snapshot() Status {
+func (p *API) Snapshot() Status {
 	v := p.node.View()
 	s := p.node.Settings()
 	reason := p.notReady()
@@ -63,7 +63,7 @@
 	return out
 }
 
-func (p *Port) readSections() (out map[string]any) {
+func (p *API) readSections() (out map[string]any) {
 	p.mu.Lock()
 	sections := slices.Clone(p.sections)
 	p.mu.Unlock()
@@ -74,7 +74,7 @@
 	return out
 }
 
-func (p *Port) staleness(v *view.View) int64 {
+func (p *API) staleness(v *view.View) int64 {
 	if v.Tables() == nil || !v.Confirmed() {
 		return -1
 	}
@@ -112,7 +112,7 @@
 }
 
 // register adds the metrics that every process has.
-func (p *Port) register() {
+func (p *API) register() {
 	gauge := func(name string, read func() float64) { p.node.Metrics().GetOrCreateGauge(name, read) }
 	gauge(fmt.Sprintf("parsleydeal_info{program=%q,version=%q,vm=%q,zone=%q}", p.program, p.version, p.node.Settings().VM, p.node.Settings().Zone),
 		func() float64 { return 1 })
--- a/proof/bill_test.go
+++ b/proof/bill_test.go
@@ -72,7 +72,7 @@
 }
 
 func (b *billing) leave(p *process) {
-	if p.up && p.ledger.Secure() && p.ledger.Reserved() == 0 {
+	if p.up && p.ledger.Replicated() && p.ledger.Reserved() == 0 {
 		p.up = false
 		return
 	}
--- a/proof/claim_test.go
+++ b/proof/claim_test.go
@@ -21,13 +21,13 @@
 type door struct {
 	vm     string
 	epoch  uint64
-	memory *answer.Memory
+	memory *answer.AttemptTracker
 	kept   map[string]bool
 }
 
 func (d *door) restart() {
 	d.epoch++
-	d.memory, d.kept = answer.NewMemory(doorBound), make(map[string]bool)
+	d.memory, d.kept = answer.NewAttemptTracker(doorBound), make(map[string]bool)
 }
 
 // keeper is a process that makes claims: the real batcher and the real state.
@@ -274,7 +274,7 @@
 	c.after(c.delay(200), func() {
 		d, name := c.door(s.GetVm()), nameOf(s)
 		reply := &wire.RefuseReply{Run: wire.RunState_RUN_UNKNOWN}
-		run, _ := d.memory.Bar(answer.Attempt{Request: s.GetRequest(), Number: s.GetAttempt()}, answer.Claim{Stream: claimStream, Offset: at})
+		run, _ := d.memory.Revoke(answer.Attempt{Request: s.GetRequest(), Number: s.GetAttempt()}, answer.Claim{Stream: claimStream, Offset: at})
 		switch {
 		case run == refusal.Ran:
 			reply.Run, reply.Kept = wire.RunState_RUN_RAN, d.kept[name]
--- a/proof/fleet_test.go
+++ b/proof/fleet_test.go
@@ -182,9 +182,9 @@
 		return
 	}
 	p.do(func() {
-		place := batch.NewPlace(p.m, p.f.listed())
-		p.journal(batch.Share{Now: p.f.now, Rate: place.Rate()})
-		p.post(bill.Placed{Now: p.f.now, Place: place})
+		place := batch.NewAssignment(p.m, p.f.listed())
+		p.journal(batch.SetRate{Now: p.f.now, Rate: place.AppendRate()})
+		p.post(bill.MembersChanged{Now: p.f.now, Place: place})
 	})
 	p.f.after(placeEvery, p.place)
 }
@@ -208,7 +208,7 @@
 	return nil
 }
 
-func (p *process) post(e bill.Event) (a bill.Accept) {
+func (p *process) post(e bill.Event) (a bill.ReplyHold) {
 	for _, x := range p.ledger.Reduce(e) {
 		switch x := x.(type) {
 		case bill.Append:
@@ -222,7 +222,7 @@
 			p.f.after(p.f.delay(50), func() { q.do(func() { q.post(bill.Released{Requests: x.Requests}) }) })
 		case bill.Safe:
 			p.f.safe(p, x.Request)
-		case bill.Accept:
+		case bill.ReplyHold:
 			a = x
 		}
 	}
@@ -240,16 +240,16 @@
 	answer := func(held bool) {
 		if !answered {
 			answered = true
-			p.do(func() { p.post(bill.Answered{Now: f.now, Request: x.Bill.GetRequest(), VM: x.VM, Held: held}) })
+			p.do(func() { p.post(bill.HoldReplied{Now: f.now, Request: x.Bill.GetRequest(), VM: x.VM, Held: held}) })
 		}
 	}
 	f.after(f.delay(50), func() {
 		q.do(func() {
-			a := q.post(bill.Taken{Now: f.now, Zone: x.Zone, Keeper: keeper, Bills: []*wire.Bill{x.Bill}})
+			a := q.post(bill.HoldRequested{Now: f.now, Zone: x.Zone, Keeper: keeper, Bills: []*wire.Bill{x.Bill}})
 			f.after(f.delay(50), func() { answer(a.Held) })
 		})
 	})
-	f.after(bill.HoldLimit, func() { answer(false) })
+	f.after(bill.HoldTimeout, func() { answer(false) })
 }
 
 func (p *process) journal(e batch.Event) {
@@ -292,7 +292,7 @@
 	for _, q := range f.procs {
 		// A holder lost while its answer was on the way is a loss that the
 		// keeper makes good.
-		if (q.up || q.lostAt > 0 && f.now-q.lostAt <= bill.HoldLimit) && q.keeps(request) {
+		if (q.up || q.lostAt > 0 && f.now-q.lostAt <= bill.HoldTimeout) && q.keeps(request) {
 			zones[q.m.Zone] = true
 		}
 	}
@@ -301,7 +301,7 @@
 	}
 }
 
-func (p *process) keeps(request string) bool { return p.ledger.Keeps(request) }
+func (p *process) keeps(request string) bool { return p.ledger.Contains(request) }
 
 func (f *fleet) onLog(request string) bool {
 	for _, data := range f.streams[provider.BillStream] {
