--- a/bench/choice.go
+++ b/bench/choice.go
@@ -19,21 +19,21 @@
 )
 
 const (
-	replicaPlaces   = 16
-	replicaCache    = 48 // prefixes an engine keeps
-	prefillCold     = 250 * clock.Millis(1)
-	prefillCached   = 40 * clock.Millis(1)
-	decodeSpan      = 1800 * clock.Millis(1)
-	choiceUse       = 0.7 // part of all places in use on average
-	sessionsAPlace  = 2
-	choiceZones     = 4
-	choicePool      = "pool"
-	choiceHopMillis = 1
-	replicaQueue    = 2 // requests that may wait at a gate
-	choiceTries     = 3 // tries after the first
+	replicaSlots      = 16
+	replicaCacheSize  = 48 // prefixes that an engine caches
+	uncachedPrefill   = 250 * clock.Millis(1)
+	cachedPrefill     = 40 * clock.Millis(1)
+	decodeDuration    = 1800 * clock.Millis(1)
+	choiceLoadRatio   = 0.7 // fraction of all slots in use on average
+	sessionsPerSlot   = 2
+	choiceZones       = 4
+	choicePool        = "pool"
+	hopDelayMillis    = 1
+	replicaQueueLimit = 2 // requests that may wait at a gate
+	maxRetries        = 3 // attempts after the first
 )
 
-// choicePolicy picks the replica of a request at an entry.
+// choicePolicy selects the replica for a request at an entry.
 type choicePolicy int
 
 const (
@@ -49,58 +49,59 @@
 
 func (p choicePolicy) usesReports() bool { return p == oursPolicy || p == leastReportedPolicy }
 
-// replica is one engine with its batch and its cache of prefixes.
+// replica is one engine with its batch and its prefix cache.
 type replica struct {
-	vm      provider.VM
-	held    int
-	queue   []func()
-	order   *list.List
-	prefix  map[int]*list.Element
-	served  int
-	reports uint64
+	vm        provider.VM
+	running   int
+	queue     []func()
+	lru       *list.List
+	prefixes  map[int]*list.Element
+	served    int
+	reportSeq uint64
 }
 
-func (r *replica) touch(prefix int) (hit bool) {
-	e, hit := r.prefix[prefix]
+// usePrefix marks prefix as the most recently used, caches it if needed and reports a cache hit.
+func (r *replica) usePrefix(prefix int) (hit bool) {
+	e, hit := r.prefixes[prefix]
 	if hit {
-		r.order.MoveToFront(e)
+		r.lru.MoveToFront(e)
 		return true
 	}
-	r.prefix[prefix] = r.order.PushFront(prefix)
-	if r.order.Len() > replicaCache {
-		last := r.order.Back()
-		r.order.Remove(last)
-		delete(r.prefix, last.Value.(int))
+	r.prefixes[prefix] = r.lru.PushFront(prefix)
+	if r.lru.Len() > replicaCacheSize {
+		last := r.lru.Back()
+		r.lru.Remove(last)
+		delete(r.prefixes, last.Value.(int))
 	}
 	return false
 }
 
-// choiceEntry is one entry with what it knows.
+// choiceEntry is one entry with its view and its state of the replicas.
 type choiceEntry struct {
-	view     *view.View
-	inflight *choice.Inflight
-	affinity *choice.Affinity
-	retries  *limit.RetryBudget
-	turn     int
-	// reported serves the baseline only.
-	reported map[string]int
+	view        *view.View
+	inflight    *choice.Inflight
+	affinity    *choice.Affinity
+	retries     *limit.RetryBudget
+	nextReplica int
+	// reportedLoads holds the last reported load by replica; only leastReportedPolicy uses it.
+	reportedLoads map[string]int
 }
 
 type choiceRun struct {
-	agenda
-	rng      *rand.Rand
-	policy   choicePolicy
-	late     clock.Millis
-	entries  []*choiceEntry
-	replicas []*replica
-	byVM     map[string]*replica
-	// homes are the sessions' last replicas, which the callers' tokens tell.
-	homes  []string
-	firsts []clock.Millis
-	hits   int
-	asked  int
-	from   clock.Millis
-	most   int
+	scheduler
+	rng       *rand.Rand
+	policy    choicePolicy
+	loadDelay clock.Millis
+	entries   []*choiceEntry
+	replicas  []*replica
+	byVM      map[string]*replica
+	// sessionVMs holds the last replica of each session, as carried in the callers' session tokens.
+	sessionVMs      []string
+	firstTokenTimes []clock.Millis
+	cacheHits       int
+	requests        int
+	measureFrom     clock.Millis
+	maxOutstanding  int
 }
 
 func vmsOf(entries, replicas int) (vms []provider.VM) {
@@ -120,29 +121,29 @@
 	return s.Members()
 }
 
-func newChoiceRun(p choicePolicy, entries, replicas int, late clock.Millis) *choiceRun {
-	r := &choiceRun{rng: rand.New(rand.NewPCG(8, uint64(entries))), policy: p, late: late, byVM: map[string]*replica{}}
+func newChoiceRun(p choicePolicy, entries, replicas int, loadDelay clock.Millis) *choiceRun {
+	r := &choiceRun{rng: rand.New(rand.NewPCG(8, uint64(entries))), policy: p, loadDelay: loadDelay, byVM: map[string]*replica{}}
 	vms := vmsOf(entries, replicas)
 	members := membersOf(vms)
-	tables := &table.Tables{Pools: map[string]table.Pool{choicePool: {ColdWindow: replicaPlaces, FullWindow: replicaPlaces}}}
+	tables := &table.Tables{Pools: map[string]table.Pool{choicePool: {ColdWindow: replicaSlots, FullWindow: replicaSlots}}}
 	subsets := choice.Subsets(vms[:entries], vms[entries:])
 	for _, vm := range vms[:entries] {
 		v := view.New(tables, 0, 0, members, false).WithSubsets(map[string][]provider.VM{choicePool: subsets[vm.ID]})
-		r.entries = append(r.entries, &choiceEntry{view: v, inflight: choice.NewInflight(), affinity: choice.NewAffinity(), retries: limit.NewRetryBudget(), reported: map[string]int{}})
+		r.entries = append(r.entries, &choiceEntry{view: v, inflight: choice.NewInflight(), affinity: choice.NewAffinity(), retries: limit.NewRetryBudget(), reportedLoads: map[string]int{}})
 	}
 	for _, vm := range vms[entries:] {
-		x := &replica{vm: vm, order: list.New(), prefix: map[int]*list.Element{}}
+		x := &replica{vm: vm, lru: list.New(), prefixes: map[int]*list.Element{}}
 		r.replicas = append(r.replicas, x)
 		r.byVM[vm.ID] = x
 	}
-	r.homes = make([]string, replicas*replicaPlaces*sessionsAPlace)
+	r.sessionVMs = make([]string, replicas*replicaSlots*sessionsPerSlot)
 	return r
 }
 
-// go lets requests arrive for a span and measures the second half.
-func (r *choiceRun) measure(span clock.Millis) {
-	r.from = span / 2
-	perMilli := choiceUse * float64(len(r.replicas)*replicaPlaces) / float64(decodeSpan+prefillCached)
+// measure simulates arriving requests for duration and measures those of the second half.
+func (r *choiceRun) measure(duration clock.Millis) {
+	r.measureFrom = duration / 2
+	perMilli := choiceLoadRatio * float64(len(r.replicas)*replicaSlots) / float64(decodeDuration+cachedPrefill)
 	var step func()
 	step = func() {
 		for range poisson(r.rng, perMilli) {
@@ -151,203 +152,207 @@
 		r.after(1, step)
 	}
 	step()
-	r.run(span)
+	r.runUntil(duration)
 }
 
 func (r *choiceRun) arrive() {
 	e := r.entries[r.rng.IntN(len(r.entries))]
 	e.retries.RecordRequest()
-	r.try(e, r.rng.IntN(len(r.homes)), r.now, nil)
+	r.try(e, r.rng.IntN(len(r.sessionVMs)), r.now, nil)
 }
 
-// try sends a request. A gate that holds what its engine bears, and as much as
-// may wait briefly, refuses; the entry's one retry budget bounds the tries.
-func (r *choiceRun) try(e *choiceEntry, session int, asked clock.Millis, avoid map[string]bool) {
-	x := r.byVM[r.pick(e, session, avoid)]
-	r.homes[session] = x.vm.ID
+// try sends a request to a replica. A gate refuses once all slots of its engine and its short queue
+// are taken, and the entry tries again. Without retries left, in number or in the entry's retry
+// budget, the request waits at the gate.
+func (r *choiceRun) try(e *choiceEntry, session int, arrivedAt clock.Millis, avoid map[string]bool) {
+	x := r.byVM[r.selectReplica(e, session, avoid)]
+	r.sessionVMs[session] = x.vm.ID
 	e.inflight.Add(x.vm.ID, 1)
-	r.after(choiceHopMillis, func() {
-		if len(x.queue) < replicaQueue || len(avoid) == choiceTries || !e.retries.TryRetry() {
-			r.enqueue(e, x, session, asked)
+	r.after(hopDelayMillis, func() {
+		if len(x.queue) < replicaQueueLimit || len(avoid) == maxRetries || !e.retries.TryRetry() {
+			r.enqueue(e, x, session, arrivedAt)
 			return
 		}
-		r.after(choiceHopMillis, func() {
+		r.after(hopDelayMillis, func() {
 			e.inflight.Add(x.vm.ID, -1)
-			e.inflight.RecordLoad(&wire.Load{Vm: x.vm.ID, Held: int32(x.held + len(x.queue)), Window: replicaPlaces}, r.now)
+			e.inflight.RecordLoad(&wire.Load{Vm: x.vm.ID, Held: int32(x.running + len(x.queue)), Window: replicaSlots}, r.now)
 			next := maps.Clone(avoid)
 			if next == nil {
 				next = make(map[string]bool)
 			}
 			next[x.vm.ID] = true
-			r.try(e, session, asked, next)
+			r.try(e, session, arrivedAt, next)
 		})
 	})
 }
 
-func (r *choiceRun) pick(e *choiceEntry, session int, avoid map[string]bool) string {
+func (r *choiceRun) selectReplica(e *choiceEntry, session int, avoid map[string]bool) string {
 	switch r.policy {
 	case randomPolicy:
 		return r.replicas[r.rng.IntN(len(r.replicas))].vm.ID
 	case roundRobinPolicy:
-		e.turn++
-		return r.replicas[e.turn%len(r.replicas)].vm.ID
+		e.nextReplica++
+		return r.replicas[e.nextReplica%len(r.replicas)].vm.ID
 	case leastReportedPolicy:
 		return r.leastReported(e)
 	}
 	vm, _ := choice.SelectEndpoint(e.view, e.inflight, e.affinity, choice.Query{
-		Pools: []string{choicePool}, Seed: r.rng.Uint64(), Now: r.now, Avoid: avoid, SessionVM: r.homes[session], Prefix: uint64(session) + 1,
+		Pools: []string{choicePool}, Seed: r.rng.Uint64(), Now: r.now, Avoid: avoid, SessionVM: r.sessionVMs[session], Prefix: uint64(session) + 1,
 	})
 	return vm.ID
 }
 
 func (r *choiceRun) leastReported(e *choiceEntry) string {
 	best := r.replicas[0]
-	from := r.rng.IntN(len(r.replicas))
-	least := 1 << 30
+	offset := r.rng.IntN(len(r.replicas))
+	minLoad := 1 << 30
 	for i := range r.replicas {
-		x := r.replicas[(from+i)%len(r.replicas)]
-		if n := e.reported[x.vm.ID]; n < least {
-			least, best = n, x
+		x := r.replicas[(offset+i)%len(r.replicas)]
+		if n := e.reportedLoads[x.vm.ID]; n < minLoad {
+			minLoad, best = n, x
 		}
 	}
 	return best.vm.ID
 }
 
-func (r *choiceRun) enqueue(e *choiceEntry, x *replica, session int, asked clock.Millis) {
-	start := func() { r.start(e, x, session, asked) }
-	if x.held < replicaPlaces {
-		x.held++
+func (r *choiceRun) enqueue(e *choiceEntry, x *replica, session int, arrivedAt clock.Millis) {
+	start := func() { r.start(e, x, session, arrivedAt) }
+	if x.running < replicaSlots {
+		x.running++
 		start()
 		return
 	}
 	x.queue = append(x.queue, start)
 }
 
-func (r *choiceRun) start(e *choiceEntry, x *replica, session int, asked clock.Millis) {
-	span := prefillCold
-	hit := x.touch(session)
+func (r *choiceRun) start(e *choiceEntry, x *replica, session int, arrivedAt clock.Millis) {
+	prefill := uncachedPrefill
+	hit := x.usePrefix(session)
 	if hit {
-		span = prefillCached
+		prefill = cachedPrefill
 	}
-	// A fuller batch makes each step longer.
-	span += span * clock.Millis(x.held) / replicaPlaces
-	r.after(span, func() { r.first(x, hit, asked) })
-	r.after(span+decodeSpan, func() { r.end(e, x) })
+	// Each step takes longer with more requests in the batch.
+	prefill += prefill * clock.Millis(x.running) / replicaSlots
+	r.after(prefill, func() { r.recordFirstToken(x, hit, arrivedAt) })
+	r.after(prefill+decodeDuration, func() { r.finish(e, x) })
 }
 
-func (r *choiceRun) first(x *replica, hit bool, asked clock.Millis) {
-	if asked < r.from {
+func (r *choiceRun) recordFirstToken(x *replica, hit bool, arrivedAt clock.Millis) {
+	if arrivedAt < r.measureFrom {
 		return
 	}
-	r.asked++
+	r.requests++
 	x.served++
 	if hit {
-		r.hits++
+		r.cacheHits++
 	}
-	r.firsts = append(r.firsts, r.now+choiceHopMillis-asked)
+	r.firstTokenTimes = append(r.firstTokenTimes, r.now+hopDelayMillis-arrivedAt)
 }
 
-func (r *choiceRun) end(e *choiceEntry, x *replica) {
-	x.reports++
-	l := &wire.Load{Vm: x.vm.ID, Held: int32(x.held + len(x.queue)), Window: replicaPlaces, Sequence: x.reports}
-	r.most = max(r.most, x.held+len(x.queue))
-	x.held--
+func (r *choiceRun) finish(e *choiceEntry, x *replica) {
+	x.reportSeq++
+	l := &wire.Load{Vm: x.vm.ID, Held: int32(x.running + len(x.queue)), Window: replicaSlots, Sequence: x.reportSeq}
+	r.maxOutstanding = max(r.maxOutstanding, x.running+len(x.queue))
+	x.running--
 	if len(x.queue) > 0 {
 		next := x.queue[0]
 		x.queue = x.queue[1:]
-		x.held++
+		x.running++
 		next()
 	}
-	r.after(choiceHopMillis, func() { e.inflight.Add(x.vm.ID, -1) })
-	r.after(r.late, func() {
+	r.after(hopDelayMillis, func() { e.inflight.Add(x.vm.ID, -1) })
+	r.after(r.loadDelay, func() {
 		e.inflight.RecordLoad(l, r.now)
-		e.reported[x.vm.ID] = int(l.GetHeld())
+		e.reportedLoads[x.vm.ID] = int(l.GetHeld())
 	})
 }
 
-// figures gives the spans to the first token, the hit rate and the balance: the
-// busiest replica's requests against the mean.
+// figures returns the percentiles of the time to the first token, the cache hit rate, the balance (the
+// requests of the busiest replica divided by the mean) and the largest number of outstanding requests
+// at one replica.
 func (r *choiceRun) figures(prefix string) []Figure {
-	most := 0
+	maxServed := 0
 	for _, x := range r.replicas {
-		most = max(most, x.served)
+		maxServed = max(maxServed, x.served)
 	}
-	mean := float64(r.asked) / float64(len(r.replicas))
-	slices.Sort(r.firsts)
+	mean := float64(r.requests) / float64(len(r.replicas))
+	slices.Sort(r.firstTokenTimes)
 	return []Figure{
-		{prefix + "first-token-p50-ms", float64(percentile(r.firsts, 0.5))},
-		{prefix + "first-token-p95-ms", float64(percentile(r.firsts, 0.95))},
-		{prefix + "first-token-p99-ms", float64(percentile(r.firsts, 0.99))},
-		{prefix + "hit-rate", float64(r.hits) / float64(max(r.asked, 1))},
-		{prefix + "balance", float64(most) / mean},
-		{prefix + "held-most", float64(r.most)},
+		{prefix + "first-token-p50-ms", float64(quantile(r.firstTokenTimes, 0.5))},
+		{prefix + "first-token-p95-ms", float64(quantile(r.firstTokenTimes, 0.95))},
+		{prefix + "first-token-p99-ms", float64(quantile(r.firstTokenTimes, 0.99))},
+		{prefix + "hit-rate", float64(r.cacheHits) / float64(max(r.requests, 1))},
+		{prefix + "balance", float64(maxServed) / mean},
+		{prefix + "held-most", float64(r.maxOutstanding)},
 	}
 }
 
-// benchChoice measures endpoint choice, and the balance and movement of subsets.
+// benchChoice measures the selection of endpoints, and the balance and stability of subsets.
 func benchChoice() (out []Figure) {
 	sizes := []struct {
 		entries, replicas int
-		span              clock.Millis
+		duration          clock.Millis
 	}{{3, 20, 20 * clock.Second}, {30, 100, 10 * clock.Second}, {380, 1000, 5 * clock.Second}}
 	for _, size := range sizes {
-		for _, late := range []clock.Millis{100, 1000, 5000} {
+		for _, loadDelay := range []clock.Millis{100, 1000, 5000} {
 			for p := oursPolicy; p <= leastReportedPolicy; p++ {
-				if !p.usesReports() && late != 1000 || size.entries == 380 && (late == 100 || late == 5000 && p != oursPolicy || p == roundRobinPolicy) {
+				if !p.usesReports() && loadDelay != 1000 || size.entries == 380 && (loadDelay == 100 || loadDelay == 5000 && p != oursPolicy || p == roundRobinPolicy) {
 					continue
 				}
-				r := newChoiceRun(p, size.entries, size.replicas, late)
-				r.measure(size.span)
-				out = append(out, r.figures(fmt.Sprintf("choice/%s/%d/late-%d/", p, size.entries, late))...)
+				r := newChoiceRun(p, size.entries, size.replicas, loadDelay)
+				r.measure(size.duration)
+				out = append(out, r.figures(fmt.Sprintf("choice/%s/%d/late-%d/", p, size.entries, loadDelay))...)
 			}
 		}
 	}
 	return append(out, benchSubsets()...)
 }
 
-// benchSubsets measures how evenly subsets load the replicas and how many
-// places move when one replica or one entry comes.
+// benchSubsets measures how evenly the subsets cover the replicas, and which fraction of their members
+// changes when one replica is added or one entry is removed.
 func benchSubsets() (out []Figure) {
 	const entries, replicas = 380, 1000
 	vms := vmsOf(entries, replicas)
 	before := choice.Subsets(vms[:entries], vms[entries:])
 	counts := make(map[string]int)
-	near := 0
+	sameZone := 0
 	for _, e := range vms[:entries] {
 		for _, x := range before[e.ID] {
 			counts[x.ID]++
 			if x.Zone == e.Zone {
-				near++
+				sameZone++
 			}
 		}
 	}
-	most, places := 0, 0
+	maxCount, total := 0, 0
 	for _, n := range counts {
-		most = max(most, n)
-		places += n
+		maxCount = max(maxCount, n)
+		total += n
 	}
 	out = append(
 		out,
-		Figure{"choice/subset/busiest-against-mean", float64(most) * replicas / float64(places)},
+		Figure{"choice/subset/busiest-against-mean", float64(maxCount) * replicas / float64(total)},
 		Figure{"choice/subset/unused-replicas", float64(replicas - len(counts))},
-		Figure{"choice/subset/near-part", float64(near) / float64(places)},
+		Figure{"choice/subset/near-part", float64(sameZone) / float64(total)},
 	)
 	more := slices.Clone(vms)
 	more = append(more, provider.VM{ID: "replica-new", Role: provider.EndpointRole, Pool: choicePool, Zone: "zone-0"})
-	out = append(out, Figure{"choice/subset/moved-by-a-replica-part", moved(before, choice.Subsets(more[:entries], more[entries:]))})
+	out = append(out, Figure{"choice/subset/moved-by-a-replica-part", movedFraction(before, choice.Subsets(more[:entries], more[entries:]))})
 	fewer := slices.Delete(slices.Clone(vms), 7, 8)
-	return append(out, Figure{"choice/subset/moved-by-an-entry-part", moved(before, choice.Subsets(fewer[:entries-1], fewer[entries-1:]))})
+	return append(out, Figure{"choice/subset/moved-by-an-entry-part", movedFraction(before, choice.Subsets(fewer[:entries-1], fewer[entries-1:]))})
 }
 
-func moved(before, after map[string][]provider.VM) float64 {
-	changed, places := 0, 0
+// movedFraction returns the fraction of subset members in after that are not in the same entry's
+// subset in before.
+func movedFraction(before, after map[string][]provider.VM) float64 {
+	changed, total := 0, 0
 	for id, now := range after {
 		for _, vm := range now {
-			places++
+			total++
 			if !slices.Contains(before[id], vm) {
 				changed++
 			}
 		}
 	}
-	return float64(changed) / float64(places)
+	return float64(changed) / float64(total)
 }
--- a/bench/figure.go
+++ b/bench/figure.go
@@ -18,15 +18,15 @@
 	Value float64
 }
 
-// Baseline is the committed value of a figure and how far it may drift.
+// Baseline is the committed value of a figure with the bounds it must stay within.
 type Baseline struct {
 	Value float64 `toml:"value"`
-	// Min and Max bound the figure; nil bounds nothing on that side.
+	// Min and Max bound the figure, both inclusive; nil means no bound on that side.
 	Min *float64 `toml:"min,omitempty"`
 	Max *float64 `toml:"max,omitempty"`
 }
 
-// digits is how many significant digits are printed and compared.
+// digits is the number of significant digits that are printed and stored.
 const digits = 6
 
 func format(v float64) string { return strconv.FormatFloat(v, 'g', digits, 64) }
@@ -73,7 +73,8 @@
 	return os.WriteFile(path, []byte(out.String()), 0o644)
 }
 
-// dropUnmeasured forgets baselines of figures that are no longer measured.
+// dropUnmeasured deletes the baselines of figures that are no longer measured. The prefix only
+// limits it to some benchmarks.
 func dropUnmeasured(base map[string]Baseline, figures []Figure, only string) {
 	measured := make(map[string]bool)
 	for _, f := range figures {
@@ -86,7 +87,7 @@
 	}
 }
 
-// tomlFloat writes a float so that TOML reads it as one.
+// tomlFloat formats v with a decimal point, so that TOML parses it as a float and not as an integer.
 func tomlFloat(v float64) string {
 	s := strconv.FormatFloat(v, 'f', -1, 64)
 	if !strings.Contains(s, ".") {
@@ -95,28 +96,28 @@
 	return s
 }
 
-// compare names every figure that breaks a bound, has no baseline, or is no
-// longer measured.
-func compare(base map[string]Baseline, figures []Figure, only string) (faults []string) {
+// compare reports every figure that is outside its bounds, is not a number, has no baseline or is no
+// longer measured. The prefix only limits the baselines that must be measured.
+func compare(base map[string]Baseline, figures []Figure, only string) (failures []string) {
 	measured := make(map[string]bool)
 	for _, f := range figures {
 		measured[f.Name] = true
 		b, ok := base[f.Name]
 		switch {
 		case !ok:
-			faults = append(faults, fmt.Sprintf("%s: %s has no baseline", f.Name, format(f.Value)))
+			failures = append(failures, fmt.Sprintf("%s: %s has no baseline", f.Name, format(f.Value)))
 		case math.IsNaN(f.Value) || b.Max != nil && f.Value > *b.Max:
-			faults = append(faults, fmt.Sprintf("%s: %s, at most %s is allowed", f.Name, format(f.Value), bound(b.Max)))
+			failures = append(failures, fmt.Sprintf("%s: %s, at most %s is allowed", f.Name, format(f.Value), bound(b.Max)))
 		case b.Min != nil && f.Value < *b.Min:
-			faults = append(faults, fmt.Sprintf("%s: %s, at least %s is allowed", f.Name, format(f.Value), bound(b.Min)))
+			failures = append(failures, fmt.Sprintf("%s: %s, at least %s is allowed", f.Name, format(f.Value), bound(b.Min)))
 		}
 	}
 	for _, name := range sortedNames(base) {
 		if strings.HasPrefix(name, only) && !measured[name] {
-			faults = append(faults, name+": is no longer measured")
+			failures = append(failures, name+": is no longer measured")
 		}
 	}
-	return faults
+	return failures
 }
 
 func bound(v *float64) string {
--- a/bench/figure_test.go
+++ b/bench/figure_test.go
@@ -6,8 +6,8 @@
 	"github.com/matryer/is"
 )
 
-// A change makes a policy worse, or drops its benchmark. Either must fail the
-// check, or regressions land unseen.
+// Guards against regressions that pass the check: a figure gets worse, or its benchmark or baseline
+// is missing.
 func TestCompareFindsRegressions(t *testing.T) {
 	is := is.New(t)
 	low, high := 1.0, 3.0
--- a/bench/limit.go
+++ b/bench/limit.go
@@ -12,50 +12,50 @@
 )
 
 const (
-	limitSpan     = 60 * clock.Second
-	limitPlaces   = 50 // what the gates of the pool take from this entry
-	limitService  = 500 * clock.Millis(1)
-	limitDeadline = 20 * clock.Second
-	smallOrgs     = 8
-	largeOrgs     = 2
-	smallRate     = 5.0
-	largeRate     = 120.0
-	dryFrom       = 10 * clock.Second
-	dryUntil      = 40 * clock.Second
+	limitDuration    = 60 * clock.Second
+	limitSlots       = 50 // requests that the pool's gates accept from this entry at a time
+	limitServiceTime = 500 * clock.Millis(1)
+	limitTimeout     = 20 * clock.Second
+	smallOrgs        = 8
+	largeOrgs        = 2
+	smallRate        = 5.0   // requests per second of each small organisation
+	largeRate        = 120.0 // requests per second of each large organisation
+	saturatedFrom    = 10 * clock.Second
+	saturatedUntil   = 40 * clock.Second
 )
 
-// limitRun is one entry before a pool whose gates refuse what they can't hold.
+// limitRun simulates one entry that sends to a pool whose gates refuse requests beyond their capacity.
 type limitRun struct {
-	agenda
-	rng     *rand.Rand
-	core    *limit.Admission
-	retries *limit.RetryBudget
-	// fifo replaces the fair queue by one line for all: every request counts as
-	// the same organisation's.
+	scheduler
+	rng       *rand.Rand
+	admission *limit.Admission
+	retries   *limit.RetryBudget
+	// fifo replaces the fair queue with one shared queue by assigning all requests to the same
+	// organisation.
 	fifo bool
-	// places is what the gates can hold; dry takes it to nothing for a while.
-	places  int
-	held    int
-	waiting map[string]limitRequest
-	arrived map[string]int
-	served  map[string]int
-	waits   map[string][]clock.Millis
-	// tries counts attempts, begun the first ones among them.
-	tries int
-	begun int
-	asked int
+	// slots is the capacity of the gates; 0 simulates a saturated pool.
+	slots        int
+	outstanding  int
+	waiting      map[string]limitRequest
+	arrivedByOrg map[string]int
+	servedByOrg  map[string]int
+	waitsByOrg   map[string][]clock.Millis
+	// tries counts all attempts, dispatched only the first attempt of each request.
+	tries      int
+	dispatched int
+	requests   int
 }
 
 type limitRequest struct {
-	item limit.Item
-	org  string
-	at   clock.Millis
+	item      limit.Item
+	org       string
+	arrivedAt clock.Millis
 }
 
 func newLimitRun(fifo, budget bool) *limitRun {
 	r := &limitRun{
-		rng: rand.New(rand.NewPCG(5, 6)), core: limit.NewAdmission(), fifo: fifo, places: limitPlaces,
-		waiting: map[string]limitRequest{}, arrived: map[string]int{}, served: map[string]int{}, waits: map[string][]clock.Millis{},
+		rng: rand.New(rand.NewPCG(5, 6)), admission: limit.NewAdmission(), fifo: fifo, slots: limitSlots,
+		waiting: map[string]limitRequest{}, arrivedByOrg: map[string]int{}, servedByOrg: map[string]int{}, waitsByOrg: map[string][]clock.Millis{},
 	}
 	if budget {
 		r.retries = limit.NewRetryBudget()
@@ -63,30 +63,30 @@
 	return r
 }
 
-// source lets requests of an organisation arrive at a rate a second.
-func (r *limitRun) source(org string, rate float64) {
+// generateRequests lets requests of org arrive at rate per second with exponential gaps.
+func (r *limitRun) generateRequests(org string, rate float64) {
 	gap := clock.Millis(r.rng.ExpFloat64() * 1000 / rate)
 	r.after(max(gap, 1), func() {
 		r.arrive(org)
-		r.source(org, rate)
+		r.generateRequests(org, rate)
 	})
 }
 
 func (r *limitRun) arrive(org string) {
-	r.asked++
-	r.arrived[org]++
+	r.requests++
+	r.arrivedByOrg[org]++
 	name := org
 	if r.fifo {
 		name = "all"
 	}
 	q := limitRequest{
-		item: limit.Item{ID: strconv.Itoa(r.asked), Organisation: name, Weight: 1, Deadline: r.now + limitDeadline},
-		org:  org, at: r.now,
+		item: limit.Item{ID: strconv.Itoa(r.requests), Organisation: name, Weight: 1, Deadline: r.now + limitTimeout},
+		org:  org, arrivedAt: r.now,
 	}
 	if r.retries != nil {
 		r.retries.RecordRequest()
 	}
-	v, _, dropped := r.core.Arrive(r.now, q.item)
+	v, _, dropped := r.admission.Arrive(r.now, q.item)
 	for _, it := range dropped {
 		delete(r.waiting, it.ID)
 	}
@@ -98,39 +98,39 @@
 	}
 }
 
-// try is the entry's loop of attempts on a pool.
+// try makes an attempt and retries a refused one, like the attempt loop of the entry.
 func (r *limitRun) try(q limitRequest, attempt int) {
 	r.tries++
 	if attempt == 0 {
-		r.begun++
-	}
-	if r.held < r.places {
-		r.held++
-		r.waits[q.org] = append(r.waits[q.org], r.now-q.at)
-		r.pass(r.core.Accepted(r.now))
-		r.after(limitService+clock.Millis(r.rng.IntN(100)), func() {
-			r.held--
-			r.served[q.org]++
-			r.end(limit.Served)
+		r.dispatched++
+	}
+	if r.outstanding < r.slots {
+		r.outstanding++
+		r.waitsByOrg[q.org] = append(r.waitsByOrg[q.org], r.now-q.arrivedAt)
+		r.startWaiting(r.admission.Accepted(r.now))
+		r.after(limitServiceTime+clock.Millis(r.rng.IntN(100)), func() {
+			r.outstanding--
+			r.servedByOrg[q.org]++
+			r.release(limit.Served)
 		})
 		return
 	}
-	const attempts = 4
-	again := attempt+1 < attempts && (r.retries == nil || r.retries.TryRetry())
+	const maxAttempts = 4
+	retry := attempt+1 < maxAttempts && (r.retries == nil || r.retries.TryRetry())
 	r.after(2, func() {
-		if again {
+		if retry {
 			r.try(q, attempt+1)
 			return
 		}
-		r.end(limit.Refused)
+		r.release(limit.Refused)
 	})
 }
 
-func (r *limitRun) end(o limit.Outcome) {
-	r.pass(r.core.Release(r.now, o))
+func (r *limitRun) release(o limit.Outcome) {
+	r.startWaiting(r.admission.Release(r.now, o))
 }
 
-func (r *limitRun) pass(started, expired []limit.Item) {
+func (r *limitRun) startWaiting(started, expired []limit.Item) {
 	for _, it := range expired {
 		delete(r.waiting, it.ID)
 	}
@@ -141,50 +141,50 @@
 	}
 }
 
-func (r *limitRun) load() {
+func (r *limitRun) startLoad() {
 	for i := range smallOrgs {
-		r.source("small-"+strconv.Itoa(i), smallRate)
+		r.generateRequests("small-"+strconv.Itoa(i), smallRate)
 	}
 	for i := range largeOrgs {
-		r.source("large-"+strconv.Itoa(i), largeRate)
+		r.generateRequests("large-"+strconv.Itoa(i), largeRate)
 	}
 }
 
-// parts returns the least part served of a small organisation's requests and
-// the 99th percentile of small organisations' waits.
-func (r *limitRun) parts() (least float64, wait clock.Millis) {
-	least = 1
+// smallOrgStats returns the lowest ratio of served requests among the small organisations and the
+// 99th percentile of the waits of all their requests.
+func (r *limitRun) smallOrgStats() (minServed float64, wait clock.Millis) {
+	minServed = 1
 	var all []clock.Millis
 	for i := range smallOrgs {
 		org := "small-" + strconv.Itoa(i)
-		least = min(least, float64(r.served[org])/float64(r.arrived[org]))
-		all = append(all, r.waits[org]...)
+		minServed = min(minServed, float64(r.servedByOrg[org])/float64(r.arrivedByOrg[org]))
+		all = append(all, r.waitsByOrg[org]...)
 	}
-	return least, percentile(all, 0.99)
+	return minServed, quantile(all, 0.99)
 }
 
-func percentile[T cmp.Ordered](all []T, part float64) (v T) {
-	if len(all) == 0 {
+func quantile[T cmp.Ordered](values []T, fraction float64) (v T) {
+	if len(values) == 0 {
 		return v
 	}
-	slices.Sort(all)
-	return all[int(part*float64(len(all)-1))]
+	slices.Sort(values)
+	return values[int(fraction*float64(len(values)-1))]
 }
 
-// benchLimit measures what small organisations get beside large ones, and the
-// tries made while a pool is dry.
+// benchLimit measures the service that small organisations get beside large ones, and the number of
+// attempts per request while a pool is saturated.
 func benchLimit() (out []Figure) {
 	for _, fifo := range []bool{false, true} {
 		name := map[bool]string{false: "ours", true: "one-line"}[fifo]
 		r := newLimitRun(fifo, true)
-		r.load()
-		r.run(limitSpan)
-		least, wait := r.parts()
+		r.startLoad()
+		r.runUntil(limitDuration)
+		minServed, wait := r.smallOrgStats()
 		prefix := fmt.Sprintf("limit/share/%s/", name)
-		large := r.served["large-0"] + r.served["large-1"]
+		large := r.servedByOrg["large-0"] + r.servedByOrg["large-1"]
 		out = append(
 			out,
-			Figure{prefix + "small-served-min", least},
+			Figure{prefix + "small-served-min", minServed},
 			Figure{prefix + "small-wait-p99-ms-max", float64(wait)},
 			Figure{prefix + "large-served-per-s-min", float64(large) / 60},
 		)
@@ -192,27 +192,27 @@
 	for _, budget := range []bool{true, false} {
 		name := map[bool]string{true: "ours", false: "no-budget"}[budget]
 		r := newLimitRun(false, budget)
-		r.load()
-		r.run(dryFrom)
-		r.places = 0
-		begun, tries := r.begun, r.tries
-		r.run(dryUntil)
-		ratio := float64(r.tries-tries) / float64(r.begun-begun)
-		r.places = limitPlaces
-		before := r.total()
-		r.run(dryUntil + 5*clock.Second)
+		r.startLoad()
+		r.runUntil(saturatedFrom)
+		r.slots = 0
+		dispatched, tries := r.dispatched, r.tries
+		r.runUntil(saturatedUntil)
+		ratio := float64(r.tries-tries) / float64(r.dispatched-dispatched)
+		r.slots = limitSlots
+		before := r.totalServed()
+		r.runUntil(saturatedUntil + 5*clock.Second)
 		prefix := fmt.Sprintf("limit/dry-pool/%s/", name)
 		out = append(
 			out,
 			Figure{prefix + "tries-per-request-max", ratio},
-			Figure{prefix + "served-in-5-s-after-min", float64(r.total() - before)},
+			Figure{prefix + "served-in-5-s-after-min", float64(r.totalServed() - before)},
 		)
 	}
 	return out
 }
 
-func (r *limitRun) total() (n int) {
-	for _, s := range r.served {
+func (r *limitRun) totalServed() (n int) {
+	for _, s := range r.servedByOrg {
 		n += s
 	}
 	return n
--- a/bench/main.go
+++ b/bench/main.go
@@ -1,7 +1,7 @@
-// Command bench runs the benchmarks of the decisions in virtual time. They use
-// fixed seeds and the functions that the daemons call, so that the figures
-// repeat to the digit. It compares them with the committed baselines and exits
-// with 1 when one is worse than its bound allows.
+// Command bench benchmarks the routing decisions in virtual time. The benchmarks use fixed seeds and
+// call the same functions as the daemons, so an unchanged build reproduces every figure to the digit.
+// The command compares the figures with the committed baselines and exits with 1 if one is outside
+// its bounds, has no baseline or is no longer measured.
 package main
 
 import (
@@ -25,7 +25,7 @@
 	run  func() []Figure
 }
 
-// benchmarks lists all of them in the order in which they run.
+// benchmarks returns all benchmarks in the order in which they run.
 func benchmarks() []benchmark {
 	return []benchmark{
 		{"rollout", benchRollout},
@@ -66,9 +66,9 @@
 	if o.Write {
 		return writeBaselines(o.Baselines, base, figures, o.Only)
 	}
-	faults := compare(base, figures, o.Only)
-	if len(faults) > 0 {
-		return fmt.Errorf("bench: %d figures break their bounds:\n%s", len(faults), strings.Join(faults, "\n"))
+	failures := compare(base, figures, o.Only)
+	if len(failures) > 0 {
+		return fmt.Errorf("bench: %d figures fail the check:\n%s", len(failures), strings.Join(failures, "\n"))
 	}
 	return nil
 }
--- a/bench/quality.go
+++ b/bench/quality.go
@@ -17,17 +17,17 @@
 
 const (
 	qualityRequests = 40_000
-	qualityGap      = 50 * clock.Millis(1) // between requests at the entry
-	judgeNoise      = 0.05                 // part of the judge's words that are wrong
+	qualityInterval = 50 * clock.Millis(1) // between two requests
+	judgeErrorRatio = 0.05                 // ratio of wrong judgements
 )
 
-// qualityCase is one route and the truth about its versions.
+// qualityCase is one route with the true quality of its models.
 type qualityCase struct {
 	name    string
 	target  float64
 	cascade bool
 	explore float64
-	// prior is the operators' word, truth what raters find.
+	// prior is the quality that operators configure, truth the quality that raters find, by model.
 	prior map[string]float64
 	truth map[string]float64
 }
@@ -73,7 +73,7 @@
 	return t
 }
 
-func (c qualityCase) true(version string) float64 {
+func (c qualityCase) trueQuality(version string) float64 {
 	model, _, _ := table.SplitVersion(version)
 	return c.truth[model]
 }
@@ -81,76 +81,76 @@
 // planner chooses the plan of a request.
 type planner func(v *view.View, q choice.PlanQuery) quality.Plan
 
-// qualityRun serves requests with one planner; the rater's words come late.
+// qualityRun serves requests with one planner; ratings arrive after ratingDelay.
 type qualityRun struct {
-	c        qualityCase
-	rng      *rand.Rand
-	tables   *table.Tables
-	evidence evidence.State
-	quality  quality.State
-	sampler  *quality.Sampler
-	due      []dueRating
-	cost     float64
-	good     float64
+	c              qualityCase
+	rng            *rand.Rand
+	tables         *table.Tables
+	evidence       evidence.State
+	quality        quality.State
+	sampler        *quality.Sampler
+	pendingRatings []pendingRating
+	totalCost      float64
+	totalQuality   float64
 }
 
-type dueRating struct {
-	at clock.Millis
-	e  event.Event
+type pendingRating struct {
+	at    clock.Millis
+	rated event.Event
 }
 
-func (r *qualityRun) feed(e event.Event) {
+func (r *qualityRun) reduce(e event.Event) {
 	deltas, _ := r.evidence.Reduce(e)
 	r.quality.Reduce(e, deltas)
 }
 
 // run returns the mean cost and the mean quality delivered.
-func (r *qualityRun) run(plan planner) (cost, good float64) {
+func (r *qualityRun) run(plan planner) (cost, meanQuality float64) {
 	for i := range qualityRequests {
-		now := clock.Millis(i+1) * qualityGap
-		r.feed(event.Tick{Now: now})
-		for len(r.due) > 0 && r.due[0].at <= now {
-			r.feed(r.due[0].e)
-			r.due = r.due[1:]
+		now := clock.Millis(i+1) * qualityInterval
+		r.reduce(event.Tick{Now: now})
+		for len(r.pendingRatings) > 0 && r.pendingRatings[0].at <= now {
+			r.reduce(r.pendingRatings[0].rated)
+			r.pendingRatings = r.pendingRatings[1:]
 		}
 		v := view.New(r.tables, 0, 0, &membership.Members{}, false).WithEvidence(nil, nil, r.quality.Snapshot())
 		q := choice.PlanQuery{Route: "route", Organisation: "o", Hash: xxhash.Sum64([]byte{byte(i), byte(i >> 8), byte(i >> 16)}), InputTokens: 700}
 		r.serve(now, plan(v, q))
 	}
-	return r.cost / qualityRequests, r.good / qualityRequests
+	return r.totalCost / qualityRequests, r.totalQuality / qualityRequests
 }
 
-func (r *qualityRun) price(version string) float64 {
+func (r *qualityRun) versionCost(version string) float64 {
 	return float64(r.tables.Versions[version].Cost(700, 300))
 }
 
 func (r *qualityRun) serve(now clock.Millis, p quality.Plan) {
-	r.cost += r.price(p.First)
-	score := r.score(p.First)
+	r.totalCost += r.versionCost(p.First)
+	score := r.drawScore(p.First)
 	if !p.Cascade() {
-		r.good += score
-		known := r.quality.Snapshot().Sum(quality.Key{Route: "route", Version: p.First}).Ratings
-		if r.sampler.Sample(now, known, p.Trial) && r.rng.Float64() > ratingLoss {
-			r.due = append(r.due, dueRating{now + ratingAfter, event.Rated{Now: now, Route: "route", Version: p.First, Organisation: "o", Score: score}})
+		r.totalQuality += score
+		ratings := r.quality.Snapshot().Sum(quality.Key{Route: "route", Version: p.First}).Ratings
+		if r.sampler.Sample(now, ratings, p.Trial) && r.rng.Float64() > ratingLossRatio {
+			r.pendingRatings = append(r.pendingRatings, pendingRating{now + ratingDelay, event.Rated{Now: now, Route: "route", Version: p.First, Organisation: "o", Score: score}})
 		}
 		return
 	}
-	word := score
-	if r.rng.Float64() < judgeNoise {
-		word = 1 - word
+	judgeScore := score
+	if r.rng.Float64() < judgeErrorRatio {
+		judgeScore = 1 - judgeScore
 	}
-	pass := word >= r.c.target
-	r.feed(event.Judged{Now: now, Route: "route", Version: p.First, Organisation: "o", Score: word, Passed: pass})
-	if !pass {
-		r.cost += r.price(p.Second)
-		score = r.score(p.Second)
+	passed := judgeScore >= r.c.target
+	r.reduce(event.Judged{Now: now, Route: "route", Version: p.First, Organisation: "o", Score: judgeScore, Passed: passed})
+	if !passed {
+		r.totalCost += r.versionCost(p.Second)
+		score = r.drawScore(p.Second)
 	}
-	r.good += score
+	r.totalQuality += score
 }
 
-// score is the worth of one answer: good or not.
-func (r *qualityRun) score(version string) float64 {
-	if r.rng.Float64() < r.c.true(version) {
+// drawScore draws the score of one answer: 1 with the true quality as probability, else 0.
+func (r *qualityRun) drawScore(version string) float64 {
+	if r.rng.Float64() < r.c.trueQuality(version) {
 		return 1
 	}
 	return 0
@@ -163,8 +163,8 @@
 	}
 }
 
-// ours is what the entry does.
-func (r *qualityRun) ours(v *view.View, q choice.PlanQuery) quality.Plan {
+// entryPlan selects a plan with the functions that the entry uses.
+func (r *qualityRun) entryPlan(v *view.View, q choice.PlanQuery) quality.Plan {
 	plans := choice.Plans(v, r.tables.Routes["route"], q)
 	if len(plans) == 0 {
 		return quality.Plan{First: "large@1"}
@@ -172,29 +172,29 @@
 	return plans[0]
 }
 
-func fixed(p quality.Plan) planner {
+func fixedPlan(p quality.Plan) planner {
 	return func(*view.View, choice.PlanQuery) quality.Plan { return p }
 }
 
-// oracle knows the truth, the judge's noise included, and takes the cheapest
-// plan that meets the target.
+// oracle returns the cheapest plan that meets the target, given the true qualities and the error ratio
+// of the judge.
 func (r *qualityRun) oracle() quality.Plan {
-	best, least := quality.Plan{First: "large@1"}, math.Inf(1)
+	best, minCost := quality.Plan{First: "large@1"}, math.Inf(1)
 	for first := range modelCosts {
 		a := first + "@1"
-		if q := r.c.true(a); q >= r.c.target && r.price(a) < least {
-			best, least = quality.Plan{First: a}, r.price(a)
+		if q := r.c.trueQuality(a); q >= r.c.target && r.versionCost(a) < minCost {
+			best, minCost = quality.Plan{First: a}, r.versionCost(a)
 		}
 		for second := range modelCosts {
 			b := second + "@1"
 			if !r.c.cascade || modelCosts[second] <= modelCosts[first] {
 				continue
 			}
-			q := r.c.true(a)
-			pass := q*(1-judgeNoise) + (1-q)*judgeNoise
-			got := q*(1-judgeNoise) + (1-pass)*r.c.true(b)
-			if cost := r.price(a) + (1-pass)*r.price(b); got >= r.c.target && cost < least {
-				best, least = quality.Plan{First: a, Second: b}, cost
+			q := r.c.trueQuality(a)
+			passRatio := q*(1-judgeErrorRatio) + (1-q)*judgeErrorRatio
+			delivered := q*(1-judgeErrorRatio) + (1-passRatio)*r.c.trueQuality(b)
+			if cost := r.versionCost(a) + (1-passRatio)*r.versionCost(b); delivered >= r.c.target && cost < minCost {
+				best, minCost = quality.Plan{First: a, Second: b}, cost
 			}
 		}
 	}
@@ -205,17 +205,17 @@
 func benchQuality() (out []Figure) {
 	for _, c := range qualityCases {
 		measure := func(name string, r *qualityRun, p planner) {
-			cost, good := r.run(p)
+			cost, meanQuality := r.run(p)
 			prefix := "quality/" + name + "/" + c.name + "/"
-			out = append(out, Figure{prefix + "cost", cost}, Figure{prefix + "quality", good}, Figure{prefix + "quality-short", max(c.target-good, 0)})
+			out = append(out, Figure{prefix + "cost", cost}, Figure{prefix + "quality", meanQuality}, Figure{prefix + "quality-short", max(c.target-meanQuality, 0)})
 		}
 		ours := newQualityRun(c)
-		measure("ours", ours, ours.ours)
-		measure("always-dear", newQualityRun(c), fixed(quality.Plan{First: "large@1"}))
-		measure("always-cheap", newQualityRun(c), fixed(quality.Plan{First: "small@1"}))
-		measure("fixed-cascade", newQualityRun(c), fixed(quality.Plan{First: "small@1", Second: "large@1"}))
+		measure("ours", ours, ours.entryPlan)
+		measure("always-dear", newQualityRun(c), fixedPlan(quality.Plan{First: "large@1"}))
+		measure("always-cheap", newQualityRun(c), fixedPlan(quality.Plan{First: "small@1"}))
+		measure("fixed-cascade", newQualityRun(c), fixedPlan(quality.Plan{First: "small@1", Second: "large@1"}))
 		best := newQualityRun(c)
-		measure("oracle", best, fixed(best.oracle()))
+		measure("oracle", best, fixedPlan(best.oracle()))
 	}
 	return out
 }
--- a/bench/queue.go
+++ b/bench/queue.go
@@ -6,28 +6,28 @@
 	"github.com/parsleydeal/parsleydeal/clock"
 )
 
-// agenda holds what is to happen, in order of time and then of entry.
-type agenda struct {
-	now    clock.Millis
-	events eventHeap
-	count  int
+// scheduler runs functions in virtual time, ordered by due time and then by order of scheduling.
+type scheduler struct {
+	now     clock.Millis
+	events  eventHeap
+	lastSeq int
 }
 
-type agendaEvent struct {
-	at    clock.Millis
-	order int
-	run   func()
+type scheduledEvent struct {
+	at  clock.Millis
+	seq int
+	run func()
 }
 
-type eventHeap []agendaEvent
+type eventHeap []scheduledEvent
 
 func (h eventHeap) Len() int { return len(h) }
 
 func (h eventHeap) Less(i, j int) bool {
-	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].order < h[j].order
+	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].seq < h[j].seq
 }
 func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-func (h *eventHeap) Push(x any)   { *h = append(*h, x.(agendaEvent)) }
+func (h *eventHeap) Push(x any)   { *h = append(*h, x.(scheduledEvent)) }
 func (h *eventHeap) Pop() any {
 	old := *h
 	x := old[len(old)-1]
@@ -35,18 +35,18 @@
 	return x
 }
 
-// after does something a span from now.
-func (a *agenda) after(span clock.Millis, f func()) {
-	a.count++
-	heap.Push(&a.events, agendaEvent{a.now + max(span, 0), a.count, f})
+// after schedules f for delay from now; a negative delay counts as 0.
+func (s *scheduler) after(delay clock.Millis, f func()) {
+	s.lastSeq++
+	heap.Push(&s.events, scheduledEvent{s.now + max(delay, 0), s.lastSeq, f})
 }
 
-// run goes on until an instant.
-func (a *agenda) run(until clock.Millis) {
-	for len(a.events) > 0 && a.events[0].at <= until {
-		e := heap.Pop(&a.events).(agendaEvent)
-		a.now = e.at
+// runUntil runs all events that are due by until and sets the time to until.
+func (s *scheduler) runUntil(until clock.Millis) {
+	for len(s.events) > 0 && s.events[0].at <= until {
+		e := heap.Pop(&s.events).(scheduledEvent)
+		s.now = e.at
 		e.run()
 	}
-	a.now = until
+	s.now = until
 }
--- a/bench/rollout.go
+++ b/bench/rollout.go
@@ -19,55 +19,55 @@
 	"github.com/parsleydeal/parsleydeal/table"
 )
 
-// Sizes and spans of the roll-out benchmark.
+// Sizes, delays and ratios of the roll-out benchmark.
 const (
-	rolloutRate  = 17.0 // requests a second at each entry
-	rolloutShare = 0.1  // share of the new version
-	rolloutStep  = 100 * clock.Millis(1)
-	reportLoss   = 0.1 // part of the reports to judges that are lost
-	reportLate   = 300 * clock.Millis(1)
-	logLate      = 500 * clock.Millis(1)
-	firstToken   = 300 * clock.Millis(1)
-	failureAfter = 50 * clock.Millis(1)
-	wholeAfter   = 3 * clock.Second
-	ratingAfter  = 5 * clock.Second
-	ratingLoss   = 0.2
-	ratingPart   = 0.25 // part of the answers rated in the long good run
-	orgCount     = 10
-	newVersion   = "draft@2"
-	oldVersion   = "draft@1"
+	rolloutRate     = 17.0 // requests per second at each entry
+	rolloutShare    = 0.1  // traffic share of the new version
+	rolloutStep     = 100 * clock.Millis(1)
+	reportLossRatio = 0.1 // ratio of lost reports to judges
+	reportDelay     = 300 * clock.Millis(1)
+	logDelay        = 500 * clock.Millis(1)
+	firstTokenDelay = 300 * clock.Millis(1)
+	failureDelay    = 50 * clock.Millis(1)
+	answerDuration  = 3 * clock.Second
+	ratingDelay     = 5 * clock.Second
+	ratingLossRatio = 0.2  // ratio of lost ratings
+	ratedRatio      = 0.25 // ratio of rated answers in falseHolds
+	orgCount        = 10
+	newVersion      = "draft@2"
+	oldVersion      = "draft@1"
 )
 
-// fault is how the new version goes wrong.
+// fault describes how the new version fails.
 type fault struct {
-	name   string
-	errors float64
-	rating float64
-	// after is how long the version is good first.
-	after clock.Millis
-	// org limits the fault to one organisation; -1 means all.
+	name       string
+	errorRatio float64
+	meanRating float64
+	// startsAt is when the fault begins; until then the version is good.
+	startsAt clock.Millis
+	// org limits the fault to one organisation by index; -1 means all.
 	org int
-	// common makes the old version as bad.
-	common bool
+	// allVersions applies the fault to the old version too.
+	allVersions bool
 }
 
-// policy decides when a version is held.
+// policy selects the rule that holds a version.
 type policy int
 
 const (
-	sequential policy = iota
-	perNode
+	sequential policy = iota // judges that combine the evidence of all entries
+	perNode                  // a threshold at each entry, see recordPerNode
 )
 
 const (
-	goodErrors = 0.005
-	goodRating = 0.9
+	goodErrorRatio = 0.005
+	goodMeanRating = 0.9
 )
 
 func rolloutTables() *table.Tables {
 	t := &table.Tables{
 		Organisations: map[string]table.Organisation{},
-		Versions:      map[string]table.Version{oldVersion: {Quality: goodRating}, newVersion: {Quality: goodRating}},
+		Versions:      map[string]table.Version{oldVersion: {Quality: goodMeanRating}, newVersion: {Quality: goodMeanRating}},
 		Routes: map[string]table.Route{"dossier": {
 			Models:        []table.RouteModel{{Model: "draft", Shares: map[string]float64{"1": 1 - rolloutShare, "2": rolloutShare}}},
 			QualityTarget: 0.7,
@@ -76,7 +76,7 @@
 	return t
 }
 
-// rolloutEntry is one entry with the reducers that its control loop runs.
+// rolloutEntry is one entry with the reducers of its control loop.
 type rolloutEntry struct {
 	vm       string
 	evidence evidence.State
@@ -84,10 +84,10 @@
 	rollout  rollout.State
 	holds    *rollout.Holds
 	sampler  *quality.Sampler
-	// nodeSeen and nodeBad serve the policy per node only.
-	nodeSeen int
-	nodeBad  int
-	nodeHeld bool
+	// nodeRequests, nodeErrors and nodeHeld are used by the perNode policy only.
+	nodeRequests int
+	nodeErrors   int
+	nodeHeld     bool
 }
 
 type rolloutRun struct {
@@ -100,7 +100,7 @@
 	fault   fault
 	policy  policy
 	now     clock.Millis
-	due     map[clock.Millis][]func()
+	events  map[clock.Millis][]func()
 	log     []provider.Record
 	exposed int
 	heldAt  clock.Millis
@@ -109,7 +109,7 @@
 func newRolloutRun(entries int, f fault, p policy) *rolloutRun {
 	r := &rolloutRun{
 		rng: rand.New(rand.NewPCG(7, uint64(entries))), tables: rolloutTables(), fault: f, policy: p,
-		byVM: make(map[string]*rolloutEntry), due: make(map[clock.Millis][]func()), heldAt: -1,
+		byVM: make(map[string]*rolloutEntry), events: make(map[clock.Millis][]func()), heldAt: -1,
 	}
 	for i := range entries {
 		e := &rolloutEntry{vm: fmt.Sprintf("entry-%03d", i), rollout: rollout.NewState(), sampler: quality.NewSampler()}
@@ -123,24 +123,25 @@
 	return r
 }
 
-func (r *rolloutRun) at(t clock.Millis, f func()) {
+func (r *rolloutRun) schedule(t clock.Millis, f func()) {
 	t = (t + rolloutStep - 1) / rolloutStep * rolloutStep
-	r.due[t] = append(r.due[t], f)
+	r.events[t] = append(r.events[t], f)
 }
 
-// run goes on until the horizon and returns the requests that met the fault.
+// run simulates until all entries hold the new version or until horizon. It returns the number of
+// requests exposed to the fault: those that the faulty new version served.
 func (r *rolloutRun) run(horizon clock.Millis) (exposed int) {
 	for r.now = rolloutStep; r.now < horizon; r.now += rolloutStep {
-		for _, f := range r.due[r.now] {
+		for _, f := range r.events[r.now] {
 			f()
 		}
-		delete(r.due, r.now)
+		delete(r.events, r.now)
 		for _, e := range r.entries {
 			for range poisson(r.rng, rolloutRate*float64(rolloutStep)/1000) {
 				r.request(e)
 			}
 			if r.now%(2*rolloutStep) == 0 {
-				r.feed(e, event.Tick{Now: r.now})
+				r.reduce(e, event.Tick{Now: r.now})
 			}
 		}
 		if r.allHeld() {
@@ -171,72 +172,72 @@
 	if e.nodeHeld {
 		version = oldVersion
 	}
-	errors, rating := goodErrors, goodRating
-	hit := (r.fault.org < 0 || r.fault.org == org) && r.now >= r.fault.after
-	if hit && (version == newVersion || r.fault.common) {
-		errors, rating = r.fault.errors, r.fault.rating
+	errorRatio, meanRating := goodErrorRatio, goodMeanRating
+	affected := (r.fault.org < 0 || r.fault.org == org) && r.now >= r.fault.startsAt
+	if affected && (version == newVersion || r.fault.allVersions) {
+		errorRatio, meanRating = r.fault.errorRatio, r.fault.meanRating
 	}
-	if hit && version == newVersion {
+	if affected && version == newVersion {
 		r.exposed++
 	}
-	r.answer(e, version, organisationName(org), r.rng.Float64() < errors, rating)
+	r.serve(e, version, organisationName(org), r.rng.Float64() < errorRatio, meanRating)
 }
 
-func (r *rolloutRun) answer(e *rolloutEntry, version, org string, failed bool, rating float64) {
+func (r *rolloutRun) serve(e *rolloutEntry, version, org string, failed bool, meanRating float64) {
 	if version == newVersion {
-		r.count(e, failed)
+		r.recordPerNode(e, failed)
 	}
 	if failed {
-		r.at(r.now+failureAfter, func() {
-			r.feed(e, event.Observed{Now: r.now, Route: "dossier", Version: version, Organisation: org, Failed: true})
+		r.schedule(r.now+failureDelay, func() {
+			r.reduce(e, event.Observed{Now: r.now, Route: "dossier", Version: version, Organisation: org, Failed: true})
 		})
 		return
 	}
-	r.at(r.now+firstToken, func() {
-		r.feed(e, event.Begun{Now: r.now, Route: "dossier", Version: version, Organisation: org})
+	r.schedule(r.now+firstTokenDelay, func() {
+		r.reduce(e, event.Begun{Now: r.now, Route: "dossier", Version: version, Organisation: org})
 	})
-	r.at(r.now+wholeAfter, func() {
-		r.feed(e, event.Observed{Now: r.now, Route: "dossier", Version: version, Organisation: org})
+	r.schedule(r.now+answerDuration, func() {
+		r.reduce(e, event.Observed{Now: r.now, Route: "dossier", Version: version, Organisation: org})
 	})
-	known := int64(0)
+	knownRatings := int64(0)
 	if version == oldVersion {
-		known = 1 << 20
+		knownRatings = 1 << 20
 	}
-	if e.sampler.Sample(r.now, known, false) && r.rng.Float64() > ratingLoss {
+	if e.sampler.Sample(r.now, knownRatings, false) && r.rng.Float64() > ratingLossRatio {
 		score := 0.0
-		if r.rng.Float64() < rating {
+		if r.rng.Float64() < meanRating {
 			score = 1
 		}
-		r.at(r.now+ratingAfter, func() {
-			r.feed(e, event.Rated{Now: r.now, Route: "dossier", Version: version, Organisation: org, Score: score})
+		r.schedule(r.now+ratingDelay, func() {
+			r.reduce(e, event.Rated{Now: r.now, Route: "dossier", Version: version, Organisation: org, Score: score})
 		})
 	}
 }
 
-// count is the baseline: each node holds the version for itself at 10% errors
-// in its last 20 requests or more.
-func (r *rolloutRun) count(e *rolloutEntry, failed bool) {
-	const least, most, part = 20, 50, 0.1
-	e.nodeSeen++
+// recordPerNode implements the baseline policy: a node holds the version on its own once more than
+// 10% of its requests failed, with at least 20 counted. Counts restart after 50 requests.
+func (r *rolloutRun) recordPerNode(e *rolloutEntry, failed bool) {
+	const minRequests, maxRequests, maxErrorRatio = 20, 50, 0.1
+	e.nodeRequests++
 	if failed {
-		e.nodeBad++
+		e.nodeErrors++
 	}
-	if r.policy == perNode && e.nodeSeen >= least && float64(e.nodeBad) > part*float64(e.nodeSeen) {
+	if r.policy == perNode && e.nodeRequests >= minRequests && float64(e.nodeErrors) > maxErrorRatio*float64(e.nodeRequests) {
 		e.nodeHeld = true
 	}
-	if e.nodeSeen == most {
-		e.nodeSeen, e.nodeBad = 0, 0
+	if e.nodeRequests == maxRequests {
+		e.nodeRequests, e.nodeErrors = 0, 0
 	}
 }
 
-// feed gives an event to the reducers in the order in which control does.
-func (r *rolloutRun) feed(e *rolloutEntry, ev event.Event) {
+// reduce passes an event to the reducers in the same order as control.
+func (r *rolloutRun) reduce(e *rolloutEntry, ev event.Event) {
 	if r.policy == perNode {
 		return
 	}
 	deltas, _ := e.evidence.Reduce(ev)
-	known := rollout.Env{Self: e.vm, Now: r.now, Tables: r.tables, VMs: r.vms}
-	effects, changed := e.rollout.Reduce(ev, deltas, known)
+	env := rollout.Env{Self: e.vm, Now: r.now, Tables: r.tables, VMs: r.vms}
+	effects, changed := e.rollout.Reduce(ev, deltas, env)
 	if changed {
 		e.holds = e.rollout.Holds(r.tables)
 	}
@@ -245,19 +246,20 @@
 			r.append(a)
 		}
 	}
-	r.tell(e, ev)
+	r.reportCounts(e, ev)
 }
 
-// tell sends what the entry's plan says to the judges; some messages are lost.
-func (r *rolloutRun) tell(e *rolloutEntry, ev event.Event) {
+// reportCounts sends the entry's counts to the judges that its count reporter selects; a fraction of
+// the messages is lost.
+func (r *rolloutRun) reportCounts(e *rolloutEntry, ev event.Event) {
 	for _, f := range e.counts.Reduce(ev, e.evidence.Report(), r.members) {
 		x, ok := f.(event.Exchange)
-		if !ok || r.rng.Float64() < reportLoss {
+		if !ok || r.rng.Float64() < reportLossRatio {
 			continue
 		}
 		judge := r.byVM[x.VM]
-		r.at(r.now+reportLate, func() {
-			r.feed(judge, event.DigestReceived{Now: r.now, Digest: x.Digest})
+		r.schedule(r.now+reportDelay, func() {
+			r.reduce(judge, event.DigestReceived{Now: r.now, Digest: x.Digest})
 		})
 	}
 }
@@ -265,10 +267,10 @@
 func (r *rolloutRun) append(a event.Append) {
 	record := provider.Record{Offset: int64(len(r.log)), Data: a.Data}
 	r.log = append(r.log, record)
-	r.at(r.now+logLate, func() {
+	r.schedule(r.now+logDelay, func() {
 		for _, e := range r.entries {
 			page := provider.Page{Head: record.Offset + 1, Records: []provider.Record{record}}
-			r.feed(e, event.LogRead{Now: r.now, Stream: a.Stream, Page: page})
+			r.reduce(e, event.LogRead{Now: r.now, Stream: a.Stream, Page: page})
 		}
 	})
 }
@@ -285,21 +287,21 @@
 }
 
 var faults = []fault{
-	{name: "errors-30", errors: 0.3, rating: goodRating, org: -1},
-	{name: "errors-6", errors: 0.06, rating: goodRating, org: -1},
-	{name: "ratings", errors: goodErrors, rating: 0.6, org: -1},
-	{name: "late", errors: 0.3, rating: goodRating, after: 12 * clock.Second, org: -1},
-	{name: "one-organisation", errors: 0.5, rating: goodRating, org: 3},
+	{name: "errors-30", errorRatio: 0.3, meanRating: goodMeanRating, org: -1},
+	{name: "errors-6", errorRatio: 0.06, meanRating: goodMeanRating, org: -1},
+	{name: "ratings", errorRatio: goodErrorRatio, meanRating: 0.6, org: -1},
+	{name: "late", errorRatio: 0.3, meanRating: goodMeanRating, startsAt: 12 * clock.Second, org: -1},
+	{name: "one-organisation", errorRatio: 0.5, meanRating: goodMeanRating, org: 3},
 }
 
-// rolloutSeeds is how many runs are averaged by the number of entries: few
-// entries see few requests, and one run says little.
+// rolloutSeeds maps the number of entries to the number of runs averaged. With few entries there are
+// few requests, so a single run varies too much.
 var rolloutSeeds = map[int]int{3: 8, 30: 2, 380: 1}
 
-// averageOf runs a fault under a policy with several seeds and returns the mean
-// of the requests exposed, of the span to the hold (the horizon when there was
-// none) and of the runs in which others than the one concerned were held too.
-func averageOf(n int, f fault, p policy, horizon clock.Millis) (exposed, after, others float64) {
+// meanOverSeeds simulates a fault under a policy with several seeds. It returns the means of the
+// exposed requests and of the time in ms from the fault to the hold (to horizon if there was none),
+// and the fraction of runs in which org-0 was held too.
+func meanOverSeeds(n int, f fault, p policy, horizon clock.Millis) (exposed, heldAfter, heldForOthers float64) {
 	seeds := rolloutSeeds[n]
 	for seed := range seeds {
 		r := newRolloutRun(n, f, p)
@@ -308,14 +310,14 @@
 		if r.heldAt < 0 {
 			r.heldAt = horizon
 		}
-		after += float64(r.heldAt - f.after)
-		others += held(r.entries[0].holds, newVersion, "org-0")
+		heldAfter += float64(r.heldAt - f.startsAt)
+		heldForOthers += heldValue(r.entries[0].holds, newVersion, "org-0")
 	}
 	k := float64(seeds)
-	return exposed / k, after / k, others / k
+	return exposed / k, heldAfter / k, heldForOthers / k
 }
 
-// benchRollout measures requests exposed before a hold and false holds.
+// benchRollout measures the requests exposed to a fault before the hold, and false holds.
 func benchRollout() (out []Figure) {
 	for _, n := range []int{3, 30, 380} {
 		horizon := clock.Millis(180) * clock.Second
@@ -324,76 +326,76 @@
 		}
 		for _, f := range faults {
 			prefix := fmt.Sprintf("rollout/%s/%d/", f.name, n)
-			exposed, after, others := averageOf(n, f, sequential, horizon)
-			out = append(out, Figure{prefix + "exposed", exposed}, Figure{prefix + "held-after-ms", after})
+			exposed, heldAfter, heldForOthers := meanOverSeeds(n, f, sequential, horizon)
+			out = append(out, Figure{prefix + "exposed", exposed}, Figure{prefix + "held-after-ms", heldAfter})
 			if f.org >= 0 {
-				out = append(out, Figure{prefix + "held-for-others", others})
+				out = append(out, Figure{prefix + "held-for-others", heldForOthers})
 			}
-			exposed, _, _ = averageOf(n, f, perNode, horizon)
+			exposed, _, _ = meanOverSeeds(n, f, perNode, horizon)
 			out = append(out, Figure{prefix + "exposed-per-node-threshold", exposed})
 		}
-		out = append(out, falseHolds("good", n, 0.01, goodRating-0.05)...)
+		out = append(out, falseHolds("good", n, 0.01, goodMeanRating-0.05)...)
 	}
-	out = append(out, falseHolds("at-limit", 30, table.DefaultHoldErrors, goodRating-table.DefaultHoldRatingLoss)...)
-	c := newRolloutRun(30, fault{errors: 0.3, rating: 0.5, after: 10 * clock.Second, org: -1, common: true}, sequential)
+	out = append(out, falseHolds("at-limit", 30, table.DefaultHoldErrors, goodMeanRating-table.DefaultHoldRatingLoss)...)
+	c := newRolloutRun(30, fault{errorRatio: 0.3, meanRating: 0.5, startsAt: 10 * clock.Second, org: -1, allVersions: true}, sequential)
 	c.run(60 * clock.Second)
 	return append(out, Figure{"rollout/common-cause/30/holds", float64(len(c.log))})
 }
 
-func held(h *rollout.Holds, version, org string) float64 {
+func heldValue(h *rollout.Holds, version, org string) float64 {
 	if h.Held(version, org) {
 		return 1
 	}
 	return 0
 }
 
-// falseHolds runs a version that is within its limits for a long time and counts
-// the holds of the judge and of the baseline on each node.
-func falseHolds(name string, n int, errors, rating float64) []Figure {
-	span := min(3600, 250_000/n)
+// falseHolds simulates a version that stays within its limits for a long time and counts the holds by
+// the judge and by the perNode baseline.
+func falseHolds(name string, n int, errorRatio, meanRating float64) []Figure {
+	seconds := min(3600, 250_000/n)
 	r := newRolloutRun(n, fault{org: -1}, sequential)
 	r.rng = rand.New(rand.NewPCG(11, uint64(n)))
 	judge := r.byVM[evidence.Judges(r.vms, newVersion)[0]]
 	totals := make([]evidence.Stats, n)
 	baseline := 0
-	for second := range span {
+	for second := range seconds {
 		r.now = clock.Millis(second) * clock.Second
 		var counts []*wire.Count
 		for i, e := range r.entries {
-			begun := poisson(r.rng, rolloutRate*rolloutShare)
-			bad := 0
-			for range begun {
-				failed := r.rng.Float64() < errors
+			requests := poisson(r.rng, rolloutRate*rolloutShare)
+			failures := 0
+			for range requests {
+				failed := r.rng.Float64() < errorRatio
 				if failed {
-					bad++
+					failures++
 				}
 				e.nodeHeld = false
 				r.policy = perNode
-				r.count(e, failed)
+				r.recordPerNode(e, failed)
 				if e.nodeHeld {
 					baseline++
 				}
 			}
 			r.policy = sequential
-			rated := poisson(r.rng, float64(begun)*ratingPart)
+			rated := poisson(r.rng, float64(requests)*ratedRatio)
 			score := 0.0
 			for range rated {
-				if r.rng.Float64() < rating {
+				if r.rng.Float64() < meanRating {
 					score++
 				}
 			}
-			totals[i] = totals[i].Plus(evidence.Stats{Started: int64(begun - bad), Errors: int64(bad), Ratings: int64(rated), RatingSum: score})
+			totals[i] = totals[i].Plus(evidence.Stats{Started: int64(requests - failures), Errors: int64(failures), Ratings: int64(rated), RatingSum: score})
 			if e != judge {
-				counts = append(counts, countOf(e.vm, totals[i]))
+				counts = append(counts, wireCount(e.vm, totals[i]))
 			}
 		}
-		r.feed(judge, event.DigestReceived{Now: r.now, Digest: &wire.Digest{Counts: counts}})
+		r.reduce(judge, event.DigestReceived{Now: r.now, Digest: &wire.Digest{Counts: counts}})
 	}
 	prefix := fmt.Sprintf("rollout/%s/%d/", name, n)
 	return []Figure{{prefix + "false-holds", float64(len(r.log))}, {prefix + "false-holds-per-node-threshold", float64(baseline)}}
 }
 
-func countOf(vm string, t evidence.Stats) *wire.Count {
+func wireCount(vm string, t evidence.Stats) *wire.Count {
 	return &wire.Count{
 		Vm: vm, Epoch: 1, Route: "dossier", Version: newVersion, Organisation: "org-0",
 		Started: t.Started, Errors: t.Errors, Ratings: t.Ratings, RatingSum: t.RatingSum,
--- a/bench/zone.go
+++ b/bench/zone.go
@@ -18,76 +18,75 @@
 )
 
 const (
-	zoneEntries   = 6
-	zoneReplicas  = 30
-	zoneCount     = 3
-	zonePlaces    = 16
-	zoneCold      = 2   // places of a cold engine's gate
-	zoneUse       = 0.5 // part of all places in use on average
-	zoneFlapUse   = 0.3 // the same while two of three zones flap
-	zoneService   = 1500 * clock.Millis(1)
-	zoneColdToken = 900 * clock.Millis(1) // first token of a cold engine
-	zoneWarmToken = 100 * clock.Millis(1)
-	warmAfter     = 12 // requests served until an engine is warm
-	zoneHear      = 2 * clock.Second
-	zoneDeadline  = 20 * clock.Second
+	zoneEntries       = 6
+	zoneReplicas      = 30
+	zoneCount         = 3
+	zoneSlots         = 16
+	coldSlots         = 2   // slots of a cold engine's gate
+	zoneLoadRatio     = 0.5 // fraction of all slots in use on average
+	flapLoadRatio     = 0.3 // the same while two of the three zones flap
+	zoneServiceTime   = 1500 * clock.Millis(1)
+	coldFirstToken    = 900 * clock.Millis(1) // time to the first token of a cold engine
+	warmFirstToken    = 100 * clock.Millis(1)
+	requestsUntilWarm = 12               // requests that a cold engine serves before it is warm
+	maxTableDelay     = 2 * clock.Second // until every entry has applied new tables
+	zoneTimeout       = 20 * clock.Second
 )
 
-// coldReplica is an engine behind a gate whose window opens by one for each
-// request served.
-type coldReplica struct {
-	vm     provider.VM
-	held   int
-	window int
-	served int
+// warmingReplica is an engine behind a gate that gains one slot for each served request.
+type warmingReplica struct {
+	vm      provider.VM
+	running int
+	slots   int
+	served  int
 }
 
-func (r *coldReplica) chill() { r.window, r.served = zoneCold, 0 }
+func (r *warmingReplica) makeCold() { r.slots, r.served = coldSlots, 0 }
 
 type zoneEntry struct {
-	zones    zone.State
-	view     *view.View
-	inflight *choice.Inflight
-	affinity *choice.Affinity
-	retries  *limit.RetryBudget
-	core     *limit.Admission
-	waiting  map[string]zoneRequest
+	zones     zone.State
+	view      *view.View
+	inflight  *choice.Inflight
+	affinity  *choice.Affinity
+	retries   *limit.RetryBudget
+	admission *limit.Admission
+	waiting   map[string]zoneRequest
 }
 
 type zoneRequest struct {
-	item limit.Item
-	at   clock.Millis
-	seed uint64
+	item      limit.Item
+	arrivedAt clock.Millis
+	seed      uint64
 }
 
-// zoneRun moves zones out and in under load.
+// zoneRun simulates taking zones out and putting them back in under load.
 type zoneRun struct {
-	agenda
-	rng      *rand.Rand
-	ramp     bool
-	use      float64
-	entries  []*zoneEntry
-	replicas []*coldReplica
-	byVM     map[string]*coldReplica
-	members  membership.State
-	out      map[string]bool
-	asked    int
-	// measuring begins with the first move.
-	measuring bool
-	refused   int
-	firsts    []clock.Millis
-	served    map[string]int
+	scheduler
+	rng       *rand.Rand
+	ramp      bool
+	loadRatio float64
+	entries   []*zoneEntry
+	replicas  []*warmingReplica
+	byVM      map[string]*warmingReplica
+	members   membership.State
+	zonesOut  map[string]bool
+	requests  int
+	// measuring is true once the first zone changes its state.
+	measuring       bool
+	refused         int
+	firstTokenTimes []clock.Millis
+	servedByZone    map[string]int
 }
 
-func newZoneRun(ramp bool, use float64) *zoneRun {
+func newZoneRun(ramp bool, loadRatio float64) *zoneRun {
 	r := &zoneRun{
-		rng: rand.New(rand.NewPCG(12, 13)), ramp: ramp, use: use, byVM: map[string]*coldReplica{}, out: map[string]bool{},
-		served: map[string]int{}, members: membership.New("entry"),
+		rng: rand.New(rand.NewPCG(12, 13)), ramp: ramp, loadRatio: loadRatio, byVM: map[string]*warmingReplica{}, zonesOut: map[string]bool{},
+		servedByZone: map[string]int{}, members: membership.New("entry"),
 	}
 	var vms []provider.VM
 	for i := range zoneReplicas {
 		vm := provider.VM{ID: fmt.Sprintf("replica-%02d", i), Role: provider.EndpointRole, Pool: choicePool, Zone: fmt.Sprintf("zone-%d", i%zoneCount)}
-		x := &coldReplica{vm: vm, window: zonePlaces, served: warmAfter}
+		x := &warmingReplica{vm: vm, slots: zoneSlots, served: requestsUntilWarm}
 		r.replicas = append(r.replicas, x)
 		r.byVM[vm.ID] = x
 		vms = append(vms, vm)
@@ -96,18 +95,18 @@
 	for range zoneEntries {
 		e := &zoneEntry{
 			zones: zone.NewState(), inflight: choice.NewInflight(), affinity: choice.NewAffinity(),
-			retries: limit.NewRetryBudget(), core: limit.NewAdmission(), waiting: map[string]zoneRequest{},
+			retries: limit.NewRetryBudget(), admission: limit.NewAdmission(), waiting: map[string]zoneRequest{},
 		}
 		r.entries = append(r.entries, e)
-		r.see(e)
+		r.updateView(e)
 	}
 	return r
 }
 
-// see gives an entry the tables in force now.
-func (r *zoneRun) see(e *zoneEntry) {
-	t := &table.Tables{Pools: map[string]table.Pool{choicePool: {ColdWindow: zoneCold, FullWindow: zonePlaces}}, Zones: map[string]table.Site{}}
-	for name, out := range r.out {
+// updateView applies the tables now in force to an entry.
+func (r *zoneRun) updateView(e *zoneEntry) {
+	t := &table.Tables{Pools: map[string]table.Pool{choicePool: {ColdWindow: coldSlots, FullWindow: zoneSlots}}, Zones: map[string]table.Site{}}
+	for name, out := range r.zonesOut {
 		if out {
 			t.Zones[name] = table.Site{State: table.Out}
 		}
@@ -121,73 +120,73 @@
 	e.view = v
 }
 
-// move publishes a zone's state; each entry hears of it within zoneHear. An
-// engine that comes back is cold.
-func (r *zoneRun) move(name string, out bool) {
-	r.out[name] = out
+// setZoneOut publishes a zone's state; each entry applies it within maxTableDelay. Engines of a zone
+// that comes back are cold.
+func (r *zoneRun) setZoneOut(name string, out bool) {
+	r.zonesOut[name] = out
 	for _, e := range r.entries {
-		r.after(clock.Millis(r.rng.IntN(int(zoneHear))), func() { r.see(e) })
+		r.after(clock.Millis(r.rng.IntN(int(maxTableDelay))), func() { r.updateView(e) })
 	}
 	for _, x := range r.replicas {
 		if x.vm.Zone == name && !out {
-			x.chill()
+			x.makeCold()
 		}
 	}
 }
 
-func (r *zoneRun) load() {
-	perMilli := r.use * zoneReplicas * zonePlaces / float64(zoneService+zoneWarmToken)
+func (r *zoneRun) generateRequests() {
+	perMilli := r.loadRatio * zoneReplicas * zoneSlots / float64(zoneServiceTime+warmFirstToken)
 	for range poisson(r.rng, perMilli) {
 		r.arrive(r.entries[r.rng.IntN(len(r.entries))])
 	}
-	r.after(1, r.load)
+	r.after(1, r.generateRequests)
 }
 
 func (r *zoneRun) arrive(e *zoneEntry) {
-	r.asked++
-	q := zoneRequest{item: limit.Item{ID: fmt.Sprint(r.asked), Weight: 1, Deadline: r.now + zoneDeadline}, at: r.now, seed: r.rng.Uint64()}
+	r.requests++
+	q := zoneRequest{item: limit.Item{ID: fmt.Sprint(r.requests), Weight: 1, Deadline: r.now + zoneTimeout}, arrivedAt: r.now, seed: r.rng.Uint64()}
 	e.retries.RecordRequest()
-	v, _, dropped := e.core.Arrive(r.now, q.item)
-	r.refuse(e, dropped)
+	v, _, dropped := e.admission.Arrive(r.now, q.item)
+	r.dropWaiting(e, dropped)
 	switch v {
 	case limit.Start:
 		r.try(e, q, map[string]bool{})
 	case limit.Wait:
 		e.waiting[q.item.ID] = q
 	default:
-		r.count(1)
+		r.countRefused(1)
 	}
 }
 
-func (r *zoneRun) refuse(e *zoneEntry, items []limit.Item) {
+func (r *zoneRun) dropWaiting(e *zoneEntry, items []limit.Item) {
 	for _, it := range items {
 		delete(e.waiting, it.ID)
-		r.count(1)
+		r.countRefused(1)
 	}
 }
 
-func (r *zoneRun) count(refused int) {
+func (r *zoneRun) countRefused(refused int) {
 	if r.measuring {
 		r.refused += refused
 	}
 }
 
-// try is the entry's loop of attempts.
+// try makes an attempt and retries a refused one, like the attempt loop of the entry.
 func (r *zoneRun) try(e *zoneEntry, q zoneRequest, avoid map[string]bool) {
 	vm, ok := choice.SelectEndpoint(e.view, e.inflight, e.affinity, choice.Query{Pools: []string{choicePool}, Avoid: avoid, Seed: q.seed, Now: r.now})
-	if !ok || len(avoid) == choiceTries+1 || len(avoid) > 0 && !e.retries.TryRetry() {
-		r.count(1)
-		r.end(e, limit.Refused)
+	if !ok || len(avoid) == maxRetries+1 || len(avoid) > 0 && !e.retries.TryRetry() {
+		r.countRefused(1)
+		r.release(e, limit.Refused)
 		return
 	}
 	x := r.byVM[vm.ID]
 	e.inflight.Add(vm.ID, 1)
-	r.after(choiceHopMillis, func() {
-		if x.held < x.window && !r.out[x.vm.Zone] {
+	r.after(hopDelayMillis, func() {
+		if x.running < x.slots && !r.zonesOut[x.vm.Zone] {
 			r.start(e, q, x)
 			return
 		}
-		r.after(choiceHopMillis, func() {
+		r.after(hopDelayMillis, func() {
 			e.inflight.Add(vm.ID, -1)
 			r.report(e, x)
 			avoid[vm.ID] = true
@@ -196,39 +195,39 @@
 	})
 }
 
-func (r *zoneRun) start(e *zoneEntry, q zoneRequest, x *coldReplica) {
-	x.held++
-	r.pass(e, e.core.Accepted)
-	span := zoneWarmToken
-	if x.served < warmAfter {
-		span = zoneColdToken
+func (r *zoneRun) start(e *zoneEntry, q zoneRequest, x *warmingReplica) {
+	x.running++
+	r.startWaiting(e, e.admission.Accepted)
+	firstToken := warmFirstToken
+	if x.served < requestsUntilWarm {
+		firstToken = coldFirstToken
 	}
 	if r.measuring {
-		r.firsts = append(r.firsts, r.now+span-q.at)
-		r.served[x.vm.Zone]++
+		r.firstTokenTimes = append(r.firstTokenTimes, r.now+firstToken-q.arrivedAt)
+		r.servedByZone[x.vm.Zone]++
 	}
-	r.after(span+zoneService, func() {
-		x.held--
+	r.after(firstToken+zoneServiceTime, func() {
+		x.running--
 		x.served++
-		x.window = min(x.window+1, zonePlaces)
+		x.slots = min(x.slots+1, zoneSlots)
 		e.inflight.Add(x.vm.ID, -1)
 		r.report(e, x)
-		r.end(e, limit.Served)
+		r.release(e, limit.Served)
 	})
 }
 
-func (r *zoneRun) report(e *zoneEntry, x *coldReplica) {
-	l := &wire.Load{Vm: x.vm.ID, Held: int32(x.held), Window: int32(x.window)}
+func (r *zoneRun) report(e *zoneEntry, x *warmingReplica) {
+	l := &wire.Load{Vm: x.vm.ID, Held: int32(x.running), Window: int32(x.slots)}
 	e.inflight.RecordLoad(l, r.now)
 }
 
-func (r *zoneRun) end(e *zoneEntry, o limit.Outcome) {
-	r.pass(e, func(now clock.Millis) (started, expired []limit.Item) { return e.core.Release(now, o) })
+func (r *zoneRun) release(e *zoneEntry, o limit.Outcome) {
+	r.startWaiting(e, func(now clock.Millis) (started, expired []limit.Item) { return e.admission.Release(now, o) })
 }
 
-func (r *zoneRun) pass(e *zoneEntry, step func(clock.Millis) (started, expired []limit.Item)) {
-	started, expired := step(r.now)
-	r.refuse(e, expired)
+func (r *zoneRun) startWaiting(e *zoneEntry, update func(clock.Millis) (started, expired []limit.Item)) {
+	started, expired := update(r.now)
+	r.dropWaiting(e, expired)
 	for _, it := range started {
 		q := e.waiting[it.ID]
 		delete(e.waiting, it.ID)
@@ -236,75 +235,75 @@
 	}
 }
 
-// steady is how long after an instant the returning zone gets nine tenths of
-// its even share over a second.
-func (r *zoneRun) steady(name string, from, until clock.Millis) clock.Millis {
-	const part = 0.9
+// timeToSteady runs until the given time and returns how long after from the returning zone first gets
+// 90% of its even share of the requests of one second, or until-from if it never does.
+func (r *zoneRun) timeToSteady(name string, from, until clock.Millis) clock.Millis {
+	const minShareRatio = 0.9
 	for at := from; at < until; at += clock.Second {
-		before := r.counts()
-		r.run(at + clock.Second)
-		all, own := 0, r.served[name]-before[name]
-		for z, n := range r.served {
-			all += n - before[z]
+		before := r.servedCounts()
+		r.runUntil(at + clock.Second)
+		total, zoneTotal := 0, r.servedByZone[name]-before[name]
+		for z, n := range r.servedByZone {
+			total += n - before[z]
 		}
-		if float64(own) >= part*float64(all)/zoneCount {
-			r.run(until)
+		if float64(zoneTotal) >= minShareRatio*float64(total)/zoneCount {
+			r.runUntil(until)
 			return at + clock.Second - from
 		}
 	}
 	return until - from
 }
 
-func (r *zoneRun) counts() map[string]int {
-	out := make(map[string]int)
-	for z, n := range r.served {
-		out[z] = n
+func (r *zoneRun) servedCounts() map[string]int {
+	totals := make(map[string]int)
+	for z, n := range r.servedByZone {
+		totals[z] = n
 	}
-	return out
+	return totals
 }
 
-func (r *zoneRun) reset() {
+func (r *zoneRun) startMeasuring() {
 	r.measuring = true
 	r.refused = 0
-	r.firsts = nil
+	r.firstTokenTimes = nil
 }
 
 func (r *zoneRun) figures(prefix string) []Figure {
-	slices.Sort(r.firsts)
+	slices.Sort(r.firstTokenTimes)
 	return []Figure{
 		{prefix + "refused", float64(r.refused)},
-		{prefix + "first-token-p95-ms", float64(percentile(r.firsts, 0.95))},
-		{prefix + "first-token-p99-ms", float64(percentile(r.firsts, 0.99))},
+		{prefix + "first-token-p95-ms", float64(quantile(r.firstTokenTimes, 0.95))},
+		{prefix + "first-token-p99-ms", float64(quantile(r.firstTokenTimes, 0.99))},
 	}
 }
 
-// benchZone measures refusals, first tokens and the time to steady state when a
-// zone leaves and returns, and when two zones flap.
+// benchZone measures refusals and the time to the first token when a zone leaves or returns and when
+// two zones flap, and the time to steady state after a return.
 func benchZone() (out []Figure) {
 	for _, ramp := range []bool{true, false} {
 		name := map[bool]string{true: "ours", false: "no-ramp"}[ramp]
-		r := newZoneRun(ramp, zoneUse)
-		r.load()
-		r.run(15 * clock.Second)
-		r.reset()
-		r.move("zone-0", true)
-		r.run(35 * clock.Second)
+		r := newZoneRun(ramp, zoneLoadRatio)
+		r.generateRequests()
+		r.runUntil(15 * clock.Second)
+		r.startMeasuring()
+		r.setZoneOut("zone-0", true)
+		r.runUntil(35 * clock.Second)
 		out = append(out, r.figures("zone/leave/"+name+"/")...)
-		r.reset()
-		r.move("zone-0", false)
-		steady := r.steady("zone-0", r.now, r.now+40*clock.Second)
+		r.startMeasuring()
+		r.setZoneOut("zone-0", false)
+		steady := r.timeToSteady("zone-0", r.now, r.now+40*clock.Second)
 		out = append(out, r.figures("zone/return/"+name+"/")...)
 		out = append(out, Figure{"zone/return/" + name + "/steady-after-ms", float64(steady)})
-		f := newZoneRun(ramp, zoneFlapUse)
-		f.load()
-		f.run(15 * clock.Second)
-		f.reset()
+		f := newZoneRun(ramp, flapLoadRatio)
+		f.generateRequests()
+		f.runUntil(15 * clock.Second)
+		f.startMeasuring()
 		for i := range 6 {
 			flapping := fmt.Sprintf("zone-%d", i%2)
-			f.move(flapping, true)
-			f.run(f.now + 5*clock.Second)
-			f.move(flapping, false)
-			f.run(f.now + 5*clock.Second)
+			f.setZoneOut(flapping, true)
+			f.runUntil(f.now + 5*clock.Second)
+			f.setZoneOut(flapping, false)
+			f.runUntil(f.now + 5*clock.Second)
 		}
 		out = append(out, f.figures("zone/flap/"+name+"/")...)
 	}
