--- a/proof/bill_test.go
+++ b/proof/bill_test.go
@@ -9,26 +9,26 @@
 	"pgregory.net/rapid"
 )
 
-// roomy is a bound at which holders find room in an outage.
-const roomy = 300
+// largeBound is a bound that holders do not reach during an outage of the log.
+const largeBound = 300
 
-// recovery is how long after one loss of a VM the bills are safe again, with
-// the log up: the list's lag, the keeper's takeover and the log's backoff.
-const recovery = 30 * clock.Second
+// recoveryTime is the time after which all bills are safe again when a VM was lost and the log is up.
+// It covers the delay of the VM list, the takeover by the keeper and the backoff of appends.
+const recoveryTime = 30 * clock.Second
 
-// billing is the state machine over a fleet's bills. One VM is lost at a time:
-// both holders lost at once is the stated limit.
-type billing struct {
+// billingMachine is the state machine for a fleet's bills. It loses one VM at a time, since a bill may
+// be lost when both of its holders are lost at once; that limit is documented.
+type billingMachine struct {
 	*fleet
-	t       *rapid.T
-	n       int
-	lostAt  clock.Millis
-	outages int
+	t        *rapid.T
+	requests int
+	lostAt   clock.Millis
+	outages  int
 }
 
-func (b *billing) pick() *process {
+func (b *billingMachine) anyProcess() *process {
 	var up []*process
-	for _, p := range b.procs {
+	for _, p := range b.processes {
 		if p.up && !p.leaving {
 			up = append(up, p)
 		}
@@ -36,127 +36,127 @@
 	return up[rapid.IntRange(0, len(up)-1).Draw(b.t, "process")]
 }
 
-func (b *billing) serve() {
+func (b *billingMachine) serve() {
 	for range rapid.IntRange(1, 8).Draw(b.t, "requests") {
-		b.n++
-		b.request(b.pick(), fmt.Sprintf("request-%d", b.n))
+		b.requests++
+		b.request(b.anyProcess(), fmt.Sprintf("request-%d", b.requests))
 	}
 }
 
-func (b *billing) wait() {
+func (b *billingMachine) wait() {
 	b.advance(clock.Millis(rapid.Int64Range(1, 15000).Draw(b.t, "millis")))
 }
 
-// lose crashes a VM and puts another in its place.
-func (b *billing) lose() {
-	if b.now-b.lostAt < recovery || b.down && b.bound < roomy {
-		b.t.Skip("one loss at a time, and in an outage only while holders have room")
+// crash crashes a VM and starts a replacement in its zone.
+func (b *billingMachine) crash() {
+	if b.now-b.lostAt < recoveryTime || b.logDown && b.bound < largeBound {
+		b.t.Skip("only one VM loss at a time, and during a log outage only while holders have room")
 	}
-	p := b.pick()
+	p := b.anyProcess()
 	p.up = false
 	p.lostAt = b.now
 	b.lostAt = b.now
-	b.start(p.m.Zone)
+	b.start(p.member.Zone)
 }
 
-// stop ends a VM as planned: it hands on its bills before it goes.
-func (b *billing) stop() {
-	p := b.pick()
-	if len(b.listed()) < 5 {
-		b.t.Skip("too few are left")
+// stopPlanned stops a VM as planned: it hands over its bills before it ends.
+func (b *billingMachine) stopPlanned() {
+	p := b.anyProcess()
+	if len(b.listedMembers()) < 5 {
+		b.t.Skip("too few processes left")
 	}
 	p.leaving = true
-	b.start(p.m.Zone)
-	p.do(func() { p.post(bill.Drain{Now: b.now}) })
-	b.leave(p)
+	b.start(p.member.Zone)
+	p.do(func() { p.updateLedger(bill.Drain{Now: b.now}) })
+	b.waitForDrain(p)
 }
 
-func (b *billing) leave(p *process) {
+// waitForDrain ends a process once its bills have other copies and no request holds a reservation.
+func (b *billingMachine) waitForDrain(p *process) {
 	if p.up && p.ledger.Replicated() && p.ledger.Reserved() == 0 {
 		p.up = false
 		return
 	}
-	b.after(100, func() { b.leave(p) })
+	b.after(100, func() { b.waitForDrain(p) })
 }
 
-func (b *billing) pause() {
-	p := b.pick()
+func (b *billingMachine) pause() {
+	p := b.anyProcess()
 	p.pausedTo = b.now + clock.Millis(rapid.Int64Range(100, 20000).Draw(b.t, "pause"))
 }
 
-// outage takes the log out or brings it back.
-func (b *billing) outage() {
-	if !b.down && b.bound < roomy && b.now-b.lostAt < recovery {
-		b.t.Skip("a loss is being made good")
+// toggleLog starts or ends an outage of the log.
+func (b *billingMachine) toggleLog() {
+	if !b.logDown && b.bound < largeBound && b.now-b.lostAt < recoveryTime {
+		b.t.Skip("recovery from a VM loss is in progress")
 	}
-	b.down = !b.down
-	if !b.down && b.bound < roomy {
+	b.logDown = !b.logDown
+	if !b.logDown && b.bound < largeBound {
 		b.lostAt = b.now
 	}
 }
 
-func (b *billing) loseAnswers() { b.spoil(&b.world.lose) }
-func (b *billing) lateAppends() { b.spoil(&b.world.late) }
+func (b *billingMachine) loseReplies()  { b.addFaults(&b.simulation.lostReplies) }
+func (b *billingMachine) delayAppends() { b.addFaults(&b.simulation.delayedAppends) }
 
-func (b *billing) spoil(n *int) { *n += rapid.IntRange(1, 3).Draw(b.t, "answers") }
+func (b *billingMachine) addFaults(n *int) { *n += rapid.IntRange(1, 3).Draw(b.t, "answers") }
 
-func (b *billing) intact() {
-	if b.broken != "" {
-		b.t.Fatal(b.broken)
+func (b *billingMachine) checkViolation() {
+	if b.violation != "" {
+		b.t.Fatal(b.violation)
 	}
 }
 
-// settle brings the log back and lets everything come to rest.
-func (b *billing) settle() {
-	b.down = false
-	b.advance(3 * recovery)
-	b.check()
-	for _, p := range b.procs {
+// settle ends any log outage, waits for recovery and checks that every bill is on the log.
+func (b *billingMachine) settle() {
+	b.logDown = false
+	b.advance(3 * recoveryTime)
+	b.checkBilled()
+	for _, p := range b.processes {
 		if own, held := p.ledger.Waiting(); p.up && own+held > 0 {
-			b.fail("billed-exactly-once", "%s still keeps %d own and %d others' bills", p.m.ID, own, held)
+			b.fail("billed-exactly-once", "%s still has %d own bills and %d copies for others", p.member.ID, own, held)
 		}
 	}
-	b.intact()
+	b.checkViolation()
 }
 
-// A caller has its whole answer, then the entry is lost, or the holder, while
-// the log is out, slow or loses its answers. Each request that was answered
-// must still have one bill, with its own cost.
+// Guards against lost, repeated and mixed-up bills: after a complete answer the entry or the other
+// holder is lost while the log is down, slow or loses its replies. Each answered request must have
+// exactly one bill, with its own cost.
 func TestReleasedRequestsAreBilledExactlyOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		bound := rapid.SampledFrom([]int{4, 20, 100, 1000}).Draw(t, "bound")
-		b := &billing{fleet: newFleet(rapid.Uint64().Draw(t, "seed"), 3, 2, bound), t: t}
+		b := &billingMachine{fleet: newFleet(rapid.Uint64().Draw(t, "seed"), 3, 2, bound), t: t}
 		t.Repeat(map[string]func(*rapid.T){
 			"serve":  func(*rapid.T) { b.serve() },
 			"serve2": func(*rapid.T) { b.serve() },
 			"wait":   func(*rapid.T) { b.wait() },
 			"wait2":  func(*rapid.T) { b.wait() },
-			"lose":   func(*rapid.T) { b.lose() },
-			"stop":   func(*rapid.T) { b.stop() },
+			"lose":   func(*rapid.T) { b.crash() },
+			"stop":   func(*rapid.T) { b.stopPlanned() },
 			"pause":  func(*rapid.T) { b.pause() },
-			"outage": func(*rapid.T) { b.outage() },
-			"answer": func(*rapid.T) { b.loseAnswers() },
-			"late":   func(*rapid.T) { b.lateAppends() },
-			"":       func(*rapid.T) { b.intact() },
+			"outage": func(*rapid.T) { b.toggleLog() },
+			"answer": func(*rapid.T) { b.loseReplies() },
+			"late":   func(*rapid.T) { b.delayAppends() },
+			"":       func(*rapid.T) { b.checkViolation() },
 		})
 		b.settle()
 	})
 }
 
-// The log takes appends and loses their answers. A journal that sent them again
-// unseen would put every such batch on the log twice; one that reads the log
-// first puts none.
+// Guards against repeated bills when the log takes an append but its reply is lost. A batcher that
+// resent the batch without reading the log first would append every such batch twice.
 func TestLostAnswersPutNoBillOnTheLogTwice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(rapid.Uint64().Draw(t, "seed"), 3, 1, 1000)
 		for i := range 60 {
-			f.request(f.procs[i%3], fmt.Sprintf("request-%d", i))
-			f.lose += rapid.IntRange(0, 1).Draw(t, "lose")
+			f.request(f.processes[i%3], fmt.Sprintf("request-%d", i))
+			f.lostReplies += rapid.IntRange(0, 1).Draw(t, "lose")
 			f.advance(200)
 		}
-		f.advance(recovery)
-		if repeats := f.check(); repeats > 0 || f.broken != "" {
-			t.Fatalf("lost-answer-is-read-back: %d bills stand on the log again; %s", repeats, f.broken)
+		f.advance(recoveryTime)
+		if repeats := f.checkBilled(); repeats > 0 || f.violation != "" {
+			t.Fatalf("lost-answer-is-read-back: %d repeated bills on the log; %s", repeats, f.violation)
 		}
 	})
 }
--- a/proof/claim_test.go
+++ b/proof/claim_test.go
@@ -13,104 +13,105 @@
 	"pgregory.net/rapid"
 )
 
-// doorBound is small, so that attempts fall out of the endpoint's memory.
-const doorBound = 6
+// trackerBound is small, so that the endpoint's tracker evicts attempts.
+const trackerBound = 6
 
-// door is an endpoint with its real memory of attempts. A restart forgets all
-// and begins a new epoch.
-type door struct {
-	vm     string
-	epoch  uint64
-	memory *answer.AttemptTracker
-	kept   map[string]bool
+// endpoint is an endpoint with the production attempt tracker. A restart clears it and starts a new
+// epoch.
+type endpoint struct {
+	vm       string
+	epoch    uint64
+	tracker  *answer.AttemptTracker
+	retained map[string]bool
 }
 
-func (d *door) restart() {
-	d.epoch++
-	d.memory, d.kept = answer.NewAttemptTracker(doorBound), make(map[string]bool)
+func (ep *endpoint) restart() {
+	ep.epoch++
+	ep.tracker, ep.retained = answer.NewAttemptTracker(trackerBound), make(map[string]bool)
 }
 
-// keeper is a process that makes claims: the real batcher and the real state.
-type keeper struct {
-	c        *calls
+// claimer is a process that makes claims, with the production batcher and claim state.
+type claimer struct {
+	machine  *callMachine
 	batcher  *batch.Batcher
 	state    *claim.State
 	waiting  map[string]func(offset int64)
 	pausedTo clock.Millis
 }
 
-// calls is the state machine of keyed calls that may not run twice.
-type calls struct {
-	*world
-	t       *rapid.T
-	doors   []*door
-	keepers []*keeper
-	n       int
-	// runs counts how often each key's call ran.
+// callMachine is the state machine for calls with a key, which must not run twice.
+type callMachine struct {
+	*simulation
+	t         *rapid.T
+	endpoints []*endpoint
+	claimers  []*claimer
+	lastID    int
+	// runs counts the runs of the call of each key.
 	runs map[string]int
-	// said holds the attempts of which a caller was told "not run".
-	said   []string
-	began  map[string]bool
-	broken string
-	served int
+	// notRun holds the attempts that were reported to the entry as not run.
+	notRun    []string
+	started   map[string]bool
+	violation string
+	replayed  int
 }
 
 const claimStream = "claims-0"
 
-func newCalls(t *rapid.T) *calls {
-	c := &calls{world: newWorld(rapid.Uint64().Draw(t, "seed")), t: t, runs: make(map[string]int), began: make(map[string]bool)}
+func newCallMachine(t *rapid.T) *callMachine {
+	c := &callMachine{simulation: newSimulation(rapid.Uint64().Draw(t, "seed")), t: t, runs: make(map[string]int), started: make(map[string]bool)}
 	for i := range 3 {
-		d := &door{vm: fmt.Sprintf("endpoint-%d", i)}
-		d.restart()
-		c.doors = append(c.doors, d)
-		c.boot(i)
+		ep := &endpoint{vm: fmt.Sprintf("endpoint-%d", i)}
+		ep.restart()
+		c.endpoints = append(c.endpoints, ep)
+		c.startEntry(i)
 	}
 	return c
 }
 
-// boot starts an entry, in the place of the one that was there.
-func (c *calls) boot(i int) {
-	c.n++
-	k := &keeper{c: c, batcher: batch.NewBatcher(fmt.Sprintf("entry-%d", c.n), 20), state: claim.NewState(0, claim.MaxKeys), waiting: make(map[string]func(int64))}
-	if i == len(c.keepers) {
-		c.keepers = append(c.keepers, k)
+// startEntry starts an entry at index i and drops the one that was there.
+func (c *callMachine) startEntry(i int) {
+	c.lastID++
+	cl := &claimer{machine: c, batcher: batch.NewBatcher(fmt.Sprintf("entry-%d", c.lastID), 20), state: claim.NewState(0, claim.MaxKeys), waiting: make(map[string]func(int64))}
+	if i == len(c.claimers) {
+		c.claimers = append(c.claimers, cl)
 	} else {
-		c.keepers[i] = k
+		c.claimers[i] = cl
 	}
-	k.tick()
+	cl.tick()
 }
 
-func (k *keeper) alive() bool {
-	for _, x := range k.c.keepers {
-		if x == k {
+// current reports whether the entry is running, that is, not replaced.
+func (cl *claimer) current() bool {
+	for _, x := range cl.machine.claimers {
+		if x == cl {
 			return true
 		}
 	}
 	return false
 }
 
-// do runs something in the entry, after its pause, unless it is gone.
-func (k *keeper) do(run func()) {
-	if k.alive() && k.c.now < k.pausedTo {
-		k.c.after(k.pausedTo-k.c.now, func() { k.do(run) })
+// do runs a function in the entry once it is not paused, or never if the entry has been replaced.
+func (cl *claimer) do(run func()) {
+	if cl.current() && cl.machine.now < cl.pausedTo {
+		cl.machine.after(cl.pausedTo-cl.machine.now, func() { cl.do(run) })
 		return
 	}
-	if k.alive() {
+	if cl.current() {
 		run()
 	}
 }
 
-func (k *keeper) tick() {
-	if !k.alive() {
+func (cl *claimer) tick() {
+	if !cl.current() {
 		return
 	}
-	k.do(func() { k.post(batch.Tick{Now: k.c.now}) })
-	k.c.after(200, k.tick)
+	cl.do(func() { cl.updateBatcher(batch.Tick{Now: cl.machine.now}) })
+	cl.machine.after(200, cl.tick)
 }
 
-func (k *keeper) post(e batch.Event) {
-	c := k.c
-	for _, x := range k.batcher.Reduce(e) {
+func (cl *claimer) updateBatcher(e batch.Event) {
+	c := cl.machine
+	for _, x := range cl.batcher.Reduce(e) {
 		switch x := x.(type) {
 		case batch.Append:
 			data, err := batch.Encode(x.Batch, x.Entries)
@@ -118,23 +119,23 @@
 				panic(err)
 			}
 			c.append(claimStream, data, func(offset int64, unknown bool) {
-				k.do(func() {
+				cl.do(func() {
 					if offset >= 0 {
-						k.post(batch.Appended{Now: c.now, Batch: x.Batch, Offset: offset})
+						cl.updateBatcher(batch.Appended{Now: c.now, Batch: x.Batch, Offset: offset})
 						return
 					}
-					k.post(batch.Failed{Now: c.now, Batch: x.Batch, Unknown: unknown})
+					cl.updateBatcher(batch.Failed{Now: c.now, Batch: x.Batch, Unknown: unknown})
 				})
 			})
 		case batch.Scan:
 			c.after(c.delay(30), func() {
 				page, err := c.read(claimStream, x.From)
-				k.do(func() { k.post(batch.Scanned{Now: c.now, Page: page, Err: err}) })
+				cl.do(func() { cl.updateBatcher(batch.Scanned{Now: c.now, Page: page, Err: err}) })
 			})
 		case batch.Done:
 			for _, id := range x.IDs {
-				if f := k.waiting[id]; f != nil {
-					delete(k.waiting, id)
+				if f := cl.waiting[id]; f != nil {
+					delete(cl.waiting, id)
 					f(x.Offset)
 				}
 			}
@@ -142,201 +143,201 @@
 	}
 }
 
-// call is one request with a key, at an entry.
+// call is one request with a key at an entry.
 type call struct {
-	k       *keeper
+	claimer *claimer
 	id, key string
 	round   uint32
 	attempt uint32
-	rounds  int
+	claims  int
 }
 
-func (c *calls) call() {
-	c.n++
-	k := c.keepers[rapid.IntRange(0, len(c.keepers)-1).Draw(c.t, "entry")]
-	r := &call{k: k, id: fmt.Sprintf("request-%d", c.n), key: fmt.Sprintf("key-%d", rapid.IntRange(0, 4).Draw(c.t, "key"))}
-	k.do(r.try)
+func (c *callMachine) newCall() {
+	c.lastID++
+	cl := c.claimers[rapid.IntRange(0, len(c.claimers)-1).Draw(c.t, "entry")]
+	r := &call{claimer: cl, id: fmt.Sprintf("request-%d", c.lastID), key: fmt.Sprintf("key-%d", rapid.IntRange(0, 4).Draw(c.t, "key"))}
+	cl.do(r.try)
 }
 
-// try makes the next attempt: a claim first.
+// try starts the next attempt with a claim.
 func (r *call) try() {
 	r.attempt++
-	d := r.k.c.doors[r.k.c.rng.IntN(3)]
-	r.claim(&wire.Claim{Key: []byte(r.key), Round: r.round + 1, Request: r.id, Attempt: r.attempt, Vm: d.vm, GateEpoch: d.epoch})
+	ep := r.claimer.machine.endpoints[r.claimer.machine.rng.IntN(3)]
+	r.claim(&wire.Claim{Key: []byte(r.key), Round: r.round + 1, Request: r.id, Attempt: r.attempt, Vm: ep.vm, GateEpoch: ep.epoch})
 }
 
 func (r *call) claim(x *wire.Claim) {
-	k := r.k
-	if r.rounds++; r.rounds > 6 {
+	cl := r.claimer
+	if r.claims++; r.claims > 6 {
 		return
 	}
 	id := fmt.Sprintf("%s/%d/%d", r.id, r.attempt, x.GetRound())
-	k.waiting[id] = func(offset int64) { r.look(x, offset) }
-	k.post(batch.Add{Now: k.c.now, Entries: []batch.Entry{{ID: id, Claim: x}}})
+	cl.waiting[id] = func(offset int64) { r.readClaims(x, offset) }
+	cl.updateBatcher(batch.Add{Now: cl.machine.now, Entries: []batch.Entry{{ID: id, Claim: x}}})
 }
 
-// look reads the log past the claim and sees what stands.
-func (r *call) look(x *wire.Claim, offset int64) {
-	k, c := r.k, r.k.c
-	for k.state.Next() <= offset {
-		page, err := c.read(claimStream, k.state.Next())
+// readClaims reads the log up to the claim at offset and looks up the holder of the key.
+func (r *call) readClaims(x *wire.Claim, offset int64) {
+	cl, c := r.claimer, r.claimer.machine
+	for cl.state.Next() <= offset {
+		page, err := c.read(claimStream, cl.state.Next())
 		if err != nil {
-			c.after(500, func() { k.do(func() { r.look(x, offset) }) })
+			c.after(500, func() { cl.do(func() { r.readClaims(x, offset) }) })
 			return
 		}
 		for _, rec := range page.Records {
-			k.state.Apply(rec.Offset, rec.Data)
+			cl.state.Apply(rec.Offset, rec.Data)
 		}
 	}
-	s, at, ok := k.state.Holder(x.GetKey())
+	holder, at, ok := cl.state.Holder(x.GetKey())
 	if !ok {
-		c.broken = "at-most-once: a claim on the log does not stand and nothing else does"
+		c.violation = "at-most-once: the key has a claim on the log but no holder"
 		return
 	}
-	// The caller's goroutine may be slow to hear of it.
-	c.after(c.delay(400), func() { k.do(func() { r.judge(x, s, at) }) })
+	// The caller's goroutine may be slow to run.
+	c.after(c.delay(400), func() { cl.do(func() { r.decide(x, holder, at) }) })
 }
 
-func (r *call) judge(x, s *wire.Claim, at int64) {
-	switch claim.Decide(x, s, r.round > 0) {
+func (r *call) decide(x, holder *wire.Claim, at int64) {
+	switch claim.Decide(x, holder, r.round > 0) {
 	case claim.Won:
 		r.round = x.GetRound()
 		r.dispatch(x, at)
 	case claim.NextRound:
-		r.next(x, s)
+		r.nextRound(x, holder)
 	case claim.QueryHolder:
-		r.ask(x, s, at)
+		r.revokeHolder(x, holder, at)
 	}
 }
 
-func (r *call) next(x, s *wire.Claim) {
+func (r *call) nextRound(x, holder *wire.Claim) {
 	r.attempt++
-	y := &wire.Claim{Key: x.GetKey(), Round: s.GetRound() + 1, Request: r.id, Attempt: r.attempt, Vm: x.GetVm(), GateEpoch: x.GetGateEpoch()}
-	r.claim(y)
+	newClaim := &wire.Claim{Key: x.GetKey(), Round: holder.GetRound() + 1, Request: r.id, Attempt: r.attempt, Vm: x.GetVm(), GateEpoch: x.GetGateEpoch()}
+	r.claim(newClaim)
 }
 
-func nameOf(x *wire.Claim) string {
+func attemptName(x *wire.Claim) string {
 	return fmt.Sprintf("%s/%d", x.GetRequest(), x.GetAttempt())
 }
 
-func (c *calls) door(vm string) *door {
-	for _, d := range c.doors {
-		if d.vm == vm {
-			return d
+func (c *callMachine) findEndpoint(vm string) *endpoint {
+	for _, ep := range c.endpoints {
+		if ep.vm == vm {
+			return ep
 		}
 	}
 	return nil
 }
 
-// dispatch sends the attempt to its endpoint, which may hear of it late. The
-// network may lose the answer.
+// dispatch sends the attempt to its endpoint, which may receive it late. The reply of a run that
+// started is lost.
 func (r *call) dispatch(x *wire.Claim, at int64) {
-	c := r.k.c
+	c := r.claimer.machine
 	c.after(c.delay(3000), func() {
-		d, name := c.door(x.GetVm()), nameOf(x)
+		ep, name := c.findEndpoint(x.GetVm()), attemptName(x)
 		a := answer.Attempt{Request: x.GetRequest(), Number: x.GetAttempt()}
-		run, ok := refusal.NotRun, d.epoch == x.GetGateEpoch()
+		run, ok := refusal.NotRun, ep.epoch == x.GetGateEpoch()
 		if ok {
-			run, ok = d.memory.Arrive(a, answer.Claim{Stream: claimStream, Offset: at})
+			run, ok = ep.tracker.Arrive(a, answer.Claim{Stream: claimStream, Offset: at})
 		}
-		full := c.rng.IntN(4) == 0
-		if ok && full {
-			d.memory.End(a)
+		gateFull := c.rng.IntN(4) == 0
+		if ok && gateFull {
+			ep.tracker.End(a)
 		}
-		if !ok || full {
-			r.refused(name, run)
+		if !ok || gateFull {
+			r.handleRefusal(name, run)
 			return
 		}
-		if !d.memory.Dispatch(a) {
+		if !ep.tracker.Dispatch(a) {
 			return
 		}
-		c.after(c.delay(2000), func() { d.memory.End(a) })
-		d.kept[name] = c.rng.IntN(2) == 0
-		c.began[name] = true
+		c.after(c.delay(2000), func() { ep.tracker.End(a) })
+		ep.retained[name] = c.rng.IntN(2) == 0
+		c.started[name] = true
 		c.runs[r.key]++
 		if c.runs[r.key] > 1 {
-			c.broken = fmt.Sprintf("at-most-once: the call with %s ran twice, last as %s", r.key, name)
+			c.violation = fmt.Sprintf("at-most-once: the call with key %s ran twice, last in attempt %s", r.key, name)
 		}
 	})
 }
 
-// refused is the gate's refusal: on "not run" the entry tries elsewhere.
-func (r *call) refused(name string, run refusal.Run) {
+// handleRefusal handles a refusal by the gate: the entry retries elsewhere if the attempt did not run.
+func (r *call) handleRefusal(name string, run refusal.Run) {
 	if run == refusal.NotRun {
-		r.k.c.said = append(r.k.c.said, name)
-		r.k.do(r.try)
+		r.claimer.machine.notRun = append(r.claimer.machine.notRun, name)
+		r.claimer.do(r.try)
 	}
 }
 
-// ask asks the endpoint that stands to refuse its attempt for ever.
-func (r *call) ask(x, s *wire.Claim, at int64) {
-	c, k := r.k.c, r.k
+// revokeHolder asks the endpoint of the holder to refuse the holder's attempt from now on.
+func (r *call) revokeHolder(x, holder *wire.Claim, at int64) {
+	c, cl := r.claimer.machine, r.claimer
 	c.after(c.delay(200), func() {
-		d, name := c.door(s.GetVm()), nameOf(s)
+		ep, name := c.findEndpoint(holder.GetVm()), attemptName(holder)
 		reply := &wire.RefuseReply{Run: wire.RunState_RUN_UNKNOWN}
-		run, _ := d.memory.Revoke(answer.Attempt{Request: s.GetRequest(), Number: s.GetAttempt()}, answer.Claim{Stream: claimStream, Offset: at})
+		run, _ := ep.tracker.Revoke(answer.Attempt{Request: holder.GetRequest(), Number: holder.GetAttempt()}, answer.Claim{Stream: claimStream, Offset: at})
 		switch {
 		case run == refusal.Ran:
-			reply.Run, reply.Kept = wire.RunState_RUN_RAN, d.kept[name]
-		case run == refusal.NotRun && d.epoch == s.GetGateEpoch():
+			reply.Run, reply.Kept = wire.RunState_RUN_RAN, ep.retained[name]
+		case run == refusal.NotRun && ep.epoch == holder.GetGateEpoch():
 			reply.Run = wire.RunState_RUN_NOT_RUN
 		}
 		c.after(c.delay(200), func() {
-			k.do(func() {
+			cl.do(func() {
 				switch claim.DecideFromReply(reply) {
 				case claim.NextRound:
-					c.said = append(c.said, name)
-					r.next(x, s)
+					c.notRun = append(c.notRun, name)
+					r.nextRound(x, holder)
 				case claim.Replay:
-					c.served++
+					c.replayed++
 				}
 			})
 		})
 	})
 }
 
-// intact is invariants at-most-once and not-run-is-true.
-func (c *calls) intact() {
-	if c.broken != "" {
-		c.t.Fatal(c.broken)
+// checkInvariants checks the invariants at-most-once and not-run-is-true.
+func (c *callMachine) checkInvariants() {
+	if c.violation != "" {
+		c.t.Fatal(c.violation)
 	}
-	for _, name := range c.said {
-		if c.began[name] {
-			c.t.Fatalf("not-run-is-true: %s was said not to have run, and ran", name)
+	for _, name := range c.notRun {
+		if c.started[name] {
+			c.t.Fatalf("not-run-is-true: attempt %s was reported as not run, but ran", name)
 		}
 	}
 }
 
-// A licence fee is posted with a key, the caller hears nothing and posts again
-// at another entry, while entries pause and vanish, endpoints restart, and the
-// log is out or loses answers. The service must not see the fee twice.
+// Guards against a call with a key, such as the payment of a fee, that runs twice: its caller gets no
+// reply and repeats it at another entry while entries pause or crash, endpoints restart, and the log
+// is down or loses replies.
 func TestKeyedCallRunsAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		c := newCalls(t)
+		c := newCallMachine(t)
 		t.Repeat(map[string]func(*rapid.T){
-			"call":  func(*rapid.T) { c.call() },
-			"call2": func(*rapid.T) { c.call() },
+			"call":  func(*rapid.T) { c.newCall() },
+			"call2": func(*rapid.T) { c.newCall() },
 			"wait":  func(*rapid.T) { c.advance(clock.Millis(rapid.Int64Range(1, 5000).Draw(t, "millis"))) },
 			"wait2": func(*rapid.T) { c.advance(clock.Millis(rapid.Int64Range(1, 500).Draw(t, "millis"))) },
 			"pause": func(*rapid.T) {
-				k := c.keepers[rapid.IntRange(0, 2).Draw(t, "entry")]
-				k.pausedTo = c.now + clock.Millis(rapid.Int64Range(100, 20000).Draw(t, "pause"))
+				cl := c.claimers[rapid.IntRange(0, 2).Draw(t, "entry")]
+				cl.pausedTo = c.now + clock.Millis(rapid.Int64Range(100, 20000).Draw(t, "pause"))
 			},
-			"crash":   func(*rapid.T) { c.boot(rapid.IntRange(0, 2).Draw(t, "entry")) },
-			"restart": func(*rapid.T) { c.doors[rapid.IntRange(0, 2).Draw(t, "endpoint")].restart() },
-			"outage":  func(*rapid.T) { c.down = !c.down },
-			"lose":    func(*rapid.T) { c.lose++ },
-			"late":    func(*rapid.T) { c.late++ },
-			"":        func(*rapid.T) { c.intact() },
+			"crash":   func(*rapid.T) { c.startEntry(rapid.IntRange(0, 2).Draw(t, "entry")) },
+			"restart": func(*rapid.T) { c.endpoints[rapid.IntRange(0, 2).Draw(t, "endpoint")].restart() },
+			"outage":  func(*rapid.T) { c.logDown = !c.logDown },
+			"lose":    func(*rapid.T) { c.lostReplies++ },
+			"late":    func(*rapid.T) { c.delayedAppends++ },
+			"":        func(*rapid.T) { c.checkInvariants() },
 		})
-		c.down = false
+		c.logDown = false
 		c.advance(clock.Minute)
-		c.intact()
+		c.checkInvariants()
 	})
 }
 
-// The log keeps claims of more keys than a process remembers. The oldest falls
-// out first, and memory stays within its bound.
+// Guards against unbounded memory when the log has claims of more keys than a process retains, and
+// against the eviction of a key that is among the latest claims.
 func TestClaimsAreBounded(t *testing.T) {
 	const bound = 8
 	rapid.Check(t, func(t *rapid.T) {
@@ -353,10 +354,10 @@
 			s.Apply(int64(o), data)
 			last = append(last, key)
 			if s.Keys() > bound {
-				t.Fatalf("claims-are-bounded: %d keys are remembered, %d allowed", s.Keys(), bound)
+				t.Fatalf("claims-are-bounded: %d keys are retained, %d allowed", s.Keys(), bound)
 			}
 			if _, _, ok := s.Holder([]byte(last[max(0, len(last)-bound)])); !ok {
-				t.Fatalf("claims-are-bounded: a key among the last %d claims fell out", bound)
+				t.Fatalf("claims-are-bounded: a key among the last %d claims was evicted", bound)
 			}
 		}
 	})
--- a/proof/config_test.go
+++ b/proof/config_test.go
@@ -14,57 +14,57 @@
 	"pgregory.net/rapid"
 )
 
-// reader is one process's configuration: the real table and checkpoint
-// reducers, and the point up to which it has read.
+// reader is one process that reads the configuration stream, with the production table and checkpoint
+// reducers and the offset that it reads next.
 type reader struct {
-	name     string
-	tables   table.State
-	saves    checkpoint.State
-	next     int64
-	revision int64
-}
-
-// configs is the state machine over a configuration stream with retention.
-type configs struct {
-	t       *rapid.T
-	now     clock.Millis
-	records [][]byte
-	written []clock.Millis
-	// first is the lowest offset that the log still keeps.
-	first   int64
-	readers []*reader
-	starts  int
-	changes int
-	// sent holds changes whose answer was lost: operators send them again.
+	name        string
+	tables      table.State
+	checkpoints checkpoint.State
+	next        int64
+	revision    int64
+}
+
+// configMachine is the state machine for a configuration stream with limited retention.
+type configMachine struct {
+	t         *rapid.T
+	now       clock.Millis
+	records   [][]byte
+	writtenAt []clock.Millis
+	// firstOffset is the lowest offset that the log still has.
+	firstOffset int64
+	readers     []*reader
+	starts      int
+	changes     int
+	// sent holds all published changes; operators may resend any of them.
 	sent [][]byte
-	// accepted holds the revision at which each change took effect.
+	// accepted maps the ID of a change to the revision at which it took effect.
 	accepted map[string]int64
-	// bases holds the revision on which each change was made.
+	// bases maps the ID of a change to the revision that it is based on.
 	bases map[string]int64
-	// quiet is true once operators publish nothing more.
-	quiet bool
+	// publishingEnded is true once operators publish no more changes.
+	publishingEnded bool
 }
 
 const retention = 3 * checkpoint.Interval
 
-func (c *configs) start() {
+func (c *configMachine) start() {
 	c.starts++
 	name := fmt.Sprintf("entry-%d", c.starts)
-	r := &reader{name: name, saves: checkpoint.NewState(name), revision: -1}
+	r := &reader{name: name, checkpoints: checkpoint.NewState(name), revision: -1}
 	c.readers = append(c.readers, r)
 	if len(c.readers) > 4 {
 		c.readers = c.readers[1:]
 	}
 }
 
-func (c *configs) append(data []byte) {
+func (c *configMachine) append(data []byte) {
 	c.records = append(c.records, data)
-	c.written = append(c.written, c.now)
+	c.writtenAt = append(c.writtenAt, c.now)
 }
 
-// publish sends a change made on a reader's revision, which may be old.
-func (c *configs) publish() {
-	r := c.pick()
+// publish appends a change based on the revision of a random reader, which may be outdated.
+func (c *configMachine) publish() {
+	r := c.anyReader()
 	c.changes++
 	base := r.tables.Revision()
 	c.bases[fmt.Sprintf("c%d", c.changes)] = base
@@ -85,41 +85,43 @@
 	c.sent = append(c.sent, []byte(change))
 }
 
-// again repeats a change whose answer was lost.
-func (c *configs) again() {
+// resend repeats an earlier change, as an operator does when the reply was lost.
+func (c *configMachine) resend() {
 	if len(c.sent) == 0 {
 		c.t.Skip("nothing was sent")
 	}
 	c.append(c.sent[rapid.IntRange(0, len(c.sent)-1).Draw(c.t, "again")])
 }
 
-func (c *configs) junk() {
+// appendJunk appends a record that is damaged or invalid.
+func (c *configMachine) appendJunk() {
 	c.append([]byte(rapid.SampledFrom([]string{
 		"", "\x00\xff", "id = 3", "kind = \"patch\"\nbase = 0\n", "id = \"x\"\nkind = \"other\"\n",
 		"kind = \"checkpoint\"\n", "kind = \"checkpoint\"\n[saved]\noffset = 9\nrevision = 99\n", strings.Repeat("#", table.MaxCheckpointBytes+1),
 	}).Draw(c.t, "junk")))
 }
 
-func (c *configs) pick() *reader {
+func (c *configMachine) anyReader() *reader {
 	return c.readers[rapid.IntRange(0, len(c.readers)-1).Draw(c.t, "reader")]
 }
 
-func (c *configs) read(r *reader, most int) {
-	r.next = max(r.next, c.first)
-	for range most {
+func (c *configMachine) read(r *reader, maxRecords int) {
+	r.next = max(r.next, c.firstOffset)
+	for range maxRecords {
 		if r.next >= int64(len(c.records)) {
 			return
 		}
 		o, ok := r.tables.Apply(r.next, c.records[r.next])
 		r.next++
 		if ok {
-			c.verdict(r, o)
+			c.checkOutcome(r, o)
 		}
 	}
 }
 
-// verdict is invariants never-reverts and accepted-once.
-func (c *configs) verdict(r *reader, o table.Outcome) {
+// checkOutcome checks the invariants never-reverts, checkpoint-moves-no-revision, accepted-once and
+// racing-changes-have-one-winner after a process has applied a record.
+func (c *configMachine) checkOutcome(r *reader, o table.Outcome) {
 	if r.tables.Revision() < r.revision {
 		c.t.Fatalf("never-reverts: %s went from revision %d to %d", r.name, r.revision, r.tables.Revision())
 	}
@@ -140,11 +142,11 @@
 	}
 }
 
-func (c *configs) readSome() { c.read(c.pick(), rapid.IntRange(1, 20).Draw(c.t, "records")) }
+func (c *configMachine) readSome() { c.read(c.anyReader(), rapid.IntRange(1, 20).Draw(c.t, "records")) }
 
-// ask lets one process import a peer's state, as it does when it cannot read.
-func (c *configs) ask() {
-	from, to := c.pick(), c.pick()
+// importState lets one process import a peer's state, as a process does when it cannot read the log.
+func (c *configMachine) importState() {
+	from, to := c.anyReader(), c.anyReader()
 	if saved, ok := from.tables.Checkpoint(); ok {
 		data, err := saved.Encode()
 		if err != nil {
@@ -155,13 +157,13 @@
 			c.t.Fatalf("import: %v", err)
 		}
 		to.tables.Import(got)
-		c.verdict(to, table.Outcome{})
+		c.checkOutcome(to, table.Outcome{})
 	}
 }
 
-// pass lets time go by in the minutes of the checkpoint reducers, with all
-// processes reading, and expires what is too old.
-func (c *configs) pass(minutes int) {
+// advance runs the given number of minutes. In each minute all processes read the stream and run their
+// checkpoint reducers, and the log drops records older than the retention.
+func (c *configMachine) advance(minutes int) {
 	var vms []provider.VM
 	for _, r := range c.readers {
 		vms = append(vms, provider.VM{ID: r.name, Role: provider.EntryRole})
@@ -170,34 +172,35 @@
 		c.now += clock.Minute
 		for _, r := range c.readers {
 			c.read(r, 1000)
-			r.saves.Reduce(event.VMsListed{VMs: vms}, &r.tables)
-			r.saves.Reduce(event.LogRead{Stream: provider.ConfigStream, Page: provider.Page{First: c.first}}, &r.tables)
-			for _, e := range r.saves.Reduce(event.Tick{Now: c.now}, &r.tables) {
-				// A change may land between a process's last read and its checkpoint.
-				if !c.quiet && rapid.IntRange(0, 2).Draw(c.t, "race") == 0 {
+			r.checkpoints.Reduce(event.VMsListed{VMs: vms}, &r.tables)
+			r.checkpoints.Reduce(event.LogRead{Stream: provider.ConfigStream, Page: provider.Page{First: c.firstOffset}}, &r.tables)
+			for _, e := range r.checkpoints.Reduce(event.Tick{Now: c.now}, &r.tables) {
+				// A change may be appended between a process's last read and its checkpoint.
+				if !c.publishingEnded && rapid.IntRange(0, 2).Draw(c.t, "race") == 0 {
 					c.publish()
 				}
 				c.append(e.(event.Append).Data)
 			}
 		}
-		for c.first < int64(len(c.records)) && c.now-c.written[c.first] > retention {
-			c.first++
+		for c.firstOffset < int64(len(c.records)) && c.now-c.writtenAt[c.firstOffset] > retention {
+			c.firstOffset++
 		}
 	}
 }
 
-// agree is invariant all-agree: processes that have read as far say the same.
-func (c *configs) agree() {
+// checkAgreement checks the invariant all-agree: processes that have read up to the same offset have
+// the same state.
+func (c *configMachine) checkAgreement() {
 	for i, a := range c.readers {
 		for _, b := range c.readers[:i] {
-			if a.tables.Offset() == b.tables.Offset() && !bytes.Equal(c.text(a), c.text(b)) {
-				c.t.Fatalf("all-agree: %s and %s differ at offset %d:\n%s\n---\n%s", a.name, b.name, a.tables.Offset(), c.text(a), c.text(b))
+			if a.tables.Offset() == b.tables.Offset() && !bytes.Equal(c.encode(a), c.encode(b)) {
+				c.t.Fatalf("all-agree: %s and %s differ at offset %d:\n%s\n---\n%s", a.name, b.name, a.tables.Offset(), c.encode(a), c.encode(b))
 			}
 		}
 	}
 }
 
-func (c *configs) text(r *reader) []byte {
+func (c *configMachine) encode(r *reader) []byte {
 	saved, ok := r.tables.Checkpoint()
 	if !ok {
 		return nil
@@ -209,44 +212,44 @@
 	return data
 }
 
-// settle is invariant in-force-everywhere: a process that starts at the end has
-// the revision of those that were there all along.
-func (c *configs) settle() {
-	c.quiet = true
-	c.pass(5)
+// settle checks the invariant in-force-everywhere: a process that starts at the end reaches the same
+// revision as those that were running before.
+func (c *configMachine) settle() {
+	c.publishingEnded = true
+	c.advance(5)
 	newest := int64(-1)
 	for _, r := range c.readers {
 		newest = max(newest, r.tables.Revision())
 	}
 	c.start()
-	c.pass(1)
+	c.advance(1)
 	for _, r := range c.readers {
 		if r.tables.Revision() != newest {
-			c.t.Fatalf("in-force-everywhere: %s has revision %d, the newest is %d (first kept %d)", r.name, r.tables.Revision(), newest, c.first)
+			c.t.Fatalf("in-force-everywhere: %s has revision %d, the newest is %d (first offset on the log %d)", r.name, r.tables.Revision(), newest, c.firstOffset)
 		}
 	}
-	c.agree()
+	c.checkAgreement()
 }
 
-// Operators race, lose answers and send again; records are damaged; processes
-// come, go and read at their own pace; the log drops what is older than its
-// retention. A process must never go back, and all must say the same.
+// Guards against a process that returns to an older revision and against processes that disagree.
+// Operators publish concurrently and resend changes, records are damaged, processes start, stop and
+// lag behind, and the log drops records older than its retention.
 func TestConfigurationNeverReverts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		c := &configs{t: t, accepted: make(map[string]int64), bases: make(map[string]int64)}
+		c := &configMachine{t: t, accepted: make(map[string]int64), bases: make(map[string]int64)}
 		for range 3 {
 			c.start()
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"publish":  func(*rapid.T) { c.publish() },
 			"publish2": func(*rapid.T) { c.publish() },
-			"again":    func(*rapid.T) { c.again() },
-			"junk":     func(*rapid.T) { c.junk() },
+			"again":    func(*rapid.T) { c.resend() },
+			"junk":     func(*rapid.T) { c.appendJunk() },
 			"read":     func(*rapid.T) { c.readSome() },
-			"ask":      func(*rapid.T) { c.ask() },
-			"pass":     func(*rapid.T) { c.pass(rapid.IntRange(1, 150).Draw(t, "minutes")) },
+			"ask":      func(*rapid.T) { c.importState() },
+			"pass":     func(*rapid.T) { c.advance(rapid.IntRange(1, 150).Draw(t, "minutes")) },
 			"start":    func(*rapid.T) { c.start() },
-			"":         func(*rapid.T) { c.agree() },
+			"":         func(*rapid.T) { c.checkAgreement() },
 		})
 		c.settle()
 	})
--- a/proof/fleet_test.go
+++ b/proof/fleet_test.go
@@ -1,5 +1,5 @@
-// Package proof drives many copies of the real reducers against an in-memory
-// log in virtual time and checks the promises as named invariants.
+// Package proof runs many copies of the production reducers against an in-memory log in virtual time
+// and checks the documented guarantees as named invariants.
 package proof
 
 import (
@@ -15,9 +15,9 @@
 )
 
 const (
-	placeEvery = 500 * clock.Millis(1)
-	// listLag is how long the VM list takes to show a crash or a start.
-	listLag = clock.Second
+	assignInterval = 500 * clock.Millis(1)
+	// listDelay is the time until the VM list shows a crash or a start.
+	listDelay = clock.Second
 )
 
 type timer struct {
@@ -41,73 +41,76 @@
 	return x
 }
 
-// world is virtual time, a seeded network and the platform's log.
-type world struct {
+// simulation provides virtual time, a network with seeded delays and the platform's log.
+type simulation struct {
 	rng     *rand.Rand
 	now     clock.Millis
 	seq     int
 	timers  timers
 	streams map[string][][]byte
-	// down refuses appends and reads; lose loses the answers of so many
-	// appends that take effect; late lets so many take effect only after their
-	// answer was given up.
-	down       bool
-	lose, late int
-	appends    int
+	// logDown makes the log refuse appends and reads. lostReplies is the number of coming appends
+	// that take effect but whose replies are lost, delayedAppends the number of those that take
+	// effect only after the caller has timed out.
+	logDown                     bool
+	lostReplies, delayedAppends int
+	appends                     int
 }
 
-func newWorld(seed uint64) *world {
-	return &world{rng: rand.New(rand.NewPCG(seed, 1)), streams: make(map[string][][]byte)}
+func newSimulation(seed uint64) *simulation {
+	return &simulation{rng: rand.New(rand.NewPCG(seed, 1)), streams: make(map[string][][]byte)}
 }
 
-func (w *world) after(d clock.Millis, run func()) {
-	w.seq++
-	heap.Push(&w.timers, timer{at: w.now + d, seq: w.seq, run: run})
+func (sim *simulation) after(d clock.Millis, run func()) {
+	sim.seq++
+	heap.Push(&sim.timers, timer{at: sim.now + d, seq: sim.seq, run: run})
 }
 
-func (w *world) advance(d clock.Millis) {
-	end := w.now + d
-	for len(w.timers) > 0 && w.timers[0].at <= end {
-		t := heap.Pop(&w.timers).(timer)
-		w.now = t.at
+func (sim *simulation) advance(d clock.Millis) {
+	end := sim.now + d
+	for len(sim.timers) > 0 && sim.timers[0].at <= end {
+		t := heap.Pop(&sim.timers).(timer)
+		sim.now = t.at
 		t.run()
 	}
-	w.now = end
+	sim.now = end
 }
 
-func (w *world) delay(most int64) clock.Millis { return 1 + clock.Millis(w.rng.Int64N(most)) }
+func (sim *simulation) delay(maxMillis int64) clock.Millis {
+	return 1 + clock.Millis(sim.rng.Int64N(maxMillis))
+}
 
-func (w *world) write(stream string, data []byte) int64 {
-	w.streams[stream] = append(w.streams[stream], data)
-	return int64(len(w.streams[stream]) - 1)
+func (sim *simulation) write(stream string, data []byte) int64 {
+	sim.streams[stream] = append(sim.streams[stream], data)
+	return int64(len(sim.streams[stream]) - 1)
 }
 
-// append ends with an offset, or with the answer lost, or refused.
-func (w *world) append(stream string, data []byte, end func(offset int64, unknown bool)) {
-	w.appends++
-	w.after(w.delay(30), func() {
+// append calls end with the offset of the record. If the append was refused or its reply lost, the
+// offset is -1; unknown then reports that the record may be on the log or still get there.
+func (sim *simulation) append(stream string, data []byte, end func(offset int64, unknown bool)) {
+	sim.appends++
+	sim.after(sim.delay(30), func() {
 		switch {
-		case w.down:
-			end(-1, w.rng.IntN(2) == 0)
-		case w.late > 0:
-			w.late--
-			w.after(w.delay(3000), func() { w.write(stream, data) })
+		case sim.logDown:
+			end(-1, sim.rng.IntN(2) == 0)
+		case sim.delayedAppends > 0:
+			sim.delayedAppends--
+			sim.after(sim.delay(3000), func() { sim.write(stream, data) })
 			end(-1, true)
-		case w.lose > 0:
-			w.lose--
-			w.write(stream, data)
+		case sim.lostReplies > 0:
+			sim.lostReplies--
+			sim.write(stream, data)
 			end(-1, true)
 		default:
-			end(w.write(stream, data), false)
+			end(sim.write(stream, data), false)
 		}
 	})
 }
 
-func (w *world) read(stream string, from int64) (p provider.Page, err error) {
-	if w.down {
+func (sim *simulation) read(stream string, from int64) (p provider.Page, err error) {
+	if sim.logDown {
 		return p, provider.ErrUnavailable.New("down")
 	}
-	all := w.streams[stream]
+	all := sim.streams[stream]
 	p.Head = int64(len(all))
 	for o := from; o < p.Head && len(p.Records) < 50; o++ {
 		p.Records = append(p.Records, provider.Record{Offset: o, Data: all[o]})
@@ -115,23 +118,23 @@
 	return p, nil
 }
 
-// process is one node's ledger and journal.
+// process is one node with its ledger and its batcher.
 type process struct {
-	f       *fleet
-	m       batch.Member
+	fleet   *fleet
+	member  batch.Member
 	ledger  *bill.Ledger
 	batcher *batch.Batcher
 	up      bool
 	leaving bool
 	lostAt  clock.Millis
-	// pausedTo holds back everything that happens to the process.
+	// pausedTo is when the process resumes; until then all its work is delayed.
 	pausedTo clock.Millis
 }
 
-// do runs something in the process, after its pause, unless it is gone.
+// do runs a function in the process once it is not paused, or never if the process has ended.
 func (p *process) do(run func()) {
-	if p.up && p.f.now < p.pausedTo {
-		p.f.after(p.pausedTo-p.f.now, func() { p.do(run) })
+	if p.up && p.fleet.now < p.pausedTo {
+		p.fleet.after(p.pausedTo-p.fleet.now, func() { p.do(run) })
 		return
 	}
 	if p.up {
@@ -139,121 +142,123 @@
 	}
 }
 
-// fleet is a set of processes over zones.
+// fleet is a set of processes in several zones.
 type fleet struct {
-	*world
-	procs  []*process
-	starts int
-	// released holds the cost of each request whose last piece went out.
+	*simulation
+	processes []*process
+	starts    int
+	// released maps each request whose last piece was sent to its cost.
 	released map[string]int64
-	// broken is the first invariant found broken.
-	broken string
-	bound  int
+	// violation describes the first violation of an invariant; empty means none.
+	violation string
+	bound     int
 }
 
 func newFleet(seed uint64, zones, perZone, bound int) *fleet {
-	f := &fleet{world: newWorld(seed), released: make(map[string]int64), bound: bound}
+	f := &fleet{simulation: newSimulation(seed), released: make(map[string]int64), bound: bound}
 	for i := range zones * perZone {
 		f.start(fmt.Sprintf("zone-%d", i%zones))
 	}
-	f.advance(2 * listLag)
+	f.advance(2 * listDelay)
 	return f
 }
 
 func (f *fleet) fail(invariant, format string, a ...any) {
-	if f.broken == "" {
-		f.broken = invariant + ": " + fmt.Sprintf(format, a...)
+	if f.violation == "" {
+		f.violation = invariant + ": " + fmt.Sprintf(format, a...)
 	}
 }
 
 func (f *fleet) start(zone string) {
 	f.starts++
 	id := fmt.Sprintf("vm-%d", f.starts)
-	p := &process{f: f, m: batch.Member{ID: id, Zone: zone, Region: "r", Entry: true}, up: true}
+	p := &process{fleet: f, member: batch.Member{ID: id, Zone: zone, Region: "r", Entry: true}, up: true}
 	p.ledger = bill.NewLedger(zone, f.bound)
 	p.batcher = batch.NewBatcher(id, 1)
-	f.procs = append(f.procs, p)
-	p.place()
+	f.processes = append(f.processes, p)
+	p.updateAssignment()
 }
 
-// place is the half-second round of a node.
-func (p *process) place() {
+// updateAssignment updates the assignment of a node from the listed members, every assignInterval.
+func (p *process) updateAssignment() {
 	if !p.up {
 		return
 	}
 	p.do(func() {
-		place := batch.NewAssignment(p.m, p.f.listed())
-		p.journal(batch.SetRate{Now: p.f.now, Rate: place.AppendRate()})
-		p.post(bill.MembersChanged{Now: p.f.now, Place: place})
+		assignment := batch.NewAssignment(p.member, p.fleet.listedMembers())
+		p.updateBatcher(batch.SetRate{Now: p.fleet.now, Rate: assignment.AppendRate()})
+		p.updateLedger(bill.MembersChanged{Now: p.fleet.now, Place: assignment})
 	})
-	p.f.after(placeEvery, p.place)
+	p.fleet.after(assignInterval, p.updateAssignment)
 }
 
-// listed is what the lagging VM list shows.
-func (f *fleet) listed() (members []batch.Member) {
-	for _, p := range f.procs {
+// listedMembers returns the members that the VM list shows.
+func (f *fleet) listedMembers() (members []batch.Member) {
+	for _, p := range f.processes {
 		if p.up && !p.leaving {
-			members = append(members, p.m)
+			members = append(members, p.member)
 		}
 	}
 	return members
 }
 
-func (f *fleet) find(id string) *process {
-	for _, p := range f.procs {
-		if p.m.ID == id {
+func (f *fleet) findProcess(id string) *process {
+	for _, p := range f.processes {
+		if p.member.ID == id {
 			return p
 		}
 	}
 	return nil
 }
 
-func (p *process) post(e bill.Event) (a bill.ReplyHold) {
+func (p *process) updateLedger(e bill.Event) (reply bill.ReplyHold) {
 	for _, x := range p.ledger.Reduce(e) {
 		switch x := x.(type) {
 		case bill.Append:
-			p.journal(batch.Add{Now: p.f.now, Entries: []batch.Entry{{ID: x.ID, Bill: x.Bill}}})
+			p.updateBatcher(batch.Add{Now: p.fleet.now, Entries: []batch.Entry{{ID: x.ID, Bill: x.Bill}}})
 		case bill.Withdraw:
-			p.journal(batch.Drop{IDs: x.IDs})
+			p.updateBatcher(batch.Drop{IDs: x.IDs})
 		case bill.Hold:
 			p.hold(x)
 		case bill.Release:
-			q := p.f.find(x.VM)
-			p.f.after(p.f.delay(50), func() { q.do(func() { q.post(bill.Released{Requests: x.Requests}) }) })
+			q := p.fleet.findProcess(x.VM)
+			p.fleet.after(p.fleet.delay(50), func() { q.do(func() { q.updateLedger(bill.Released{Requests: x.Requests}) }) })
 		case bill.Safe:
-			p.f.safe(p, x.Request)
+			p.fleet.release(p, x.Request)
 		case bill.ReplyHold:
-			a = x
+			reply = x
 		}
 	}
-	p.f.bounded(p)
-	return a
+	p.fleet.checkBound(p)
+	return reply
 }
 
 func (p *process) hold(x bill.Hold) {
-	f, q := p.f, p.f.find(x.VM)
+	f, q := p.fleet, p.fleet.findProcess(x.VM)
 	keeper := x.Keeper
 	if keeper == "" {
-		keeper = p.m.ID
+		keeper = p.member.ID
 	}
-	answered := false
-	answer := func(held bool) {
-		if !answered {
-			answered = true
-			p.do(func() { p.post(bill.HoldReplied{Now: f.now, Request: x.Bill.GetRequest(), VM: x.VM, Held: held}) })
+	replied := false
+	finish := func(held bool) {
+		if !replied {
+			replied = true
+			p.do(func() {
+				p.updateLedger(bill.HoldReplied{Now: f.now, Request: x.Bill.GetRequest(), VM: x.VM, Held: held})
+			})
 		}
 	}
 	f.after(f.delay(50), func() {
 		q.do(func() {
-			a := q.post(bill.HoldRequested{Now: f.now, Zone: x.Zone, Keeper: keeper, Bills: []*wire.Bill{x.Bill}})
-			f.after(f.delay(50), func() { answer(a.Held) })
+			reply := q.updateLedger(bill.HoldRequested{Now: f.now, Zone: x.Zone, Keeper: keeper, Bills: []*wire.Bill{x.Bill}})
+			f.after(f.delay(50), func() { finish(reply.Held) })
 		})
 	})
-	f.after(bill.HoldTimeout, func() { answer(false) })
+	f.after(bill.HoldTimeout, func() { finish(false) })
 }
 
-func (p *process) journal(e batch.Event) {
-	f := p.f
+func (p *process) updateBatcher(e batch.Event) {
+	f := p.fleet
 	for _, x := range p.batcher.Reduce(e) {
 		switch x := x.(type) {
 		case batch.Append:
@@ -264,44 +269,44 @@
 			f.append(provider.BillStream, data, func(offset int64, unknown bool) {
 				p.do(func() {
 					if offset >= 0 {
-						p.journal(batch.Appended{Now: f.now, Batch: x.Batch, Offset: offset})
+						p.updateBatcher(batch.Appended{Now: f.now, Batch: x.Batch, Offset: offset})
 						return
 					}
-					p.journal(batch.Failed{Now: f.now, Batch: x.Batch, Unknown: unknown})
+					p.updateBatcher(batch.Failed{Now: f.now, Batch: x.Batch, Unknown: unknown})
 				})
 			})
 		case batch.Scan:
 			f.after(f.delay(30), func() {
 				page, err := f.read(provider.BillStream, x.From)
-				p.do(func() { p.journal(batch.Scanned{Now: f.now, Page: page, Err: err}) })
+				p.do(func() { p.updateBatcher(batch.Scanned{Now: f.now, Page: page, Err: err}) })
 			})
 		case batch.Done:
-			p.post(bill.Stored{IDs: x.IDs})
+			p.updateLedger(bill.Stored{IDs: x.IDs})
 		}
 	}
 }
 
-// safe is where the last piece of an answer goes out. Invariant
-// released-bill-is-held-twice: it stands on the log or in two zones.
-func (f *fleet) safe(p *process, request string) {
+// release sends the last piece of an answer. It checks the invariant released-bill-is-held-twice: the
+// bill is on the log or has copies in two zones.
+func (f *fleet) release(p *process, request string) {
 	f.released[request] = costOf(request)
 	if f.onLog(request) {
 		return
 	}
 	zones := make(map[string]bool)
-	for _, q := range f.procs {
-		// A holder lost while its answer was on the way is a loss that the
-		// keeper makes good.
-		if (q.up || q.lostAt > 0 && f.now-q.lostAt <= bill.HoldTimeout) && q.keeps(request) {
-			zones[q.m.Zone] = true
+	for _, q := range f.processes {
+		// A holder that was lost while its reply was in transit counts: the keeper replaces its
+		// copy.
+		if (q.up || q.lostAt > 0 && f.now-q.lostAt <= bill.HoldTimeout) && q.contains(request) {
+			zones[q.member.Zone] = true
 		}
 	}
 	if len(zones) < 2 {
-		f.fail("released-bill-is-held-twice", "%s released by %s with copies in %d zones", request, p.m.ID, len(zones))
+		f.fail("released-bill-is-held-twice", "%s released by %s with copies in %d zones", request, p.member.ID, len(zones))
 	}
 }
 
-func (p *process) keeps(request string) bool { return p.ledger.Contains(request) }
+func (p *process) contains(request string) bool { return p.ledger.Contains(request) }
 
 func (f *fleet) onLog(request string) bool {
 	for _, data := range f.streams[provider.BillStream] {
@@ -318,15 +323,15 @@
 	return false
 }
 
-// bounded is invariant waiting-bills-are-bounded.
-func (f *fleet) bounded(p *process) {
+// checkBound checks the invariant waiting-bills-are-bounded.
+func (f *fleet) checkBound(p *process) {
 	own, held := p.ledger.Waiting()
 	if own+p.ledger.Reserved() > f.bound || held > f.bound {
-		f.fail("waiting-bills-are-bounded", "%s keeps %d own and %d others' bills, bound %d", p.m.ID, own, held, f.bound)
+		f.fail("waiting-bills-are-bounded", "%s has %d own bills and %d copies for others, bound %d", p.member.ID, own, held, f.bound)
 	}
 }
 
-// costOf makes a request's cost from its name.
+// costOf derives a request's cost from its ID.
 func costOf(request string) (cost int64) {
 	for _, c := range []byte(request) {
 		cost = cost*7 + int64(c)
@@ -334,7 +339,7 @@
 	return cost % 1000
 }
 
-// request runs one request at a process: a place, then a dispatch, then a bill.
+// request runs one request at a process: it reserves room for a bill, dispatches and then bills.
 func (f *fleet) request(p *process, id string) {
 	p.do(func() {
 		if p.ledger.Reserve() != nil {
@@ -343,15 +348,15 @@
 		f.after(f.delay(800), func() {
 			p.do(func() {
 				step := &wire.Step{Attempt: 1, Cost: costOf(id), Whole: true}
-				p.post(bill.Finish{Now: f.now, Reserved: true, Bill: &wire.Bill{Request: id, Organisation: "o", Route: "r", Steps: []*wire.Step{step}}})
+				p.updateLedger(bill.Finish{Now: f.now, Reserved: true, Bill: &wire.Bill{Request: id, Organisation: "o", Route: "r", Steps: []*wire.Step{step}}})
 			})
 		})
 	})
 }
 
-// check is invariant billed-exactly-once over all released requests, to be
-// looked at when the log has been up for a while.
-func (f *fleet) check() (repeats int64) {
+// checkBilled checks the invariant billed-exactly-once for all released requests and returns the number
+// of repeated bills on the log. The log must have been up long enough to take all waiting bills.
+func (f *fleet) checkBilled() (repeats int64) {
 	s := bill.NewStatement()
 	for o, data := range f.streams[provider.BillStream] {
 		s.Add(int64(o), data)
