--- a/bench/quality.go
+++ b/bench/quality.go
@@ -140,7 +140,7 @@
 		judgeScore = 1 - judgeScore
 	}
 	passed := judgeScore >= r.c.target
-	r.reduce(event.Judged{Now: now, Route: "route", Version: p.First, Organisation: "o", Score: judgeScore, Passed: passed})
+	r.reduce(event.CascadeRated{Now: now, Route: "route", Version: p.First, Organisation: "o", Score: judgeScore, Passed: passed})
 	if !passed {
 		r.totalCost += r.versionCost(p.Second)
 		score = r.drawScore(p.Second)
--- a/bench/rollout.go
+++ b/bench/rollout.go
@@ -189,15 +189,15 @@
 	}
 	if failed {
 		r.schedule(r.now+failureDelay, func() {
-			r.reduce(e, event.Observed{Now: r.now, Route: "dossier", Version: version, Organisation: org, Failed: true})
+			r.reduce(e, event.AttemptEnded{Now: r.now, Route: "dossier", Version: version, Organisation: org, Failed: true})
 		})
 		return
 	}
 	r.schedule(r.now+firstTokenDelay, func() {
-		r.reduce(e, event.Begun{Now: r.now, Route: "dossier", Version: version, Organisation: org})
+		r.reduce(e, event.AnswerStarted{Now: r.now, Route: "dossier", Version: version, Organisation: org})
 	})
 	r.schedule(r.now+answerDuration, func() {
-		r.reduce(e, event.Observed{Now: r.now, Route: "dossier", Version: version, Organisation: org})
+		r.reduce(e, event.AttemptEnded{Now: r.now, Route: "dossier", Version: version, Organisation: org})
 	})
 	knownRatings := int64(0)
 	if version == oldVersion {
--- a/bench/zone.go
+++ b/bench/zone.go
@@ -105,10 +105,10 @@
 
 // updateView applies the tables now in force to an entry.
 func (r *zoneRun) updateView(e *zoneEntry) {
-	t := &table.Tables{Pools: map[string]table.Pool{choicePool: {ColdWindow: coldSlots, FullWindow: zoneSlots}}, Zones: map[string]table.Site{}}
+	t := &table.Tables{Pools: map[string]table.Pool{choicePool: {ColdWindow: coldSlots, FullWindow: zoneSlots}}, Zones: map[string]table.Location{}}
 	for name, out := range r.zonesOut {
 		if out {
-			t.Zones[name] = table.Site{State: table.Out}
+			t.Zones[name] = table.Location{State: table.Out}
 		}
 	}
 	m := r.members.Members()
--- a/cli/account_test.go
+++ b/cli/account_test.go
@@ -11,7 +11,7 @@
 
 // Of two logs one was rotated away. The account rests on the other and says so; with
 // none left it fails, since an empty account would look like a quiet hour.
-func TestAccountNamesLogsThatCannotBeRead(t *testing.T) {
+func TestAccountReportsUnreadableLogs(t *testing.T) {
 	is := is.New(t)
 	dir := t.TempDir()
 	path := filepath.Join(dir, "entry.log")
--- a/cli/bills_test.go
+++ b/cli/bills_test.go
@@ -42,7 +42,7 @@
 // The log has dropped its first bills, a takeover wrote one bill twice, and two
 // processes gave another two costs. Operators get one bill a request and a
 // command that fails, so that a script notices.
-func TestBillsReducesTheStreamAndNamesAnomalies(t *testing.T) {
+func TestBillsMergesRecordsAndReportsAnomalies(t *testing.T) {
 	is := is.New(t)
 	config := []byte("id=\"a\"\nauthor=\"ops\"\nkind=\"whole\"\nbase=-1\n[tables.organisations.desk]\nweight=1\n")
 	stream := [][]byte{nil, billRecord(t, "r1", 5), billRecord(t, "r2", 7), billRecord(t, "r1", 5)}
--- a/cli/burn_test.go
+++ b/cli/burn_test.go
@@ -12,7 +12,7 @@
 // An operator asks for the burn while one entry of the list is gone. Its
 // requests are not in the figures; a report that kept that quiet would look
 // better than the service was.
-func TestBurnSumsEntriesAndNamesMissing(t *testing.T) {
+func TestBurnSumsEntriesAndListsMissing(t *testing.T) {
 	is := is.New(t)
 	d := startDemo(t, "quality-target = 0.9\n", "quality-target = 0.9\nobjective = { availability = 0.99, first-token = \"10s\", target = 0.95 }\n")
 	for range 3 {
--- a/cli/decision_test.go
+++ b/cli/decision_test.go
@@ -71,7 +71,7 @@
 // Endpoints read the log later than the entries, as on a busy machine. The demo said
 // that it was ready once entries could name a route, and its first caller got 503:
 // no endpoint had its tables yet, and each refused.
-func TestDemoIsReadyWhenItsEndpointsAre(t *testing.T) {
+func TestDemoWaitsForEndpoints(t *testing.T) {
 	is := is.New(t)
 	d := startSlowDemo(t, 400*time.Millisecond)
 	_, status, err := d.answerTo(t.Context(), "dossier", "")
@@ -122,7 +122,7 @@
 // The cheap version's answer is poor, and the dear version's engines take nothing.
 // The caller gets no answer, but the first version ran and is billed: "not run"
 // would be false, and a caller that believed it would not look for the bill.
-func TestFailedEscalationSaysThatItRan(t *testing.T) {
+func TestFailedEscalationReportsRan(t *testing.T) {
 	is := is.New(t)
 	d := startDemo(t, "quality-target = 0.9", cascadeRoute)
 	d.platform.SetQuality("small@1", 0)
@@ -201,7 +201,7 @@
 // All engines refuse. Each request could try four times, and the engines would
 // get four times the load while they are down. Callers must hear at once that
 // nothing ran and when to come back, after no more tries than the budget allows.
-func TestDryPoolGetsNoRetryStorm(t *testing.T) {
+func TestRefusingPoolGetsNoRetryStorm(t *testing.T) {
 	is := is.New(t)
 	d := startDemo(t)
 	for _, e := range d.engines {
--- a/cli/demo_test.go
+++ b/cli/demo_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 )
 
-func TestDemoServesEachRouteWithOneBill(t *testing.T) {
+func TestDemoBillsEachRequestOnce(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
 	is.NoErr(Demo(t.Context(), &out))
--- a/cli/example_test.go
+++ b/cli/example_test.go
@@ -23,7 +23,7 @@
 
 // The examples are what a new site starts from. One that does not load, or
 // whose parts do not fit together, would fail at its first start.
-func TestExamplesFitTogether(t *testing.T) {
+func TestExamplesAreConsistent(t *testing.T) {
 	for _, site := range []string{"vakif", "capricorn"} {
 		t.Run(site, func(t *testing.T) {
 			is := is.New(t)
--- a/cli/limit_test.go
+++ b/cli/limit_test.go
@@ -47,7 +47,7 @@
 // Callers send what the entry cannot serve: too large, too slow, cut, unknown.
 // Each must hear why in a typed error that says "not run", no engine may see
 // any of it, and the entry must serve the next caller as before.
-func TestUnfitRequestsGetTypedErrors(t *testing.T) {
+func TestInvalidRequestsGetTypedErrors(t *testing.T) {
 	is := is.New(t)
 	l := startLocal(t, localShape{tokens: 1}, func(l *local) {
 		l.adjust = func(s *settings.Settings) {
@@ -87,7 +87,7 @@
 
 // A caller asks for a long answer and then reads nothing of it. Its request
 // must end, or the endpoint's place stays taken for as long as it likes.
-func TestCallerThatReadsNothingLosesItsPlace(t *testing.T) {
+func TestRequestOfStalledReaderEnds(t *testing.T) {
 	is := is.New(t)
 	l := startLocal(t, localShape{gap: 0, tokens: 5_000_000}, func(l *local) {
 		l.adjust = func(s *settings.Settings) { s.Entry.WriteTimeout = 200 * clock.Millis(1) }
@@ -108,7 +108,7 @@
 	is.NoErr(until(t.Context(), func() bool { return running() == 0 }))
 }
 
-func TestServicesTakeAnyMethodAndPath(t *testing.T) {
+func TestServicesAcceptAnyMethodAndPath(t *testing.T) {
 	is := is.New(t)
 	l := startLocal(t, localShape{tokens: 1})
 	raw := fmt.Sprintf("PROPFIND /v1/services/records/a%%2Fb?depth=1 HTTP/1.1\r\nHost: e\r\nAuthorization: Bearer %s\r\n\r\n", demoKey)
@@ -120,7 +120,7 @@
 // A service's only endpoint is out, so a call is refused before its body was
 // read. The next caller on the same connection must be answered too: net/http
 // panics there unless the connection is closed.
-func TestConnectionOutlivesACallRefusedBeforeItsBody(t *testing.T) {
+func TestConnectionSurvivesCallRefusedBeforeBodyIsRead(t *testing.T) {
 	is := is.New(t)
 	l := startLocal(t, localShape{tokens: 1})
 	_, err := l.publishFile(write(t, "kind = \"patch\"\n[tables.vms.records-0]\nstate = \"out\"\n"), "20s")
--- a/cli/openai_test.go
+++ b/cli/openai_test.go
@@ -25,7 +25,7 @@
 	}
 }
 
-func TestOpenAIClientGetsAWholeAnswer(t *testing.T) {
+func TestOpenAIClientGetsCompleteAnswer(t *testing.T) {
 	is := is.New(t)
 	l := startLocal(t, localShape{first: 1, gap: 1, tokens: 5})
 	c := l.openaiClient(demoKey)
@@ -56,7 +56,7 @@
 	is.Equal(acc.Usage.CompletionTokens, int64(5))
 }
 
-func TestOpenAIClientSeesItsModelsOnly(t *testing.T) {
+func TestOpenAIClientListsOnlyItsModels(t *testing.T) {
 	is := is.New(t)
 	l := startLocal(t, localShape{tokens: 1}, func(l *local) {
 		l.tables = slices.Concat(demoTables, []byte(otherOrganisation))
@@ -107,7 +107,7 @@
 // Every engine of the pool breaks its stream after the first tokens. The caller
 // has part of an answer already; the client must report an error, never a
 // short answer that looks whole.
-func TestOpenAIClientSeesABrokenStreamAsAnError(t *testing.T) {
+func TestOpenAIClientReportsBrokenStream(t *testing.T) {
 	is := is.New(t)
 	l := startLocal(t, localShape{first: 1, gap: 1, tokens: 9})
 	for _, e := range l.engines {
--- a/cli/operator_test.go
+++ b/cli/operator_test.go
@@ -69,7 +69,7 @@
 
 // Two operators edit what `tables` printed. The second one's file would undo
 // the first one's change; its base is no longer current, so it is rejected.
-func TestTablesCanBeEditedAndPublishedOnce(t *testing.T) {
+func TestPublishRejectsEditOfOutdatedTables(t *testing.T) {
 	is := is.New(t)
 	l := startLocal(t, localShape{tokens: 2})
 	var printed bytes.Buffer
@@ -95,7 +95,7 @@
 	is.Equal(strings.Count(out.String(), "0/"), 5) // the windows of five endpoints
 }
 
-func TestCheckNamesFileLineAndKeyOfTables(t *testing.T) {
+func TestCheckReportsFileLineAndKeyOfTables(t *testing.T) {
 	is := is.New(t)
 	path := write(t, "kind = \"whole\"\n[tables.pools.small]\ncold-window = 2\nfull-window = 1\nversions = [\"x@1\"]\n")
 	err := (&checkCommand{Tables: []string{path}}).check()
--- a/cli/secure_test.go
+++ b/cli/secure_test.go
@@ -57,7 +57,7 @@
 // All interfaces speak TLS. Callers and operators get their answers, and a
 // process that has no certificate of the system can neither ask a peer nor
 // place an order at a gate.
-func TestWholeSystemOverTLS(t *testing.T) {
+func TestSystemOverTLS(t *testing.T) {
 	is := is.New(t)
 	files, pool := selfSigned(t)
 	l := startLocal(t, localShape{tokens: 3}, func(l *local) {
@@ -67,7 +67,7 @@
 		is.NoErr(err)
 		l.watch = &http.Client{Transport: &http.Transport{TLSClientConfig: &tls.Config{RootCAs: pool, Certificates: []tls.Certificate{own}}}}
 		l.adjust = func(s *settings.Settings) {
-			s.TLS = settings.TLS{ReloadEvery: 100, Peers: files}
+			s.TLS = settings.TLS{ReloadInterval: 100, Peers: files}
 			s.TLS.Callers = settings.Certificate{Certificate: files.Certificate, Key: files.Key}
 			s.TLS.Operators = files
 		}
--- a/cli/standin.go
+++ b/cli/standin.go
@@ -28,9 +28,9 @@
 
 type engineStandin struct {
 	listener
-	First  string `long:"first-token" default:"200ms" description:"span before the first token"`
-	Gap    string `long:"token-gap" default:"20ms" description:"span between tokens"`
-	Tokens int    `long:"tokens" default:"64" description:"length of every answer in tokens"`
+	FirstToken string `long:"first-token" default:"200ms" description:"span before the first token"`
+	TokenGap   string `long:"token-gap" default:"20ms" description:"span between tokens"`
+	Tokens     int    `long:"tokens" default:"64" description:"length of every answer in tokens"`
 }
 
 type plainStandin struct{ listener }
@@ -120,10 +120,10 @@
 
 func (c *engineStandin) serve(ctx context.Context, _ []string) (err error) {
 	var first, gap clock.Millis
-	if err = first.UnmarshalText([]byte(c.First)); err != nil {
+	if err = first.UnmarshalText([]byte(c.FirstToken)); err != nil {
 		return fmt.Errorf("standin: --first-token: %w: %w", err, errUsage)
 	}
-	if err = gap.UnmarshalText([]byte(c.Gap)); err != nil {
+	if err = gap.UnmarshalText([]byte(c.TokenGap)); err != nil {
 		return fmt.Errorf("standin: --token-gap: %w: %w", err, errUsage)
 	}
 	return c.handle(ctx, standin.NewEngine(first, gap, c.Tokens).Handler())
--- a/daemon/daemon_test.go
+++ b/daemon/daemon_test.go
@@ -9,7 +9,7 @@
 )
 
 // Scripts that install and watch a site go by exit codes alone.
-func TestExitCodesOfTheDaemons(t *testing.T) {
+func TestExitCodes(t *testing.T) {
 	is := is.New(t)
 	for _, daemon := range []func([]string) int{Entry, Endpoint} {
 		is.Equal(daemon([]string{"--help"}), exitOK)
--- a/daemon/direct.go
+++ b/daemon/direct.go
@@ -47,7 +47,7 @@
 	path     string
 	settings settings.Settings
 	log      *log.Logger
-	book     *logbook.Book
+	book     *logbook.Writer
 	clock    clock.Clock
 	loop     *site.Loop
 	server   *relay.Server
@@ -94,7 +94,7 @@
 		const megabyte = 1 << 20
 		debug.SetMemoryLimit(int64(memoryPart * float64(s.Direct.Memory) * megabyte))
 	}
-	ways, err := decision.Choose(s.Decisions.Ways)
+	ways, err := decision.Choose(s.Decisions.Strategies)
 	if err != nil {
 		return nil, err
 	}
@@ -121,8 +121,8 @@
 	})
 	d.server = relay.New(relay.Config{
 		Clock: d.clock, Log: d.log, Dialect: platform.Dialect(), View: d.loop.View, Started: d.loop.Started(), Pool: upstream.NewPool(d.clock), Zone: s.Zone,
-		Strict: s.Direct.StrictKeys, KeyLease: s.Direct.KeyLease - leaseMargin, RetryRatio: s.Direct.RetryRatio, RetrySlack: s.Direct.RetrySlack, RetryWindow: s.Direct.RetrySpan,
-		ColdOverage: s.Direct.ColdOverage, ColdSlack: s.Direct.ColdSlack, SessionIdleTimeout: s.Direct.SessionLife, Strategies: ways,
+		Strict: s.Direct.StrictKeys, KeyLease: s.Direct.KeyLease - leaseMargin, RetryRatio: s.Direct.RetryRatio, RetrySlack: s.Direct.RetrySlack, RetryWindow: s.Direct.RetryWindow,
+		ColdOverage: s.Direct.ColdOverage, ColdSlack: s.Direct.ColdSlack, SessionIdleTimeout: s.Direct.SessionIdleTimeout, Strategies: ways,
 	})
 	return d, nil
 }
--- a/daemon/direct_test.go
+++ b/daemon/direct_test.go
@@ -19,7 +19,7 @@
 // A caller sends one request of each kind on a calm day, and tries to pass for
 // another organisation. It gets the endpoint's own answer, and the endpoint sees
 // the organisation of the key and never the key.
-func TestCalmRequests(t *testing.T) {
+func TestRequestsOfEachKind(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	w := newTown(t)
@@ -56,7 +56,7 @@
 
 // The small model thinks little of its answer. The caller sees only the large
 // model's; an answer in which the small one is confident is handed on.
-func TestUnsureAnswerIsAskedOfTheLargerModel(t *testing.T) {
+func TestLowConfidenceEscalatesToLargerModel(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	w := newTown(t)
@@ -84,7 +84,7 @@
 
 // An endpoint dies in the middle of an event. The stream goes on at another one
 // after the last whole event; the caller sees each event once.
-func TestBrokenStreamGoesOnElsewhere(t *testing.T) {
+func TestBrokenStreamResumesAtAnotherEndpoint(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	w := newTown(t)
@@ -110,7 +110,7 @@
 
 // A stream breaks at every endpoint. The caller must see that its answer is not
 // whole: the connection breaks without the mark of a complete body.
-func TestStreamThatCannotGoOnDoesNotLookWhole(t *testing.T) {
+func TestUnresumableStreamBreaksConnection(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	w := newTown(t)
@@ -126,7 +126,7 @@
 
 // An endpoint's kept connection brings an answer to somebody else's request
 // first, or one more after the own. Neither reaches a caller.
-func TestAnswersOfOtherRequestsReachNobody(t *testing.T) {
+func TestMisdirectedAnswersAreDiscarded(t *testing.T) {
 	t.Parallel()
 	for name, a := range map[string]standin.Reply{"foreign": {OtherAnswerFirst: true}, "surplus": {ExtraAnswer: true}, "unframed": {NoLength: true}} {
 		t.Run(name, func(t *testing.T) {
@@ -149,7 +149,7 @@
 
 // An endpoint takes a fee and its answer is lost. The caller gets a status that
 // promises nothing, and the fee is not taken a second time.
-func TestLostAnswerOfAFeeIsNotCalledUnrun(t *testing.T) {
+func TestLostNonIdempotentAnswerIsNotRetried(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	w := newTown(t)
@@ -165,7 +165,7 @@
 
 // All endpoints refuse a fee without running it. The caller is told so at once,
 // with the time to come back.
-func TestRefusalThatDidNotRunSaysSoAtOnce(t *testing.T) {
+func TestNotRunRefusalIsReturnedAtOnce(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	w := newTown(t)
@@ -184,7 +184,7 @@
 
 // A read runs into an endpoint that has fallen silent, and into one that fails.
 // It is asked elsewhere while it can still be in time.
-func TestReadsGoElsewhereInTime(t *testing.T) {
+func TestIdempotentRequestIsRetriedInTime(t *testing.T) {
 	t.Parallel()
 	for name, a := range map[string]standin.Reply{"silent": {Delay: 5 * time.Second}, "failing": {Status: 500}, "lost": {DropAnswer: true}, "unsigned": {NoSignature: true}} {
 		t.Run(name, func(t *testing.T) {
@@ -206,7 +206,7 @@
 
 // Every endpoint fails a read. The caller gets the endpoint's own failure,
 // unchanged and signed.
-func TestFailureOfAnEndpointIsHandedOnUnchanged(t *testing.T) {
+func TestEndpointFailureIsPassedThrough(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	w := newTown(t)
@@ -219,7 +219,7 @@
 
 // A caller closes its connection in the middle of a stream. The endpoint's work
 // is stopped at once.
-func TestEndpointStopsWhenTheCallerLeaves(t *testing.T) {
+func TestCallerDisconnectCancelsRun(t *testing.T) {
 	t.Parallel()
 	w := newTown(t)
 	pool := w.endpoint("i-1", "pool", "v1", always(standin.Reply{Events: 100, EventDelay: 100 * time.Millisecond, Confidence: 95}))
@@ -239,7 +239,7 @@
 
 // A request outlasts its route's bound. It is ended at the bound, not at the
 // caller's own deadline.
-func TestRequestEndsAtItsRoutesBound(t *testing.T) {
+func TestRequestEndsAtRouteTimeout(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	w := newTown(t)
@@ -256,7 +256,7 @@
 // A key is taken away while the store turns this entry away. The entry cannot
 // hear of it, so that it stops serving keyed requests before the key's time is
 // up, and serves them again when the store has confirmed the configuration.
-func TestKeysLapseWithoutTheStore(t *testing.T) {
+func TestKeyLeaseExpiresWithoutStore(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	w := newTown(t)
@@ -292,7 +292,7 @@
 // The store forgets its history while an entry reads it. The entry must read the
 // streams anew: one that asks for the forgotten records again and again would
 // stay on its old configuration for good, with routes unknown and keys expired.
-func TestForgottenRecordsAreReadAnew(t *testing.T) {
+func TestStreamsAreReadAgainAfterCompaction(t *testing.T) {
 	t.Parallel()
 	w := newTown(t)
 	w.endpoint("i-1", "app", "v1", nil)
@@ -313,7 +313,7 @@
 // Entries start at the same moment, before any has written its address. They must
 // find one another all the same: entries that do not know of each other each take
 // the whole bound of an endpoint in cold start, and judge upgrades alone.
-func TestEntriesThatStartTogetherFindOneAnother(t *testing.T) {
+func TestEntriesThatStartTogetherDiscoverEachOther(t *testing.T) {
 	t.Parallel()
 	w := newTown(t)
 	w.endpoint("i-1", "app", "v1", nil)
@@ -331,7 +331,7 @@
 
 // An endpoint says that it leaves, another's entry is removed. Both get nothing
 // new soon after.
-func TestLeavingEndpointsGetNothingNew(t *testing.T) {
+func TestLeavingEndpointsGetNoNewRequests(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	w := newTown(t)
@@ -353,7 +353,7 @@
 // Another writer puts entries into the store that name no endpoint, and takes
 // the name of one. The others go on being used and the bad ones are named in the
 // log.
-func TestBadEntriesNameNoEndpoint(t *testing.T) {
+func TestInvalidRegistrationsAreIgnored(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	w := newTown(t)
@@ -375,7 +375,7 @@
 
 // An entry is stopped while it streams and while a caller goes on using its
 // connection. It is not ready at once, ends what it has, and goes when it is idle.
-func TestPlannedStopCutsNothing(t *testing.T) {
+func TestPlannedStopFinishesRequests(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	w := newTown(t)
@@ -501,7 +501,7 @@
 // Endpoints turn slow under load while their streams go on. A request that waits
 // there is not taken elsewhere to the end of another queue: that would double the
 // work when there is least room for it.
-func TestSlowEndpointIsNotLeftForAnotherQueue(t *testing.T) {
+func TestRequestStaysQueuedAtSlowEndpoint(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	w := newTown(t)
@@ -545,7 +545,7 @@
 
 // A read's time is up while its last endpoint is silent. It is ended, and not sent
 // to the other endpoints with no time left, each of which would run it in vain.
-func TestNoAttemptIsMadeWithoutTimeLeft(t *testing.T) {
+func TestNoAttemptAfterTimeout(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	w := newTown(t)
@@ -566,7 +566,7 @@
 
 // The small model thinks little of its answer, but no endpoint has room for the
 // larger one. The caller gets the answer that there is, and not nothing.
-func TestPoorAnswerIsBetterThanNone(t *testing.T) {
+func TestLowConfidenceAnswerIsUsedWithoutLargerModel(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	w := newTown(t)
--- a/daemon/idle_test.go
+++ b/daemon/idle_test.go
@@ -17,7 +17,7 @@
 // Operators shorten the time for which callers' connections may stay idle. One that
 // is idle for longer is closed, while one whose answer is still being made goes on:
 // a caller that waits longer than the bound for its answer must get it.
-func TestIdleConnectionsEndByTheBoundInForce(t *testing.T) {
+func TestIdleTimeoutOfOpenConnectionsCanChange(t *testing.T) {
 	is := is.New(t)
 	var now atomic.Int64
 	now.Store(1000)
--- a/daemon/secure.go
+++ b/daemon/secure.go
@@ -15,12 +15,12 @@
 // Certificates holds the keepers of a process; one is nil where its interface
 // speaks plain TCP.
 type Certificates struct {
-	callers, operators, peers *certificate.Keeper
+	callers, operators, peers *certificate.Reloader
 }
 
 // OpenCertificates reads the certificates that the settings name.
 func OpenCertificates(s settings.TLS) (c Certificates, err error) {
-	open := func(files settings.Certificate) (k *certificate.Keeper) {
+	open := func(files settings.Certificate) (k *certificate.Reloader) {
 		if err != nil || files.Certificate == "" {
 			return nil
 		}
@@ -40,7 +40,7 @@
 }
 
 // secure speaks TLS on a listener if there is a certificate for it.
-func secure(k *certificate.Keeper, lis net.Listener) net.Listener {
+func secure(k *certificate.Reloader, lis net.Listener) net.Listener {
 	if k == nil {
 		return lis
 	}
@@ -48,9 +48,9 @@
 }
 
 // named returns the keepers by interface.
-func (c Certificates) named() map[string]*certificate.Keeper {
-	out := make(map[string]*certificate.Keeper)
-	for name, k := range map[string]*certificate.Keeper{"callers": c.callers, "operators": c.operators, "peers": c.peers} {
+func (c Certificates) named() map[string]*certificate.Reloader {
+	out := make(map[string]*certificate.Reloader)
+	for name, k := range map[string]*certificate.Reloader{"callers": c.callers, "operators": c.operators, "peers": c.peers} {
 		if k != nil {
 			out[name] = k
 		}
@@ -64,11 +64,11 @@
 		p.node.Metrics().GetOrCreateGauge(`parsleydeal_certificate_seconds_left{interface="`+name+`"}`, func() float64 {
 			return time.Until(k.NotAfter()).Seconds()
 		})
-		go k.Watch(ctx, p.settings.TLS.ReloadEvery, func(err error) { reportCertificate(p.log, name, k, err) })
+		go k.Watch(ctx, p.settings.TLS.ReloadInterval, func(err error) { reportCertificate(p.log, name, k, err) })
 	}
 }
 
-func reportCertificate(l *log.Logger, name string, k *certificate.Keeper, err error) {
+func reportCertificate(l *log.Logger, name string, k *certificate.Reloader, err error) {
 	if err != nil {
 		l.Error("New certificate is not taken, the old one goes on", "interface", name, "expires", k.NotAfter(), "error", logbook.Text(err))
 		return
--- a/daemon/statement_test.go
+++ b/daemon/statement_test.go
@@ -14,7 +14,7 @@
 
 // An endpoint that names a rate in its answers got as much as before, from first attempts,
 // further ones and resumptions of all entries.
-func TestEndpointGetsNoMoreThanTheRateItNames(t *testing.T) {
+func TestAdvertisedRateLimitIsKept(t *testing.T) {
 	t.Parallel()
 	const rate = 1.6
 	w := newTown(t)
@@ -42,7 +42,7 @@
 
 // The store is away, and an endpoint that leaves can say so in its answers only. Entries
 // went on sending to it, by first attempts, further ones and resumptions, until it was gone.
-func TestEndpointThatSaysItLeavesGetsNothingNew(t *testing.T) {
+func TestEndpointThatAdvertisesLeavingGetsNoNewRequests(t *testing.T) {
 	t.Parallel()
 	w := newTown(t)
 	begun := time.Now()
@@ -77,7 +77,7 @@
 
 // All endpoints of a service refuse with a time to come back, and each further request of an
 // entry found them again.
-func TestEndpointsThatAskForAPauseGetIt(t *testing.T) {
+func TestAdvertisedPauseIsKept(t *testing.T) {
 	t.Parallel()
 	const pause = time.Second
 	w := newTown(t)
--- a/logbook/logbook.go
+++ b/logbook/logbook.go
@@ -26,8 +26,8 @@
 	drainTimeout = 200 * clock.Millis(1)
 )
 
-// Book is a writer of log lines that never blocks.
-type Book struct {
+// Writer is a writer of log lines that never blocks.
+type Writer struct {
 	clock clock.Clock
 	out   io.Writer
 	lines chan []byte
@@ -41,12 +41,12 @@
 }
 
 // New makes a book that writes to out once Run is called.
-func New(c clock.Clock, out io.Writer) *Book {
-	return &Book{clock: c, out: out, lines: make(chan []byte, queueLength), tokens: burst, refilledAt: c.Now()}
+func New(c clock.Clock, out io.Writer) *Writer {
+	return &Writer{clock: c, out: out, lines: make(chan []byte, queueLength), tokens: burst, refilledAt: c.Now()}
 }
 
 // Write takes one line. It never blocks and never fails.
-func (b *Book) Write(line []byte) (n int, err error) {
+func (b *Writer) Write(line []byte) (n int, err error) {
 	select {
 	case b.lines <- append([]byte(nil), line...):
 	default:
@@ -56,10 +56,10 @@
 }
 
 // Lost returns how many lines were not written.
-func (b *Book) Lost() int64 { return b.lost.Load() }
+func (b *Writer) Lost() int64 { return b.lost.Load() }
 
 // Run writes lines until the context ends, and then what still waits.
-func (b *Book) Run(ctx context.Context) {
+func (b *Writer) Run(ctx context.Context) {
 	for {
 		select {
 		case line := <-b.lines:
@@ -71,7 +71,7 @@
 	}
 }
 
-func (b *Book) drain() {
+func (b *Writer) drain() {
 	end := b.clock.Now() + drainTimeout
 	for b.clock.Now() < end {
 		select {
@@ -83,7 +83,7 @@
 	}
 }
 
-func (b *Book) write(line []byte) {
+func (b *Writer) write(line []byte) {
 	if !b.spend() {
 		b.lost.Add(1)
 		return
@@ -95,7 +95,7 @@
 	_, _ = b.out.Write(line)
 }
 
-func (b *Book) spend() bool {
+func (b *Writer) spend() bool {
 	now := b.clock.Now()
 	b.tokens = min(b.tokens+float64(now-b.refilledAt)*linesPerSecond/float64(clock.Second), burst)
 	b.refilledAt = now
--- a/logbook/logbook_test.go
+++ b/logbook/logbook_test.go
@@ -23,7 +23,7 @@
 
 // Whatever collects the lines hangs. Requests go on: writing a line takes no
 // longer than before, and those that found no room are counted.
-func TestStuckOutputDelaysNobody(t *testing.T) {
+func TestStuckOutputDoesNotBlockWrite(t *testing.T) {
 	is := is.New(t)
 	out := stuck{make(chan struct{})}
 	b := New(clock.System(), out)
@@ -60,7 +60,7 @@
 
 // Ten times the usual load writes ten times the lines. The budget holds, and the
 // loss is told as soon as there is room for it.
-func TestLinesKeepToTheirBudget(t *testing.T) {
+func TestLineRateIsBounded(t *testing.T) {
 	is := is.New(t)
 	var mu sync.Mutex
 	now := clock.Millis(0)
--- a/system/lasting_test.go
+++ b/system/lasting_test.go
@@ -80,7 +80,7 @@
 	const calls = 6
 	first := len(c.platform.Records(provider.BillStream))
 	for range calls {
-		c.platform.SetFaults(standin.Faults{LoseAnswers: 1})
+		c.platform.SetFaults(standin.Faults{DropAnswers: 1})
 		is.True(c.ask(c.entries[0], nil).whole)
 	}
 	c.eventually("all bills", func() bool { return len(c.bills()) == asked+calls })
@@ -251,7 +251,7 @@
 	s := shape{entries: 1, endpoints: 1, plain: 3, zones: 2, first: 1, gap: 1, tokens: 2}
 	c := newCluster(t, s)
 	for _, p := range c.plain {
-		p.SetFaults(standin.PlainFaults{Vanish: true})
+		p.SetFaults(standin.PlainFaults{DropConnection: true})
 	}
 	status, h, _ := c.call(t.Context(), c.entries[0], http.MethodPost, "/v1/services/records/fee", "renew", nil)
 	is.True(status >= http.StatusInternalServerError)
--- a/system/outage_test.go
+++ b/system/outage_test.go
@@ -49,7 +49,7 @@
 	is := is.New(t)
 	s := shape{entries: 2, endpoints: 2, zones: 2, first: 1, gap: 1, tokens: 3}
 	c := newCluster(t, s)
-	c.platform.SetFaults(standin.Faults{LoseAnswers: 6})
+	c.platform.SetFaults(standin.Faults{DropAnswers: 6})
 	const requests = 12
 	for i := range requests {
 		r := c.ask(c.entries[i%2], nil)
