--- a/peer/stall_test.go
+++ b/peer/stall_test.go
@@ -27,7 +27,7 @@
 
 // An entry is paused in the middle of an answer: its connection stays open and
 // takes nothing. The gate must not hold its place for it for ever.
-func TestStalledPeerFreesTheGate(t *testing.T) {
+func TestWriteToStalledPeerFails(t *testing.T) {
 	is := is.New(t)
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
--- a/system/cache_test.go
+++ b/system/cache_test.go
@@ -17,7 +17,7 @@
 // its version in another zone, and its KV cache goes along: without it the engine
 // would read the whole case history again, and the caller would wait as for a new
 // session. When the old endpoint is gone the session still goes on.
-func TestSessionTakesItsCacheAlong(t *testing.T) {
+func TestMovedSessionImportsItsCache(t *testing.T) {
 	is := is.New(t)
 	s := shape{entries: 1, endpoints: 2, zones: 2, first: 200, gap: 1, tokens: 5}
 	c := newCluster(t, s)
--- a/system/kill_test.go
+++ b/system/kill_test.go
@@ -77,7 +77,7 @@
 
 // Operators stop an entry and an endpoint in the middle of long streams. A
 // planned stop cuts no request: each stream ends whole before its process does.
-func TestPlannedStopCutsNoRequest(t *testing.T) {
+func TestPlannedStopInterruptsNoRequest(t *testing.T) {
 	is := is.New(t)
 	s := shape{entries: 2, endpoints: 3, zones: 2, first: 20, gap: 10, tokens: 60}
 	c := newCluster(t, s)
--- a/system/lasting_test.go
+++ b/system/lasting_test.go
@@ -114,7 +114,7 @@
 // A fee is posted with a key and the entry's VM vanishes while the service works
 // on it. The caller posts again at another entry: it gets the answer of the
 // first call, or the truth about it, and the service sees the fee once.
-func TestKeyedPostIsRunOnceOverALostEntry(t *testing.T) {
+func TestKeyedPostRunsOnceWhenEntryIsLost(t *testing.T) {
 	is := is.New(t)
 	s := shape{entries: 3, endpoints: 1, plain: 2, zones: 2, first: 1, gap: 1, tokens: 2}
 	c := newCluster(t, s)
@@ -180,7 +180,7 @@
 // The log is out and bills wait. Operators stop the entry that made them, and
 // then the VM of another that may hold them vanishes. The stop has handed every
 // bill to a second process, so none is lost.
-func TestPlannedStopInLogOutageHandsBillsOn(t *testing.T) {
+func TestPlannedStopInLogOutageHandsOverBills(t *testing.T) {
 	is := is.New(t)
 	s := shape{entries: 3, endpoints: 3, zones: 3, first: 2, gap: 1, tokens: 3}
 	c := newCluster(t, s)
@@ -246,7 +246,7 @@
 // A service takes a fee and vanishes before it answers. The entry cannot know
 // whether the fee was booked: it must not try the other endpoint, and must say
 // that it does not know.
-func TestUnkeyedPostIsNotRepeatedWhenTheServiceVanishes(t *testing.T) {
+func TestUnkeyedPostIsNotRetriedWhenServiceIsLost(t *testing.T) {
 	is := is.New(t)
 	s := shape{entries: 1, endpoints: 1, plain: 3, zones: 2, first: 1, gap: 1, tokens: 2}
 	c := newCluster(t, s)
--- a/system/outage_test.go
+++ b/system/outage_test.go
@@ -64,7 +64,7 @@
 
 // Two operators publish at the same moment on the same revision. All processes
 // agree on one winner, and the loser's change is nowhere in force.
-func TestRacingOperatorsHaveOneWinnerEverywhere(t *testing.T) {
+func TestConcurrentChangesHaveOneWinner(t *testing.T) {
 	is := is.New(t)
 	s := shape{entries: 3, endpoints: 2, zones: 2, first: 1, gap: 1, tokens: 2}
 	c := newCluster(t, s)
--- a/system/resume_test.go
+++ b/system/resume_test.go
@@ -28,7 +28,7 @@
 // seen a part of its answer is told that the request ran; an answer in JSON of
 // which nothing was seen starts again, and is given up truly when no engine is
 // left.
-func TestEnginesThatDoNotResume(t *testing.T) {
+func TestStreamsOfEnginesWithoutResume(t *testing.T) {
 	is := is.New(t)
 	s := shape{entries: 1, endpoints: 2, zones: 1, first: 1, gap: 1, tokens: 10}
 	c := newCluster(t, s)
@@ -59,7 +59,7 @@
 
 // The same engines with a pool that says it resumes: each attempt goes on where
 // the last one broke, until the answer is whole.
-func TestBrokenStreamResumesElsewhere(t *testing.T) {
+func TestBrokenStreamResumesAtOtherEndpoint(t *testing.T) {
 	is := is.New(t)
 	s := shape{entries: 1, endpoints: 2, zones: 1, first: 1, gap: 1, tokens: 10}
 	c := newCluster(t, s)
--- a/system/silence_test.go
+++ b/system/silence_test.go
@@ -40,7 +40,7 @@
 
 // An endpoint's process freezes: its connections stay open and silent. Requests
 // that can run elsewhere do, long before their deadline, and new ones keep away.
-func TestFrozenEndpointIsLeftAlone(t *testing.T) {
+func TestRequestsMoveOffFrozenEndpoint(t *testing.T) {
 	is := is.New(t)
 	s := shape{entries: 1, endpoints: 4, zones: 2, first: 5, gap: 3, tokens: 10}
 	c := newCluster(t, s)
@@ -108,7 +108,7 @@
 
 // A switch is lost between the entries and one endpoint: connections neither
 // end nor carry bytes. Callers still get whole answers from the others.
-func TestCutEndpointIsLeftAlone(t *testing.T) {
+func TestRequestsAvoidUnreachableEndpoint(t *testing.T) {
 	is := is.New(t)
 	s := shape{entries: 1, endpoints: 3, zones: 3, first: 2, gap: 2, tokens: 8}
 	c := newCluster(t, s)
@@ -157,7 +157,7 @@
 // An entry vanishes in the middle of a keyed chat answer, and its caller asks
 // again at the other entry. The engine must not run the request a second time:
 // the caller gets the answer that is being made, and there is one bill.
-func TestKeyedChatIsFoundAgainAcrossEntries(t *testing.T) {
+func TestKeyedChatRetriedAtOtherEntryRunsOnce(t *testing.T) {
 	is := is.New(t)
 	s := shape{entries: 2, endpoints: 4, zones: 2, first: 20, gap: 20, tokens: 60}
 	c := newCluster(t, s)
--- a/system/stop_test.go
+++ b/system/stop_test.go
@@ -52,7 +52,7 @@
 
 // An operator loses patience and stops an endpoint a second time while a stream
 // goes on. The process ends at once, and the caller's stream goes on elsewhere.
-func TestSecondStopCutsOffAndStreamResumes(t *testing.T) {
+func TestSecondStopCancelsRunsAndStreamResumes(t *testing.T) {
 	is := is.New(t)
 	s := shape{entries: 1, endpoints: 2, zones: 1, first: 5, gap: 20, tokens: 150}
 	c := newCluster(t, s)
