--- a/system/cluster_test.go
+++ b/system/cluster_test.go
@@ -27,14 +27,15 @@
 	"github.com/parsleydeal/parsleydeal/table"
 )
 
-// patience bounds the wait for a condition that a healthy system reaches in a
-// moment; it is long so that a busy machine gives the same verdict.
-const patience = 60 * time.Second
+// waitTimeout limits the wait for a condition that a healthy system reaches within
+// a second or two. It is long so that a busy machine gives the same result.
+const waitTimeout = 60 * time.Second
 
 const callerKey = "system-key"
 
-// binaries builds the daemons once for all tests of the package.
-var binaries = sync.OnceValues(func() (dir string, err error) {
+// buildDaemons builds the daemons once for all tests of the package and returns the
+// directory of the binaries.
+var buildDaemons = sync.OnceValues(func() (dir string, err error) {
 	dir, err = os.MkdirTemp("", "parsleydeal-system")
 	if err != nil {
 		return "", err
@@ -46,9 +47,9 @@
 	return dir, nil
 })
 
-// programs are the daemons' code. The go command takes a cached result while the
-// test's own binary is the same, and the linker drops what nothing refers to:
-// without these references a changed daemon would pass on an older one's result.
+// programs refers to the daemons' code so that it is linked into the test binary.
+// The go command reuses a cached test result while that binary is unchanged; without
+// these references a changed daemon would get the result of an older build.
 var programs = []func(args []string) int{daemon.Entry, daemon.Endpoint, cli.Operator}
 
 func TestMain(m *testing.M) {
@@ -56,26 +57,27 @@
 		os.Exit(1)
 	}
 	code := m.Run()
-	if dir, err := binaries(); err == nil {
+	if dir, err := buildDaemons(); err == nil {
 		_ = os.RemoveAll(dir)
 	}
 	os.Exit(code)
 }
 
-// process is one daemon that the test started.
+// process is a daemon started by the test.
 type process struct {
-	vm      provider.VM
-	callers string
-	// operators is the address of the operators' interface.
-	operators string
-	settings  string
-	program   string
-	cmd       *exec.Cmd
-	done      chan struct{}
-	output    *bytes.Buffer
+	vm provider.VM
+	// callersAddress is empty for an endpoint.
+	callersAddress string
+	// operatorsAddress is the address of the operators' interface.
+	operatorsAddress string
+	settings         string
+	program          string
+	cmd              *exec.Cmd
+	done             chan struct{}
+	output           *bytes.Buffer
 }
 
-// cluster is a whole system: daemons as processes, stand-ins in the test.
+// cluster is a complete system: daemons as processes, stand-ins in the test process.
 type cluster struct {
 	t         *testing.T
 	platform  *standin.Platform
@@ -86,18 +88,18 @@
 	endpoints []*process
 }
 
-// shape says what a cluster is made of.
-type shape struct {
+// clusterSpec gives the size of a cluster and the timing of its engines.
+type clusterSpec struct {
 	entries   int
 	endpoints int
 	plain     int
 	zones     int
-	// first, gap and tokens describe the engines' answers.
-	first, gap clock.Millis
-	tokens     int
+	// firstTokenDelay, tokenGap and tokenCount apply to each answer of the engines.
+	firstTokenDelay, tokenGap clock.Millis
+	tokenCount                int
 }
 
-func newCluster(t *testing.T, s shape) *cluster {
+func newCluster(t *testing.T, s clusterSpec) *cluster {
 	t.Helper()
 	c := &cluster{t: t, platform: standin.NewPlatform(), engines: make(map[string]*standin.Engine), plain: make(map[string]*standin.Plain)}
 	srv := httptest.NewServer(c.platform.Handler())
@@ -113,13 +115,13 @@
 	for i := range s.entries {
 		c.addEntry(i, s)
 	}
-	c.list()
+	c.setVMList()
 	c.publish(tables)
 	for _, p := range append(append([]*process{}, c.endpoints...), c.entries...) {
 		c.start(p)
 	}
-	// Endpoints too: an entry that is ready first would spend its budget of
-	// retries on those that have no tables yet.
+	// Endpoints first: an entry that is ready earlier would spend its retry budget on
+	// endpoints that have no tables yet.
 	for _, p := range c.endpoints {
 		c.waitReady(p)
 	}
@@ -129,11 +131,11 @@
 	return c
 }
 
-// waitReady waits until a process says that it may receive work.
+// waitReady waits until the readiness check of a process passes.
 func (c *cluster) waitReady(p *process) {
 	c.t.Helper()
 	c.eventually(p.vm.ID+" ready", func() bool {
-		resp, err := http.Get("http://" + p.operators + "/readyz")
+		resp, err := http.Get("http://" + p.operatorsAddress + "/readyz")
 		if err != nil {
 			return false
 		}
@@ -181,7 +183,7 @@
 	}
 }
 
-func (c *cluster) list() {
+func (c *cluster) setVMList() {
 	var vms []provider.VM
 	for _, p := range append(append([]*process{}, c.endpoints...), c.entries...) {
 		vms = append(vms, p.vm)
@@ -189,38 +191,38 @@
 	c.platform.SetVMs(vms)
 }
 
-func zone(i int, s shape) string { return fmt.Sprintf("zone-%c", 'a'+i%max(s.zones, 1)) }
+func zoneName(i int, s clusterSpec) string { return fmt.Sprintf("zone-%c", 'a'+i%max(s.zones, 1)) }
 
-func (c *cluster) addEndpoint(i int, s shape) {
+func (c *cluster) addEndpoint(i int, s clusterSpec) {
 	id := fmt.Sprintf("endpoint-%d", i)
-	e := standin.NewEngine(s.first, s.gap, s.tokens)
+	e := standin.NewEngine(s.firstTokenDelay, s.tokenGap, s.tokenCount)
 	c.engines[id] = e
-	c.addGate(id, zone(i, s), "small", e.Handler(), false)
+	c.addGate(id, zoneName(i, s), "small", e.Handler(), false)
 }
 
-func (c *cluster) addPlain(i int, s shape) {
+func (c *cluster) addPlain(i int, s clusterSpec) {
 	id := fmt.Sprintf("records-%d", i)
 	e := standin.NewPlain()
 	c.plain[id] = e
-	c.addGate(id, zone(i, s), "records", e.Handler(), true)
+	c.addGate(id, zoneName(i, s), "records", e.Handler(), true)
 }
 
 func (c *cluster) addGate(id, zone, pool string, h http.Handler, plain bool) {
 	srv := httptest.NewServer(h)
 	c.t.Cleanup(srv.Close)
 	p := &process{program: "parsleydeal-endpoint", vm: provider.VM{ID: id, Role: provider.EndpointRole, Pool: pool, Zone: zone, Region: "here", Address: standin.FreeAddress()}}
-	p.settings = c.common(p) + fmt.Sprintf("[endpoint]\npool = %q\nengine = %q\nplain = %v\n", pool, srv.URL, plain)
+	p.settings = c.commonSettings(p) + fmt.Sprintf("[endpoint]\npool = %q\nengine = %q\nplain = %v\n", pool, srv.URL, plain)
 	c.endpoints = append(c.endpoints, p)
 }
 
-func (c *cluster) addEntry(i int, s shape) {
-	p := &process{program: "parsleydeal-entry", callers: standin.FreeAddress(), vm: provider.VM{ID: fmt.Sprintf("entry-%d", i), Role: provider.EntryRole, Zone: zone(i, s), Region: "here", Address: standin.FreeAddress()}}
-	p.settings = c.common(p) + fmt.Sprintf("[entry]\ncallers = %q\n", p.callers)
+func (c *cluster) addEntry(i int, s clusterSpec) {
+	p := &process{program: "parsleydeal-entry", callersAddress: standin.FreeAddress(), vm: provider.VM{ID: fmt.Sprintf("entry-%d", i), Role: provider.EntryRole, Zone: zoneName(i, s), Region: "here", Address: standin.FreeAddress()}}
+	p.settings = c.commonSettings(p) + fmt.Sprintf("[entry]\ncallers = %q\n", p.callersAddress)
 	c.entries = append(c.entries, p)
 }
 
-func (c *cluster) common(p *process) string {
-	p.operators = standin.FreeAddress()
+func (c *cluster) commonSettings(p *process) string {
+	p.operatorsAddress = standin.FreeAddress()
 	return fmt.Sprintf(`vm = %q
 zone = %q
 region = "here"
@@ -232,12 +234,12 @@
 current = "k"
 [session.keys]
 k = "system test secret of enough bytes"
-`, p.vm.ID, p.vm.Zone, p.vm.Address, p.operators, c.url)
+`, p.vm.ID, p.vm.Zone, p.vm.Address, p.operatorsAddress, c.url)
 }
 
 func (c *cluster) start(p *process) {
 	c.t.Helper()
-	dir, err := binaries()
+	dir, err := buildDaemons()
 	if err != nil {
 		c.t.Fatal(err)
 	}
@@ -265,13 +267,13 @@
 	})
 }
 
-// kill ends the process at once, as the loss of its VM does.
+// kill ends the process at once, as the loss of its VM would.
 func (p *process) kill() {
 	_ = p.cmd.Process.Kill()
 	<-p.done
 }
 
-// stop asks the process to stop and waits until it has.
+// stop sends SIGTERM and waits until the process has ended.
 func (p *process) stop(t *testing.T) {
 	t.Helper()
 	if err := p.cmd.Process.Signal(syscall.SIGTERM); err != nil {
@@ -279,7 +281,7 @@
 	}
 	select {
 	case <-p.done:
-	case <-time.After(patience):
+	case <-time.After(waitTimeout):
 		t.Fatalf("%s did not stop", p.vm.ID)
 	}
 }
@@ -292,13 +294,13 @@
 	})
 }
 
-// waitRevision waits until every process has a revision in force.
+// waitRevision waits until every process has the revision in force.
 func (c *cluster) waitRevision(revision int) {
 	c.t.Helper()
 	want := fmt.Sprintf("parsleydeal_tables_revision %d", revision)
 	for _, p := range append(append([]*process{}, c.endpoints...), c.entries...) {
 		c.eventually(fmt.Sprintf("revision %d at %s", revision, p.vm.ID), func() bool {
-			resp, err := http.Get("http://" + p.operators + "/metrics")
+			resp, err := http.Get("http://" + p.operatorsAddress + "/metrics")
 			if err != nil {
 				return false
 			}
@@ -311,7 +313,7 @@
 
 func (c *cluster) eventually(what string, ok func() bool) {
 	c.t.Helper()
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		if ok() {
 			return
 		}
@@ -319,11 +321,12 @@
 	c.t.Fatalf("%s: not reached", what)
 }
 
-// call does one exchange with an entry. Status is 0 when the connection broke.
+// call sends one request to an entry. If the connection fails, status is 0 and text
+// is the error.
 func (c *cluster) call(ctx context.Context, p *process, method, path, body string, h http.Header) (status int, header http.Header, text string) {
-	ctx, cancel := context.WithTimeout(ctx, patience)
+	ctx, cancel := context.WithTimeout(ctx, waitTimeout)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+p.callers+path, strings.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, method, "http://"+p.callersAddress+path, strings.NewReader(body))
 	if err != nil {
 		c.t.Error(err)
 		return 0, nil, ""
@@ -344,32 +347,32 @@
 	return resp.StatusCode, resp.Header, string(data)
 }
 
-// result is one chat answer as the caller sees it.
+// result is a chat answer as received by the caller.
 type result struct {
-	status  int
-	request string
-	run     string
-	text    string
-	whole   bool
+	status   int
+	request  string
+	runState string
+	text     string
+	complete bool
 }
 
-// ask streams one chat completion.
-func (c *cluster) ask(p *process, h http.Header) (r result) {
-	return c.askAbout(p, h, "When is the renewal due?")
+// streamChat streams a chat completion for the default question.
+func (c *cluster) streamChat(p *process, h http.Header) (r result) {
+	return c.streamChatAbout(p, h, "When is the renewal due?")
 }
 
-// askAbout streams one chat completion about a question. Like questions tend to
-// go to the endpoint that has them cached.
-func (c *cluster) askAbout(p *process, h http.Header, question string) (r result) {
+// streamChatAbout streams a chat completion for a question. Equal questions tend to be
+// routed to the endpoint that has their prefix cached.
+func (c *cluster) streamChatAbout(p *process, h http.Header, question string) (r result) {
 	body := fmt.Sprintf(`{"model":"quick","stream":true,"messages":[{"role":"user","content":%q}]}`, question)
 	status, header, text := c.call(context.Background(), p, http.MethodPost, "/v1/chat/completions", body, h)
 	r.status = status
 	if status != http.StatusOK {
-		c.t.Logf("entry %s answered %d: %s", p.vm.ID, status, text)
+		c.t.Logf("entry %s replied with %d: %s", p.vm.ID, status, text)
 	}
 	if header != nil {
 		r.request = header.Get("Parsleydeal-Request")
-		r.run = header.Get("Parsleydeal-Run")
+		r.runState = header.Get("Parsleydeal-Run")
 	}
 	for line := range strings.SplitSeq(text, "\n") {
 		data, ok := strings.CutPrefix(line, "data: ")
@@ -377,7 +380,7 @@
 			continue
 		}
 		if data == "[DONE]" {
-			r.whole = true
+			r.complete = true
 			continue
 		}
 		var chunk struct {
@@ -389,22 +392,22 @@
 			r.text += chunk.Choices[0].Delta.Content
 		}
 	}
-	if status == http.StatusOK && !r.whole {
-		c.t.Logf("entry %s broke off: %s", p.vm.ID, text[max(0, len(text)-300):])
+	if status == http.StatusOK && !r.complete {
+		c.t.Logf("entry %s ended the stream early: %s", p.vm.ID, text[max(0, len(text)-300):])
 	}
 	return r
 }
 
-// wholeText is what an engine of the shape answers.
-func wholeText(s shape) string {
+// fullText returns the text of a complete answer of the cluster's engines.
+func fullText(s clusterSpec) string {
 	var b strings.Builder
-	for i := range s.tokens {
+	for i := range s.tokenCount {
 		fmt.Fprintf(&b, "w%d ", i)
 	}
 	return b.String()
 }
 
-// bills reduces the log's bills to one a request.
+// bills returns the bills on the log, merged by request.
 func (c *cluster) bills() map[string]*wire.Bill {
 	c.t.Helper()
 	out := make(map[string]*wire.Bill)
--- a/system/kill_test.go
+++ b/system/kill_test.go
@@ -9,12 +9,12 @@
 	"github.com/matryer/is"
 )
 
-// A VM of an endpoint vanishes while answers stream from it. Callers must still
-// get whole answers: what had not begun runs elsewhere, what had begun resumes
+// Kills an endpoint while answers stream from it. Callers must still get complete
+// answers: requests that had not started run at another endpoint, started ones resume
 // after the last delivered piece, and each request has one bill.
 func TestKilledEndpointLosesNoRepeatableRequest(t *testing.T) {
 	is := is.New(t)
-	s := shape{entries: 2, endpoints: 4, zones: 2, first: 5, gap: 4, tokens: 20}
+	s := clusterSpec{entries: 2, endpoints: 4, zones: 2, firstTokenDelay: 5, tokenGap: 4, tokenCount: 20}
 	c := newCluster(t, s)
 	const callers, each = 8, 12
 	var served atomic.Int64
@@ -23,7 +23,7 @@
 	for i := range callers {
 		wg.Go(func() {
 			for range each {
-				results <- c.ask(c.entries[i%2], nil)
+				results <- c.streamChat(c.entries[i%2], nil)
 				served.Add(1)
 			}
 		})
@@ -35,57 +35,56 @@
 	bills := 0
 	for r := range results {
 		is.Equal(r.status, http.StatusOK)
-		is.True(r.whole)
-		is.Equal(r.text, wholeText(s)) // whole, in order, nothing twice
+		is.True(r.complete)
+		is.Equal(r.text, fullText(s)) // complete, in order, nothing repeated
 		bills++
 	}
-	c.eventually("one bill a request", func() bool { return len(c.bills()) == bills })
+	c.eventually("one bill per request", func() bool { return len(c.bills()) == bills })
 }
 
-// An entry's VM vanishes under load. The balancer's clients call again at the
-// other entry with the same idempotency key; every caller ends with a whole
-// answer.
+// Kills an entry under load. Callers retry at the other entry with the same
+// idempotency key, and each must get a complete answer.
 func TestKilledEntryLosesNoKeyedRequest(t *testing.T) {
 	is := is.New(t)
-	s := shape{entries: 2, endpoints: 4, zones: 2, first: 5, gap: 4, tokens: 20}
+	s := clusterSpec{entries: 2, endpoints: 4, zones: 2, firstTokenDelay: 5, tokenGap: 4, tokenCount: 20}
 	c := newCluster(t, s)
 	const callers = 16
-	var begun atomic.Int64
+	var started atomic.Int64
 	results := make(chan result, callers)
 	var wg sync.WaitGroup
 	for i := range callers {
 		wg.Go(func() {
 			h := http.Header{"Idempotency-Key": {"key-" + string(rune('a'+i))}}
-			begun.Add(1)
-			r := c.ask(c.entries[i%2], h)
-			if !r.whole {
-				r = c.ask(c.entries[1], h)
+			started.Add(1)
+			r := c.streamChat(c.entries[i%2], h)
+			if !r.complete {
+				r = c.streamChat(c.entries[1], h)
 			}
 			results <- r
 		})
 	}
-	c.eventually("load under way", func() bool { return begun.Load() == callers })
+	c.eventually("load under way", func() bool { return started.Load() == callers })
 	c.entries[0].kill()
 	wg.Wait()
 	close(results)
 	for r := range results {
 		is.Equal(r.status, http.StatusOK)
-		is.True(r.whole)
-		is.Equal(r.text, wholeText(s))
+		is.True(r.complete)
+		is.Equal(r.text, fullText(s))
 	}
 }
 
-// Operators stop an entry and an endpoint in the middle of long streams. A
-// planned stop cuts no request: each stream ends whole before its process does.
-func TestPlannedStopCutsNoRequest(t *testing.T) {
+// Stops an entry and an endpoint during long streams. Each stream must be delivered
+// completely before its process ends.
+func TestPlannedStopInterruptsNoRequest(t *testing.T) {
 	is := is.New(t)
-	s := shape{entries: 2, endpoints: 3, zones: 2, first: 20, gap: 10, tokens: 60}
+	s := clusterSpec{entries: 2, endpoints: 3, zones: 2, firstTokenDelay: 20, tokenGap: 10, tokenCount: 60}
 	c := newCluster(t, s)
 	const callers = 9
 	results := make(chan result, callers)
 	var wg sync.WaitGroup
 	for range callers {
-		wg.Go(func() { results <- c.ask(c.entries[0], nil) })
+		wg.Go(func() { results <- c.streamChat(c.entries[0], nil) })
 	}
 	c.eventually("streams under way", func() bool {
 		n := int64(0)
@@ -102,51 +101,50 @@
 	close(results)
 	for r := range results {
 		is.Equal(r.status, http.StatusOK)
-		is.True(r.whole)
-		is.Equal(r.text, wholeText(s))
+		is.True(r.complete)
+		is.Equal(r.text, fullText(s))
 	}
-	c.eventually("one bill a request", func() bool { return len(c.bills()) == callers })
+	c.eventually("one bill per request", func() bool { return len(c.bills()) == callers })
 }
 
-// Operators take a zone out while callers keep asking. After the change is in
-// force no endpoint of that zone gets new work, and no caller is refused.
+// Takes a zone out of service under load. Once the change is in force no endpoint of
+// that zone may get new work, and no caller may be refused.
 func TestZoneTakenOutReceivesNoNewWork(t *testing.T) {
 	is := is.New(t)
-	s := shape{entries: 2, endpoints: 4, zones: 2, first: 1, gap: 1, tokens: 4}
+	s := clusterSpec{entries: 2, endpoints: 4, zones: 2, firstTokenDelay: 1, tokenGap: 1, tokenCount: 4}
 	c := newCluster(t, s)
-	is.True(c.ask(c.entries[0], nil).whole)
+	is.True(c.streamChat(c.entries[0], nil).complete)
 	c.publish("id=\"out\"\nauthor=\"test\"\nkind=\"patch\"\nbase=0\n[tables.zones.zone-a]\nstate=\"out\"\n")
 	inZone := func() (n int) {
 		for i, p := range c.endpoints {
-			if zone(i, s) == "zone-a" {
+			if zoneName(i, s) == "zone-a" {
 				n += c.engines[p.vm.ID].Started()
 			}
 		}
 		return n
 	}
-	quiet := 0
-	c.eventually("zone without new work", func() bool {
+	quietRounds := 0
+	c.eventually("no new work in the zone", func() bool {
 		before := inZone()
 		for i := range 8 {
-			if !c.ask(c.entries[i%2], nil).whole {
+			if !c.streamChat(c.entries[i%2], nil).complete {
 				t.Error("a caller was refused while the other zone was healthy")
 			}
 		}
 		if inZone() > before {
-			quiet = 0
+			quietRounds = 0
 			return false
 		}
-		quiet++
-		return quiet == 5
+		quietRounds++
+		return quietRounds == 5
 	})
 }
 
-// A fee call is posted, and the endpoint's VM vanishes before the caller hears
-// of it. The caller must not be told "not run" unless the service never saw the
-// call, and the service must not see it twice.
+// Kills an endpoint while fee calls without a key are under way. The service must
+// receive each call at most once, and a call reported as "not-run" never.
 func TestUnkeyedPostRunsAtMostOnce(t *testing.T) {
 	is := is.New(t)
-	s := shape{entries: 1, endpoints: 1, plain: 2, zones: 2, first: 1, gap: 1, tokens: 2}
+	s := clusterSpec{entries: 1, endpoints: 1, plain: 2, zones: 2, firstTokenDelay: 1, tokenGap: 1, tokenCount: 2}
 	c := newCluster(t, s)
 	var wg sync.WaitGroup
 	paths := []string{"fee-a", "fee-b", "fee-c", "fee-d", "fee-e", "fee-f"}
--- a/system/lasting_test.go
+++ b/system/lasting_test.go
@@ -13,14 +13,15 @@
 	"github.com/parsleydeal/parsleydeal/standin"
 )
 
-// warm asks until every endpoint has served, since one that has not read the
-// tables yet cannot begin in an outage. It returns how many answers were whole.
-func (c *cluster) warm() (whole int) {
+// warmUp sends requests until every endpoint has served one, since an endpoint that
+// has not read the tables cannot start serving during an outage. It returns the number
+// of complete answers.
+func (c *cluster) warmUp() (completed int) {
 	c.t.Helper()
 	c.eventually("all endpoints serve", func() bool {
 		for _, e := range c.entries {
-			if c.ask(e, nil).whole {
-				whole++
+			if c.streamChat(e, nil).complete {
+				completed++
 			}
 		}
 		for _, e := range c.engines {
@@ -30,23 +31,23 @@
 		}
 		return true
 	})
-	return whole
+	return completed
 }
 
-// The log goes out. Callers are served, and one entry's VM vanishes right after
-// its answers. When the log is back every answered request has one bill, also
-// those whose entry took its own copy along.
+// Kills an entry during a log outage, right after it answered. When the log is back
+// every answered request must have one bill, including those of which the killed entry
+// had one of the two copies.
 func TestEntryLostInLogOutageLosesNoBill(t *testing.T) {
 	is := is.New(t)
-	s := shape{entries: 3, endpoints: 3, zones: 3, first: 5, gap: 1, tokens: 5}
+	s := clusterSpec{entries: 3, endpoints: 3, zones: 3, firstTokenDelay: 5, tokenGap: 1, tokenCount: 5}
 	c := newCluster(t, s)
-	served := c.warm()
+	served := c.warmUp()
 	c.platform.SetFaults(standin.Faults{Down: true})
 	const callers = 12
 	answers := make(chan result, callers)
 	var wg sync.WaitGroup
 	for i := range callers {
-		wg.Go(func() { answers <- c.ask(c.entries[i%2], nil) })
+		wg.Go(func() { answers <- c.streamChat(c.entries[i%2], nil) })
 	}
 	wg.Wait()
 	close(answers)
@@ -54,24 +55,24 @@
 	c.platform.SetFaults(standin.Faults{})
 	for r := range answers {
 		is.Equal(r.status, http.StatusOK)
-		is.True(r.whole) // the log's outage is no caller's matter
+		is.True(r.complete) // the log outage must not affect callers
 		c.eventually("the bill of "+r.request, func() bool { return c.bills()[r.request] != nil })
 	}
-	c.eventually("the bills before", func() bool { return len(c.bills()) == callers+served })
+	c.eventually("the bills from before the outage", func() bool { return len(c.bills()) == callers+served })
 }
 
-// The log loses the answers to its appends. The bills stand on the log once,
-// and the statement finds nothing wrong.
+// The log's replies to appends are lost. Each bill must be on the log once, and the
+// statement must find no anomaly.
 func TestLostAppendAnswersBillOnce(t *testing.T) {
 	is := is.New(t)
-	s := shape{entries: 2, endpoints: 2, zones: 2, first: 2, gap: 1, tokens: 3}
+	s := clusterSpec{entries: 2, endpoints: 2, zones: 2, firstTokenDelay: 2, tokenGap: 1, tokenCount: 3}
 	c := newCluster(t, s)
-	// An entry that has just begun knows no holder and appends for itself.
-	asked := 0
-	c.eventually("a holder that appends", func() bool {
-		asked++
-		is.True(c.ask(c.entries[0], nil).whole)
-		if len(c.bills()) != asked {
+	// An entry that has just started knows no holder yet and appends its bills itself.
+	sent := 0
+	c.eventually("the other entry appends", func() bool {
+		sent++
+		is.True(c.streamChat(c.entries[0], nil).complete)
+		if len(c.bills()) != sent {
 			return false
 		}
 		records := c.platform.Records(provider.BillStream)
@@ -81,9 +82,9 @@
 	first := len(c.platform.Records(provider.BillStream))
 	for range calls {
 		c.platform.SetFaults(standin.Faults{LoseAnswers: 1})
-		is.True(c.ask(c.entries[0], nil).whole)
+		is.True(c.streamChat(c.entries[0], nil).complete)
 	}
-	c.eventually("all bills", func() bool { return len(c.bills()) == asked+calls })
+	c.eventually("all bills", func() bool { return len(c.bills()) == sent+calls })
 	st := bill.NewStatement()
 	for i, data := range c.platform.Records(provider.BillStream)[first:] {
 		st.Add(int64(i), data)
@@ -92,31 +93,31 @@
 	list, _ := st.Anomalies()
 	is.Equal(len(list), 0)
 	_, repeats := st.Counts()
-	is.Equal(repeats, int64(0)) // each lost answer was read back, not sent again
+	is.Equal(repeats, int64(0)) // after a lost reply the record is read back, not appended again
 }
 
-// The log drops the record that holds the tables. The processes that know them
-// write them down again, and one that starts afterwards serves.
+// The log expires the record that holds the tables. The processes that have the
+// tables must write a checkpoint, so that an entry started afterwards can serve.
 func TestStartAfterTheTablesExpired(t *testing.T) {
 	is := is.New(t)
-	s := shape{entries: 2, endpoints: 2, zones: 2, first: 2, gap: 1, tokens: 3}
+	s := clusterSpec{entries: 2, endpoints: 2, zones: 2, firstTokenDelay: 2, tokenGap: 1, tokenCount: 3}
 	c := newCluster(t, s)
 	c.platform.Expire(provider.ConfigStream, 1)
 	c.eventually("a checkpoint", func() bool { return len(c.platform.Records(provider.ConfigStream)) > 0 })
 	c.addEntry(len(c.entries), s)
-	c.list()
+	c.setVMList()
 	late := c.entries[len(c.entries)-1]
 	c.start(late)
 	c.waitModels(late)
-	is.True(c.ask(late, nil).whole)
+	is.True(c.streamChat(late, nil).complete)
 }
 
-// A fee is posted with a key and the entry's VM vanishes while the service works
-// on it. The caller posts again at another entry: it gets the answer of the
-// first call, or the truth about it, and the service sees the fee once.
-func TestKeyedPostIsRunOnceOverALostEntry(t *testing.T) {
+// Kills an entry while the service handles keyed fees posted through it. The caller
+// retries at another entry and must get the answer of the first call or the report
+// that it ran; the service must receive the fee once.
+func TestKeyedPostRunsOnceWhenEntryIsLost(t *testing.T) {
 	is := is.New(t)
-	s := shape{entries: 3, endpoints: 1, plain: 2, zones: 2, first: 1, gap: 1, tokens: 2}
+	s := clusterSpec{entries: 3, endpoints: 1, plain: 2, zones: 2, firstTokenDelay: 1, tokenGap: 1, tokenCount: 2}
 	c := newCluster(t, s)
 	post := func(p *process, path, key, body string) (int, http.Header, string) {
 		return c.call(t.Context(), p, http.MethodPost, "/v1/services/records/"+path, body, http.Header{"Idempotency-Key": {key}})
@@ -127,25 +128,25 @@
 		}
 		return n
 	}
-	// Once without a failure: the second entry gives the kept answer.
+	// Without a failure: the second entry returns the retained answer.
 	status, _, text := post(c.entries[0], "fee-kept", "k1", "renew")
 	is.Equal(status, http.StatusOK)
 	again, _, same := post(c.entries[1], "fee-kept", "k1", "renew")
 	is.Equal(again, http.StatusOK)
 	is.Equal(same, text)
 	is.Equal(runs("fee-kept"), 1)
-	// The same key for another call is refused before anything runs.
+	// The same key with another body is refused before anything runs.
 	status, h, _ := post(c.entries[2], "fee-kept", "k1", "renew twice")
 	is.Equal(status, http.StatusUnprocessableEntity)
 	is.Equal(h.Get("Parsleydeal-Run"), "not-run")
-	// The entry vanishes in the middle of several calls.
+	// The entry is killed during several calls.
 	const calls = 8
-	var begun sync.WaitGroup
+	var posts sync.WaitGroup
 	for i := range calls {
-		begun.Go(func() { post(c.entries[0], fmt.Sprintf("fee-%d", i), fmt.Sprintf("lost-%d", i), "renew") })
+		posts.Go(func() { post(c.entries[0], fmt.Sprintf("fee-%d", i), fmt.Sprintf("lost-%d", i), "renew") })
 	}
 	c.entries[0].kill()
-	begun.Wait()
+	posts.Wait()
 	for i := range calls {
 		path := fmt.Sprintf("fee-%d", i)
 		c.eventually("an answer to "+path, func() bool {
@@ -156,11 +157,11 @@
 	}
 }
 
-// The log is out. A keyed fee cannot be claimed, so it is refused, truly not
-// run, and the caller is told when to come back.
+// A keyed fee cannot be claimed during a log outage. It must be refused without
+// having run, and the refusal must have a Retry-After.
 func TestKeyedPostInLogOutageIsNotRun(t *testing.T) {
 	is := is.New(t)
-	s := shape{entries: 1, endpoints: 1, plain: 1, zones: 1, first: 1, gap: 1, tokens: 2}
+	s := clusterSpec{entries: 1, endpoints: 1, plain: 1, zones: 1, firstTokenDelay: 1, tokenGap: 1, tokenCount: 2}
 	c := newCluster(t, s)
 	c.platform.SetFaults(standin.Faults{Down: true})
 	status, h, _ := c.call(t.Context(), c.entries[0], http.MethodPost, "/v1/services/records/fee", "renew", http.Header{"Idempotency-Key": {"k"}})
@@ -177,18 +178,18 @@
 	})
 }
 
-// The log is out and bills wait. Operators stop the entry that made them, and
-// then the VM of another that may hold them vanishes. The stop has handed every
-// bill to a second process, so none is lost.
-func TestPlannedStopInLogOutageHandsBillsOn(t *testing.T) {
+// During a log outage, stops the entry that made the pending bills and then kills
+// another entry that may hold copies. A stopping entry must hand over every bill to a
+// second process, so that none is lost.
+func TestPlannedStopInLogOutageHandsOverBills(t *testing.T) {
 	is := is.New(t)
-	s := shape{entries: 3, endpoints: 3, zones: 3, first: 2, gap: 1, tokens: 3}
+	s := clusterSpec{entries: 3, endpoints: 3, zones: 3, firstTokenDelay: 2, tokenGap: 1, tokenCount: 3}
 	c := newCluster(t, s)
-	served := c.warm()
+	served := c.warmUp()
 	c.platform.SetFaults(standin.Faults{Down: true})
 	const calls = 10
 	for range calls {
-		is.True(c.ask(c.entries[0], nil).whole)
+		is.True(c.streamChat(c.entries[0], nil).complete)
 	}
 	c.entries[0].stop(t)
 	c.entries[1].kill()
@@ -196,20 +197,20 @@
 	c.eventually("all bills", func() bool { return len(c.bills()) == calls+served })
 }
 
-// A session goes on while its entry vanishes and a roll-out takes all shares
-// from its version. Only when the version is withdrawn does the session move,
-// and the answer says so.
+// A session must keep its version when its entry is killed and when a roll-out sets
+// the version's share to 0. It moves only once the version is withdrawn, and the
+// answer must report the move.
 func TestSessionKeepsItsVersion(t *testing.T) {
 	is := is.New(t)
-	s := shape{entries: 2, endpoints: 2, zones: 2, first: 2, gap: 1, tokens: 3}
+	s := clusterSpec{entries: 2, endpoints: 2, zones: 2, firstTokenDelay: 2, tokenGap: 1, tokenCount: 3}
 	c := newCluster(t, s)
-	const ask = `{"model":"quick","messages":[{"role":"user","content":"When?"}]}`
-	in := func(p *process, token string) (status int, h http.Header) {
+	const chatBody = `{"model":"quick","messages":[{"role":"user","content":"When?"}]}`
+	send := func(p *process, token string) (status int, h http.Header) {
 		header := http.Header{}
 		if token != "" {
 			header.Set("Parsleydeal-Session", token)
 		}
-		status, h, _ = c.call(t.Context(), p, http.MethodPost, "/v1/chat/completions", ask, header)
+		status, h, _ = c.call(t.Context(), p, http.MethodPost, "/v1/chat/completions", chatBody, header)
 		return status, h
 	}
 	publish := func(id string, base int, shares, extra string) {
@@ -218,37 +219,37 @@
 			"[tables.routes.quick]\norganisations=[\"desk\"]\nmodels=[{model=\"small\",shares={%s}}]\nquality-target=0.5\n", id, base, extra, shares))
 	}
 	version := func(p *process) string {
-		_, h := in(p, "")
+		_, h := send(p, "")
 		return h.Get("Parsleydeal-Version")
 	}
-	_, h := in(c.entries[0], "")
+	_, h := send(c.entries[0], "")
 	token := h.Get("Parsleydeal-Session")
 	is.Equal(h.Get("Parsleydeal-Version"), "small@1")
 	publish("roll-out", 0, "1=0.0, 2=1.0", "")
 	c.eventually("the roll-out", func() bool { return version(c.entries[1]) == "small@2" })
 	c.entries[0].kill()
-	status, h := in(c.entries[1], token)
+	status, h := send(c.entries[1], token)
 	is.Equal(status, http.StatusOK)
 	is.Equal(h.Get("Parsleydeal-Version"), "small@1")
 	is.Equal(h.Get("Parsleydeal-Session-Moved"), "")
 	token = h.Get("Parsleydeal-Session")
 	publish("withdrawal", 1, "1=0.0, 2=1.0", "[tables.versions.\"small@1\"]\ninput-cost=100\noutput-cost=300\nquality=0.9\nwithdrawn=true\n")
 	c.eventually("the withdrawal", func() bool {
-		_, h = in(c.entries[1], token)
+		_, h = send(c.entries[1], token)
 		return h.Get("Parsleydeal-Version") == "small@2"
 	})
 	is.Equal(h.Get("Parsleydeal-Session-Moved"), "withdrawn")
-	status, h = in(c.entries[1], token+"x")
+	status, h = send(c.entries[1], token+"x")
 	is.Equal(status, http.StatusBadRequest)
 	is.Equal(h.Get("Parsleydeal-Run"), "not-run")
 }
 
-// A service takes a fee and vanishes before it answers. The entry cannot know
-// whether the fee was booked: it must not try the other endpoint, and must say
-// that it does not know.
-func TestUnkeyedPostIsNotRepeatedWhenTheServiceVanishes(t *testing.T) {
+// A service receives a fee and drops the connection before it replies. The entry
+// cannot tell whether the fee was booked: it must not retry at another endpoint and
+// must report the run as unknown.
+func TestUnkeyedPostIsNotRetriedWhenServiceIsLost(t *testing.T) {
 	is := is.New(t)
-	s := shape{entries: 1, endpoints: 1, plain: 3, zones: 2, first: 1, gap: 1, tokens: 2}
+	s := clusterSpec{entries: 1, endpoints: 1, plain: 3, zones: 2, firstTokenDelay: 1, tokenGap: 1, tokenCount: 2}
 	c := newCluster(t, s)
 	for _, p := range c.plain {
 		p.SetFaults(standin.PlainFaults{Vanish: true})
--- a/system/outage_test.go
+++ b/system/outage_test.go
@@ -12,20 +12,20 @@
 	"github.com/parsleydeal/parsleydeal/standin"
 )
 
-// The platform's log is down for a while. Callers notice nothing: answers stay
-// whole, and when the log is back every request has one bill on it.
+// During an outage of the platform's log callers must still get complete answers.
+// When the log is back every request must have one bill on it.
 func TestLogOutageKeepsAnswersAndBills(t *testing.T) {
 	is := is.New(t)
-	s := shape{entries: 2, endpoints: 4, zones: 2, first: 2, gap: 1, tokens: 6}
+	s := clusterSpec{entries: 2, endpoints: 4, zones: 2, firstTokenDelay: 2, tokenGap: 1, tokenCount: 6}
 	c := newCluster(t, s)
-	is.True(c.ask(c.entries[0], nil).whole)
+	is.True(c.streamChat(c.entries[0], nil).complete)
 	c.platform.SetFaults(standin.Faults{Down: true})
 	const during = 20
 	requests := map[string]bool{}
 	for i := range during {
-		r := c.ask(c.entries[i%2], nil)
+		r := c.streamChat(c.entries[i%2], nil)
 		is.Equal(r.status, http.StatusOK)
-		is.True(r.whole)
+		is.True(r.complete)
 		requests[r.request] = true
 	}
 	c.platform.SetFaults(standin.Faults{})
@@ -43,30 +43,30 @@
 	}
 }
 
-// Answers of the log are lost after the append took effect, several times in a
-// row. The appender tries again; the reader still finds one bill a request.
+// The log's replies are lost after the append took effect, several times in a row.
+// The appender retries, and readers must still find one bill per request.
 func TestLostAppendAnswersGiveOneBill(t *testing.T) {
 	is := is.New(t)
-	s := shape{entries: 2, endpoints: 2, zones: 2, first: 1, gap: 1, tokens: 3}
+	s := clusterSpec{entries: 2, endpoints: 2, zones: 2, firstTokenDelay: 1, tokenGap: 1, tokenCount: 3}
 	c := newCluster(t, s)
 	c.platform.SetFaults(standin.Faults{LoseAnswers: 6})
 	const requests = 12
 	for i := range requests {
-		r := c.ask(c.entries[i%2], nil)
+		r := c.streamChat(c.entries[i%2], nil)
 		is.Equal(r.status, http.StatusOK)
-		is.True(r.whole)
+		is.True(r.complete)
 	}
-	c.eventually("one bill a request", func() bool { return len(c.bills()) == requests })
+	c.eventually("one bill per request", func() bool { return len(c.bills()) == requests })
 	for _, b := range c.bills() {
 		is.Equal(len(b.GetSteps()), 1)
 	}
 }
 
-// Two operators publish at the same moment on the same revision. All processes
-// agree on one winner, and the loser's change is nowhere in force.
-func TestRacingOperatorsHaveOneWinnerEverywhere(t *testing.T) {
+// Two operators publish concurrently on the same revision. All processes must accept
+// the same change, and the other must not be in force at any of them.
+func TestConcurrentChangesHaveOneWinner(t *testing.T) {
 	is := is.New(t)
-	s := shape{entries: 3, endpoints: 2, zones: 2, first: 1, gap: 1, tokens: 2}
+	s := clusterSpec{entries: 3, endpoints: 2, zones: 2, firstTokenDelay: 1, tokenGap: 1, tokenCount: 2}
 	c := newCluster(t, s)
 	var wg sync.WaitGroup
 	for _, name := range []string{"first", "second"} {
@@ -79,7 +79,7 @@
 		_, _, body := c.call(t.Context(), p, http.MethodGet, "/v1/models", "", nil)
 		return body
 	}
-	c.eventually("one winner at all entries", func() bool {
+	c.eventually("the same change at all entries", func() bool {
 		first, second := 0, 0
 		for _, p := range c.entries {
 			body := models(p)
--- a/system/relay_test.go
+++ b/system/relay_test.go
@@ -6,15 +6,15 @@
 	"testing"
 )
 
-// relay stands between processes and one address, and can be cut: open
-// connections then hang without an end, as they do when a switch is lost.
+// relay forwards TCP connections to a target. While it is blocked, open connections
+// stay open and carry nothing, as when a network switch fails.
 type relay struct {
 	target string
 	lis    net.Listener
 	mu     sync.Mutex
-	// healed is closed while the relay carries bytes, open while it is cut.
-	healed chan struct{}
-	done   chan struct{}
+	// unblocked is closed while the relay forwards data, open while it is blocked.
+	unblocked chan struct{}
+	done      chan struct{}
 }
 
 func newRelay(t *testing.T, target string) *relay {
@@ -23,8 +23,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &relay{target: target, lis: lis, healed: make(chan struct{}), done: make(chan struct{})}
-	close(r.healed)
+	r := &relay{target: target, lis: lis, unblocked: make(chan struct{}), done: make(chan struct{})}
+	close(r.unblocked)
 	go r.accept()
 	t.Cleanup(func() {
 		close(r.done)
@@ -35,18 +35,18 @@
 
 func (r *relay) address() string { return r.lis.Addr().String() }
 
-// cut stops all bytes without closing a connection.
-func (r *relay) cut() {
+// block stops forwarding without closing a connection.
+func (r *relay) block() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.healed = make(chan struct{})
+	r.unblocked = make(chan struct{})
 }
 
-// heal lets the bytes go on.
-func (r *relay) heal() {
+// unblock resumes forwarding.
+func (r *relay) unblock() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	close(r.healed)
+	close(r.unblocked)
 }
 
 func (r *relay) accept() {
@@ -60,19 +60,19 @@
 			_ = in.Close()
 			continue
 		}
-		go r.carry(in, out)
-		go r.carry(out, in)
+		go r.forward(in, out)
+		go r.forward(out, in)
 	}
 }
 
-func (r *relay) carry(from, to net.Conn) {
+func (r *relay) forward(from, to net.Conn) {
 	defer from.Close()
 	defer to.Close()
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buf)
 		r.mu.Lock()
-		healed := r.healed
+		healed := r.unblocked
 		r.mu.Unlock()
 		select {
 		case <-healed:
--- a/system/resume_test.go
+++ b/system/resume_test.go
@@ -10,7 +10,7 @@
 	"github.com/parsleydeal/parsleydeal/standin"
 )
 
-const noResume = `
+const noResumePatch = `
 id = "no-resume"
 author = "test"
 kind = "patch"
@@ -24,21 +24,21 @@
 
 const jsonBody = `{"model":"quick","messages":[{"role":"user","content":"When is the renewal due?"}]}`
 
-// Engines break every stream off after a few tokens, and none can resume. Who has
-// seen a part of its answer is told that the request ran; an answer in JSON of
-// which nothing was seen starts again, and is given up truly when no engine is
-// left.
-func TestEnginesThatDoNotResume(t *testing.T) {
+// Every engine breaks its streams after a few tokens and none can resume. A caller
+// that got a part of its answer must be told that the request ran. A JSON answer, of
+// which the caller got nothing, is retried from the start, and fails with "ran" when
+// no engine is left.
+func TestStreamsOfEnginesWithoutResume(t *testing.T) {
 	is := is.New(t)
-	s := shape{entries: 1, endpoints: 2, zones: 1, first: 1, gap: 1, tokens: 10}
+	s := clusterSpec{entries: 1, endpoints: 2, zones: 1, firstTokenDelay: 1, tokenGap: 1, tokenCount: 10}
 	c := newCluster(t, s)
-	c.publish(noResume)
+	c.publish(noResumePatch)
 	for _, e := range c.engines {
 		e.SetFaults(standin.EngineFaults{BreakAfter: 3})
 	}
 	c.eventually("change in force", func() bool {
-		r := c.ask(c.entries[0], nil)
-		return !r.whole && r.text == standin.Text(3)
+		r := c.streamChat(c.entries[0], nil)
+		return !r.complete && r.text == standin.Text(3)
 	})
 	status, header, _ := c.call(t.Context(), c.entries[0], http.MethodPost, "/v1/chat/completions", jsonBody, nil)
 	is.Equal(status, http.StatusBadGateway)
@@ -47,26 +47,26 @@
 		e.SetFaults(standin.EngineFaults{})
 		break
 	}
-	c.eventually("answered by the engine that is well", func() bool {
+	c.eventually("answered by the healthy engine", func() bool {
 		status, _, text := c.call(t.Context(), c.entries[0], http.MethodPost, "/v1/chat/completions", jsonBody, nil)
 		if status == http.StatusOK && !strings.Contains(text, strings.TrimSpace(standin.Text(10))) {
-			t.Errorf("answer is not whole: %s", text)
+			t.Errorf("answer is incomplete: %s", text)
 			return true
 		}
 		return status == http.StatusOK
 	})
 }
 
-// The same engines with a pool that says it resumes: each attempt goes on where
-// the last one broke, until the answer is whole.
-func TestBrokenStreamResumesElsewhere(t *testing.T) {
+// With a pool that can resume, each attempt must continue where the previous one
+// broke, until the answer is complete.
+func TestBrokenStreamResumesAtOtherEndpoint(t *testing.T) {
 	is := is.New(t)
-	s := shape{entries: 1, endpoints: 2, zones: 1, first: 1, gap: 1, tokens: 10}
+	s := clusterSpec{entries: 1, endpoints: 2, zones: 1, firstTokenDelay: 1, tokenGap: 1, tokenCount: 10}
 	c := newCluster(t, s)
-	asked, before := 0, 0
+	sent, before := 0, 0
 	c.eventually("both engines serve", func() bool {
-		asked++
-		if c.askAbout(c.entries[0], nil, fmt.Sprint("question ", asked)).whole {
+		sent++
+		if c.streamChatAbout(c.entries[0], nil, fmt.Sprint("question ", sent)).complete {
 			before++
 		}
 		for _, e := range c.engines {
@@ -81,10 +81,10 @@
 		break
 	}
 	for range 4 {
-		r := c.ask(c.entries[0], nil)
+		r := c.streamChat(c.entries[0], nil)
 		is.Equal(r.status, http.StatusOK)
-		is.True(r.whole)
+		is.True(r.complete)
 		is.Equal(r.text, standin.Text(10))
 	}
-	c.eventually("one bill a request", func() bool { return len(c.bills()) == before+4 })
+	c.eventually("one bill per request", func() bool { return len(c.bills()) == before+4 })
 }
--- a/system/silence_test.go
+++ b/system/silence_test.go
@@ -11,17 +11,17 @@
 	"github.com/parsleydeal/parsleydeal/standin"
 )
 
-// An entry is replaced while the log is down. The new one takes the tables from
-// its peers and serves; it does not wait for the log.
+// An entry is restarted during a log outage. It must get the tables from its peers
+// and serve without waiting for the log.
 func TestEntryStartsDuringLogOutage(t *testing.T) {
 	is := is.New(t)
-	s := shape{entries: 2, endpoints: 2, zones: 2, first: 1, gap: 1, tokens: 3}
+	s := clusterSpec{entries: 2, endpoints: 2, zones: 2, firstTokenDelay: 1, tokenGap: 1, tokenCount: 3}
 	c := newCluster(t, s)
 	c.publish("id=\"w\"\nauthor=\"test\"\nkind=\"patch\"\nbase=0\n[tables.zones.zone-a]\nstate=\"out\"\n")
 	c.eventually("the change in force at the other entry", func() bool {
 		before := c.engines["endpoint-0"].Started()
 		for range 4 {
-			c.ask(c.entries[1], nil)
+			c.streamChat(c.entries[1], nil)
 		}
 		return c.engines["endpoint-0"].Started() == before
 	})
@@ -31,18 +31,19 @@
 	c.waitModels(c.entries[0])
 	before := c.engines["endpoint-0"].Started()
 	for range 6 {
-		r := c.ask(c.entries[0], nil)
+		r := c.streamChat(c.entries[0], nil)
 		is.Equal(r.status, http.StatusOK)
-		is.True(r.whole)
+		is.True(r.complete)
 	}
-	is.Equal(c.engines["endpoint-0"].Started(), before) // the zone is still out
+	is.Equal(c.engines["endpoint-0"].Started(), before) // the zone is still out of service
 }
 
-// An endpoint's process freezes: its connections stay open and silent. Requests
-// that can run elsewhere do, long before their deadline, and new ones keep away.
-func TestFrozenEndpointIsLeftAlone(t *testing.T) {
+// Freezes an endpoint's process, so that its connections stay open and carry nothing.
+// Its requests must be retried at other endpoints long before their deadline, and new
+// requests must go to other endpoints.
+func TestRequestsMoveOffFrozenEndpoint(t *testing.T) {
 	is := is.New(t)
-	s := shape{entries: 1, endpoints: 4, zones: 2, first: 5, gap: 3, tokens: 10}
+	s := clusterSpec{entries: 1, endpoints: 4, zones: 2, firstTokenDelay: 5, tokenGap: 3, tokenCount: 10}
 	c := newCluster(t, s)
 	var served atomic.Int64
 	const callers, each = 6, 10
@@ -51,7 +52,7 @@
 	for range callers {
 		wg.Go(func() {
 			for range each {
-				results <- c.ask(c.entries[0], nil)
+				results <- c.streamChat(c.entries[0], nil)
 				served.Add(1)
 			}
 		})
@@ -64,18 +65,18 @@
 	close(results)
 	for r := range results {
 		is.Equal(r.status, http.StatusOK)
-		is.True(r.whole)
-		is.Equal(r.text, wholeText(s))
+		is.True(r.complete)
+		is.Equal(r.text, fullText(s))
 	}
-	c.eventually("one bill a request", func() bool { return len(c.bills()) == callers*each })
+	c.eventually("one bill per request", func() bool { return len(c.bills()) == callers*each })
 }
 
-// An endpoint freezes while it holds the requests of many callers, more than an
-// entry with little traffic would ever retry at once. All of them run elsewhere:
-// the others are nearly idle, and each lost request is asked for once more.
+// Freezes an endpoint with more outstanding requests than the retry budget of an entry
+// with little traffic. All must still be retried: the other endpoint is nearly idle,
+// and each request is retried only once.
 func TestFrozenEndpointWithManyRequestsLosesNone(t *testing.T) {
 	is := is.New(t)
-	s := shape{entries: 1, endpoints: 2, zones: 2, first: 400, gap: 2, tokens: 10}
+	s := clusterSpec{entries: 1, endpoints: 2, zones: 2, firstTokenDelay: 400, tokenGap: 2, tokenCount: 10}
 	c := newCluster(t, s)
 	var served atomic.Int64
 	const callers, each = 36, 4
@@ -84,7 +85,7 @@
 	for range callers {
 		wg.Go(func() {
 			for range each {
-				results <- c.ask(c.entries[0], nil)
+				results <- c.streamChat(c.entries[0], nil)
 				served.Add(1)
 			}
 		})
@@ -95,47 +96,47 @@
 	wg.Wait()
 	is.NoErr(frozen.Signal(syscall.SIGCONT))
 	close(results)
-	// A request that finds half of the endpoints gone may be refused before it
-	// runs, and a stream that has begun cannot move at engines that do not resume.
-	// One of which the caller has nothing is not lost.
-	ends := make(map[int]int)
+	// With one of two endpoints unreachable a request may be refused before it runs,
+	// and a started stream cannot move to another engine if engines do not resume. A
+	// request of which the caller has received nothing must not fail.
+	statuses := make(map[int]int)
 	for r := range results {
-		ends[r.status]++
+		statuses[r.status]++
 	}
-	is.Equal(ends[http.StatusBadGateway], 0)
-	is.True(ends[http.StatusOK] > callers*each/2)
+	is.Equal(statuses[http.StatusBadGateway], 0)
+	is.True(statuses[http.StatusOK] > callers*each/2)
 }
 
-// A switch is lost between the entries and one endpoint: connections neither
-// end nor carry bytes. Callers still get whole answers from the others.
-func TestCutEndpointIsLeftAlone(t *testing.T) {
+// The network between the entries and one endpoint fails: connections stay open and
+// carry nothing. Callers must still get complete answers from the other endpoints.
+func TestRequestsAvoidUnreachableEndpoint(t *testing.T) {
 	is := is.New(t)
-	s := shape{entries: 1, endpoints: 3, zones: 3, first: 2, gap: 2, tokens: 8}
+	s := clusterSpec{entries: 1, endpoints: 3, zones: 3, firstTokenDelay: 2, tokenGap: 2, tokenCount: 8}
 	c := newCluster(t, s)
-	cut := newRelay(t, c.endpoints[0].vm.Address)
-	c.endpoints[0].vm.Address = cut.address()
-	c.list()
+	link := newRelay(t, c.endpoints[0].vm.Address)
+	c.endpoints[0].vm.Address = link.address()
+	c.setVMList()
 	c.eventually("traffic through the relay", func() bool {
 		before := c.engines["endpoint-0"].Started()
-		c.ask(c.entries[0], nil)
+		c.streamChat(c.entries[0], nil)
 		return c.engines["endpoint-0"].Started() > before
 	})
-	cut.cut()
+	link.block()
 	for range 12 {
-		r := c.ask(c.entries[0], nil)
+		r := c.streamChat(c.entries[0], nil)
 		is.Equal(r.status, http.StatusOK)
-		is.True(r.whole)
-		is.Equal(r.text, wholeText(s))
+		is.True(r.complete)
+		is.Equal(r.text, fullText(s))
 	}
-	cut.heal()
+	link.unblock()
 }
 
-// A fee call with a key is answered, but the caller never hears of it and calls
-// again, at the other entry. The service sees the call once, the caller gets
-// the first answer, and there is one bill.
+// The answer to a keyed fee call does not reach the caller, which retries at either
+// entry. The service must receive the call once, every retry must return the first
+// answer, and there must be one bill.
 func TestKeyedPostRunsOnceAcrossEntries(t *testing.T) {
 	is := is.New(t)
-	s := shape{entries: 2, endpoints: 1, plain: 2, zones: 2, first: 1, gap: 1, tokens: 2}
+	s := clusterSpec{entries: 2, endpoints: 1, plain: 2, zones: 2, firstTokenDelay: 1, tokenGap: 1, tokenCount: 2}
 	c := newCluster(t, s)
 	h := http.Header{"Idempotency-Key": {"renewal-17"}}
 	status, first, body := c.call(t.Context(), c.entries[0], http.MethodPost, "/v1/services/records/fees", "renew 17", h)
@@ -154,12 +155,12 @@
 	c.eventually("one bill", func() bool { return len(c.bills()) == 1 })
 }
 
-// An entry vanishes in the middle of a keyed chat answer, and its caller asks
-// again at the other entry. The engine must not run the request a second time:
-// the caller gets the answer that is being made, and there is one bill.
-func TestKeyedChatIsFoundAgainAcrossEntries(t *testing.T) {
+// Kills an entry during a keyed chat answer; the caller retries at the other entry.
+// The engine must not run the request again: the caller gets the answer in progress,
+// and there must be one bill.
+func TestKeyedChatRetriedAtOtherEntryRunsOnce(t *testing.T) {
 	is := is.New(t)
-	s := shape{entries: 2, endpoints: 4, zones: 2, first: 20, gap: 20, tokens: 60}
+	s := clusterSpec{entries: 2, endpoints: 4, zones: 2, firstTokenDelay: 20, tokenGap: 20, tokenCount: 60}
 	c := newCluster(t, s)
 	h := http.Header{"Idempotency-Key": {"dossier-4"}}
 	started := func() (n int) {
@@ -168,16 +169,16 @@
 		}
 		return n
 	}
-	broken := make(chan result, 1)
-	go func() { broken <- c.ask(c.entries[0], h) }()
+	interrupted := make(chan result, 1)
+	go func() { interrupted <- c.streamChat(c.entries[0], h) }()
 	c.eventually("request under way", func() bool { return started() == 1 })
 	c.entries[0].kill()
-	is.True(!(<-broken).whole)
+	is.True(!(<-interrupted).complete)
 	for range 2 {
-		r := c.ask(c.entries[1], h)
+		r := c.streamChat(c.entries[1], h)
 		is.Equal(r.status, http.StatusOK)
-		is.True(r.whole)
-		is.Equal(r.text, wholeText(s))
+		is.True(r.complete)
+		is.Equal(r.text, fullText(s))
 	}
 	is.Equal(started(), 1)
 	c.eventually("one bill", func() bool { return len(c.bills()) == 1 })
--- a/system/stop_test.go
+++ b/system/stop_test.go
@@ -11,14 +11,14 @@
 	"github.com/matryer/is"
 )
 
-// Operators replace all endpoints under load, one after the other and then all
-// over again. Every stop is a planned one, so no caller may see any of it.
+// Replaces all endpoints under load, one after the other, twice. Planned stops must
+// not be visible to any caller.
 func TestEndpointsReplacedTwiceUnderLoad(t *testing.T) {
 	is := is.New(t)
-	s := shape{entries: 2, endpoints: 3, zones: 2, first: 5, gap: 2, tokens: 30}
+	s := clusterSpec{entries: 2, endpoints: 3, zones: 2, firstTokenDelay: 5, tokenGap: 2, tokenCount: 30}
 	c := newCluster(t, s)
 	var stop atomic.Bool
-	var served, asked atomic.Int64
+	var served, sent atomic.Int64
 	var wg sync.WaitGroup
 	defer func() {
 		stop.Store(true)
@@ -27,10 +27,10 @@
 	for i := range 6 {
 		wg.Go(func() {
 			for !stop.Load() {
-				// Each question is another one, so that every endpoint gets some.
-				r := c.askAbout(c.entries[i%2], nil, fmt.Sprint("question ", asked.Add(1)))
-				if r.status != http.StatusOK || !r.whole || r.text != wholeText(s) {
-					t.Errorf("status %d, whole %v, run %q", r.status, r.whole, r.run)
+				// The questions differ, so that prefix caching does not send all to one endpoint.
+				r := c.streamChatAbout(c.entries[i%2], nil, fmt.Sprint("question ", sent.Add(1)))
+				if r.status != http.StatusOK || !r.complete || r.text != fullText(s) {
+					t.Errorf("status %d, complete %v, run %q", r.status, r.complete, r.runState)
 				}
 				served.Add(1)
 			}
@@ -38,7 +38,7 @@
 	}
 	for range 2 {
 		for _, p := range c.endpoints {
-			c.eventually("load goes on", func() bool { return served.Swap(0) > 0 })
+			c.eventually("requests still served", func() bool { return served.Swap(0) > 0 })
 			p.stop(t)
 			c.start(p)
 			before := c.engines[p.vm.ID].Started()
@@ -50,14 +50,14 @@
 	is.True(!t.Failed())
 }
 
-// An operator loses patience and stops an endpoint a second time while a stream
-// goes on. The process ends at once, and the caller's stream goes on elsewhere.
-func TestSecondStopCutsOffAndStreamResumes(t *testing.T) {
+// Sends an endpoint that is stopping a second SIGTERM during a stream. The process
+// must end at once, and the caller's stream must resume at another endpoint.
+func TestSecondStopCancelsRunsAndStreamResumes(t *testing.T) {
 	is := is.New(t)
-	s := shape{entries: 1, endpoints: 2, zones: 1, first: 5, gap: 20, tokens: 150}
+	s := clusterSpec{entries: 1, endpoints: 2, zones: 1, firstTokenDelay: 5, tokenGap: 20, tokenCount: 150}
 	c := newCluster(t, s)
 	answered := make(chan result, 1)
-	go func() { answered <- c.ask(c.entries[0], nil) }()
+	go func() { answered <- c.streamChat(c.entries[0], nil) }()
 	var busy *process
 	c.eventually("stream under way", func() bool {
 		for _, p := range c.endpoints {
@@ -78,24 +78,23 @@
 	})
 	r := <-answered
 	is.Equal(r.status, http.StatusOK)
-	is.True(r.whole)
-	is.Equal(r.text, wholeText(s))
+	is.True(r.complete)
+	is.Equal(r.text, fullText(s))
 	is.Equal(c.engines[busy.vm.ID].Cancelled(), 1)
 }
 
-// Operators replace all endpoints at once. What is under way ends whole; what
-// comes meanwhile is told that it did not run, and when to come back; and the new
-// endpoints serve.
+// Stops all endpoints at once and starts them again. Requests under way must complete,
+// new ones must be refused as not run, and the restarted endpoints must serve.
 func TestAllEndpointsReplacedAtOnce(t *testing.T) {
 	is := is.New(t)
-	s := shape{entries: 1, endpoints: 3, zones: 2, first: 5, gap: 10, tokens: 60}
+	s := clusterSpec{entries: 1, endpoints: 3, zones: 2, firstTokenDelay: 5, tokenGap: 10, tokenCount: 60}
 	c := newCluster(t, s)
 	const callers = 6
 	answers := make(chan result, callers)
 	for range callers {
-		go func() { answers <- c.ask(c.entries[0], nil) }()
+		go func() { answers <- c.streamChat(c.entries[0], nil) }()
 	}
-	c.eventually("streams under way", func() bool { return c.running() == callers })
+	c.eventually("streams under way", func() bool { return c.runningCount() == callers })
 	var stops sync.WaitGroup
 	for _, p := range c.endpoints {
 		stops.Go(func() { p.stop(t) })
@@ -103,20 +102,20 @@
 	for range callers {
 		r := <-answers
 		is.Equal(r.status, http.StatusOK)
-		is.Equal(r.text, wholeText(s))
+		is.Equal(r.text, fullText(s))
 	}
 	stops.Wait()
-	r := c.ask(c.entries[0], nil)
+	r := c.streamChat(c.entries[0], nil)
 	is.True(r.status != http.StatusOK)
-	is.Equal(r.run, "not-run")
+	is.Equal(r.runState, "not-run")
 	for _, p := range c.endpoints {
 		c.start(p)
 	}
-	c.eventually("new endpoints serve", func() bool { return c.ask(c.entries[0], nil).whole })
+	c.eventually("restarted endpoints serve", func() bool { return c.streamChat(c.entries[0], nil).complete })
 }
 
-// running returns how many requests all engines hold.
-func (c *cluster) running() (n int64) {
+// runningCount returns the number of requests running in all engines.
+func (c *cluster) runningCount() (n int64) {
 	for _, e := range c.engines {
 		n += e.Running()
 	}
--- a/system/system.go
+++ b/system/system.go
@@ -1,3 +1,3 @@
-// Package system holds the tests that run the daemons as processes of their
-// own, with the platform and the engines as stand-ins inside the test.
+// Package system holds tests that run the daemons as separate processes against
+// stand-ins for the platform and the engines in the test process.
 package system
