--- a/soak/check_test.go
+++ b/soak/check_test.go
@@ -9,31 +9,31 @@
 	"github.com/parsleydeal/parsleydeal/platform/standin"
 )
 
-// check judges the promises by what callers and endpoints saw.
+// check verifies the guarantees from what callers and endpoints recorded.
 func (k *soak) check() {
 	runs := make(map[string][]standin.Run)
-	for _, e := range k.all() {
+	for _, e := range k.allEndpoints() {
 		for _, r := range e.Runs() {
 			runs[r.ID] = append(runs[r.ID], r)
 		}
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	whole := 0
+	complete := 0
 	for _, s := range k.sent {
 		k.checkRuns(s, runs[s.id])
 		k.checkAnswer(s)
 		if s.err == nil && s.status == http.StatusOK {
-			whole++
+			complete++
 		}
 	}
-	if whole == 0 {
+	if complete == 0 {
 		k.t.Errorf("no request of %d was answered", len(k.sent))
 	}
-	k.t.Logf("%d requests, %d answered whole, %d faults", len(k.sent), whole, len(k.story))
+	k.t.Logf("%d requests, %d answered completely, %d faults", len(k.sent), complete, len(k.faultLog))
 }
 
-// refusals are the statuses that promise that a request has not run.
+// refusals are the statuses that guarantee that a request has not run.
 var refusals = map[int]bool{408: true, 421: true, 429: true, 503: true}
 
 func (k *soak) checkRuns(s sent, runs []standin.Run) {
@@ -41,12 +41,12 @@
 		k.t.Errorf("%s ran %d times", s.id, len(runs))
 	}
 	if s.kind == "fee" && s.err == nil && refusals[s.status] && len(runs) > 0 {
-		k.t.Errorf("%s was answered %d and ran", s.id, s.status)
+		k.t.Errorf("%s was refused with %d and ran", s.id, s.status)
 	}
-	taken, gone := k.taken[s.key]
+	revoked, isRevoked := k.revokedAt[s.key]
 	for _, r := range runs {
-		if gone && s.at.Sub(taken) > lease {
-			k.t.Errorf("%s was sent %s after its key was taken away and ran at %s", s.id, s.at.Sub(taken), r.At.Sub(k.begun))
+		if isRevoked && s.at.Sub(revoked) > keyLease {
+			k.t.Errorf("%s was sent %s after its key was revoked and ran at %s", s.id, s.at.Sub(revoked), r.At.Sub(k.startedAt))
 		}
 		if r.Organisation != "org" || r.Header.Get("Api-Key") != "" {
 			k.t.Errorf("%s ran for organisation %q with key %q", s.id, r.Organisation, r.Header.Get("Api-Key"))
@@ -59,7 +59,7 @@
 
 func (k *soak) checkAnswer(s sent) {
 	if s.err != nil {
-		k.checkCut(s)
+		k.checkDisconnect(s)
 		return
 	}
 	if s.status != http.StatusOK {
@@ -76,23 +76,23 @@
 		fmt.Fprintf(&want, "id: %d\ndata: piece %d of %s\n\n", i, i, s.id)
 	}
 	if s.body != want.String() {
-		k.t.Errorf("%s got a stream that is not whole and in order, and looks complete: %q", s.id, s.body)
+		k.t.Errorf("%s got a stream that ended without an error but is incomplete or out of order: %q", s.id, s.body)
 	}
 }
 
-// quietFor is how long nothing else may have touched a process for its planned
-// stop to be judged.
-const quietFor = 3 * time.Second
+// quietPeriod is how long a process must have been without faults for its planned stop
+// to be checked.
+const quietPeriod = 3 * time.Second
 
-// checkCut judges a request whose connection ended without a whole answer. At a
-// planned stop with nothing else going on none may.
-func (k *soak) checkCut(s sent) {
+// checkDisconnect checks a request whose connection ended before the complete answer.
+// A planned stop of an entry without other faults must not cause one.
+func (k *soak) checkDisconnect(s sent) {
 	p := s.entry
 	p.mu.Lock()
-	leaving, calm := p.leavingSince, p.calmSince
+	leaving, undisturbed := p.leavingSince, p.undisturbedSince
 	p.mu.Unlock()
 	planned := !leaving.IsZero() && s.at.After(leaving) && s.at.Before(leaving.Add(2*time.Second))
-	if planned && s.kind != "chat" && leaving.Sub(calm) > quietFor && strings.Contains(s.err.Error(), "EOF") {
-		k.t.Errorf("%s was cut %s after its entry was asked to stop: %v", s.id, s.at.Sub(leaving), s.err)
+	if planned && s.kind != "chat" && leaving.Sub(undisturbed) > quietPeriod && strings.Contains(s.err.Error(), "EOF") {
+		k.t.Errorf("%s was disconnected %s after its entry got SIGTERM: %v", s.id, s.at.Sub(leaving), s.err)
 	}
 }
--- a/soak/proxy_test.go
+++ b/soak/proxy_test.go
@@ -7,34 +7,35 @@
 	"time"
 )
 
-// mode is what a proxy does to its connections.
+// mode is how a proxy treats its connections.
 type mode int
 
 const (
-	// pass carries bytes both ways.
+	// pass forwards data in both directions.
 	pass mode = iota
-	// slow delays each piece.
+	// slow delays each read by slowDelay.
 	slow
-	// reset breaks open connections and each new one.
+	// reset resets open connections and each new one.
 	reset
-	// oneWay carries nothing back to the side that opened the connection.
+	// oneWay forwards nothing to the side that opened the connection.
 	oneWay
-	// silent carries nothing either way and keeps connections open.
+	// silent forwards nothing in either direction and keeps connections open.
 	silent
-	modes
+	modeCount
 )
 
 func (m mode) String() string {
 	return [...]string{"pass", "slow", "reset", "one-way", "silent"}[m]
 }
 
-// proxy carries connections to a target, or fails to.
+// proxy forwards TCP connections to a target and injects network faults.
 type proxy struct {
 	lis    net.Listener
 	target string
 	mu     sync.Mutex
 	mode   mode
-	open   map[net.Conn]bool
+	// open holds the connections of both sides.
+	open map[net.Conn]bool
 }
 
 func newProxy(target string) (p *proxy, err error) {
@@ -50,11 +51,11 @@
 
 func (p *proxy) close() {
 	_ = p.lis.Close()
-	p.set(reset)
+	p.setMode(reset)
 }
 
-// set changes the mode; open connections feel it too.
-func (p *proxy) set(m mode) {
+// setMode changes the mode, also of open connections.
+func (p *proxy) setMode(m mode) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.mode = m
@@ -67,7 +68,7 @@
 	}
 }
 
-func (p *proxy) now() mode {
+func (p *proxy) currentMode() mode {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.mode
@@ -97,7 +98,7 @@
 	p.track(c, true)
 	defer p.track(c, false)
 	defer c.Close()
-	if p.now() == reset {
+	if p.currentMode() == reset {
 		_ = c.(*net.TCPConn).SetLinger(0)
 		return
 	}
@@ -114,18 +115,18 @@
 	<-done
 }
 
-// slowness is how long slow holds each piece back.
-const slowness = 150 * time.Millisecond
+// slowDelay is the delay of each read in mode slow.
+const slowDelay = 150 * time.Millisecond
 
 func (p *proxy) copy(to, from net.Conn, back bool) {
 	buf := make([]byte, 16<<10)
 	for {
 		n, err := from.Read(buf)
-		for m := p.now(); n > 0 && (m == silent || m == oneWay && back); m = p.now() {
+		for m := p.currentMode(); n > 0 && (m == silent || m == oneWay && back); m = p.currentMode() {
 			time.Sleep(5 * time.Millisecond)
 		}
-		if n > 0 && p.now() == slow {
-			time.Sleep(slowness)
+		if n > 0 && p.currentMode() == slow {
+			time.Sleep(slowDelay)
 		}
 		if n > 0 {
 			if _, werr := to.Write(buf[:n]); werr != nil {
--- a/soak/site_test.go
+++ b/soak/site_test.go
@@ -18,35 +18,36 @@
 	address "github.com/parsleydeal/parsleydeal/standin"
 )
 
-// Sizes of a small site.
+// Parameters of the site.
 const (
 	entryCount = 3
 	poolCount  = 4
 	appCount   = 3
-	// lease is how long a key may be used after it was taken away.
-	lease = 3 * time.Second
-	grace = 5 * time.Second
+	// keyLease is how long a key may be accepted after it was revoked.
+	keyLease  = 3 * time.Second
+	stopGrace = 5 * time.Second
 )
 
-// process is one entry, run as a program of its own.
+// process is an entry run as a separate process.
 type process struct {
 	name     string
 	base     string
 	ready    string
 	settings string
 	log      *os.File
-	// store is the process's own way to the store.
-	store *proxy
-	door  *standin.Handler
-	mu    sync.Mutex
-	cmd   *exec.Cmd
-	// ended is closed when the process that runs now has ended.
+	// storeProxy carries the process's connections to the store.
+	storeProxy   *proxy
+	storeHandler *standin.Handler
+	mu           sync.Mutex
+	cmd          *exec.Cmd
+	// ended is closed when the current process has ended.
 	ended chan struct{}
-	// meant is true while an end of the process is this soak's doing.
-	meant bool
-	// calmSince is when the last fault that touches the process was over, and
-	// leavingSince when it got SIGTERM; zero while it did not.
-	calmSince    time.Time
+	// exitExpected is true after the test has made the process end.
+	exitExpected bool
+	// undisturbedSince is the time of the last fault that affected the process, or of its
+	// start if that is later.
+	undisturbedSince time.Time
+	// leavingSince is when the process got SIGTERM; it is zero before.
 	leavingSince time.Time
 }
 
@@ -59,35 +60,35 @@
 	proxy   *proxy
 	mu      sync.Mutex
 	fault   func() standin.Reply
-	// sequence grows with each announcement.
+	// sequence increases with each registration.
 	sequence int
 	version  string
 }
 
-func (e *endpoint) set(f func() standin.Reply) {
+func (e *endpoint) setFault(f func() standin.Reply) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.fault = f
 }
 
-func (e *endpoint) act(r *http.Request) standin.Reply {
+func (e *endpoint) reply(r *http.Request) standin.Reply {
 	e.mu.Lock()
 	f := e.fault
 	e.mu.Unlock()
-	a := standin.Reply{BreakAfter: -1}
+	reply := standin.Reply{BreakAfter: -1}
 	if f != nil {
-		a = f()
+		reply = f()
 	}
 	if strings.HasPrefix(r.URL.Path, "/chat/") {
-		a.Events, a.EventDelay, a.Confidence = streamEvents, 15*time.Millisecond, 90
+		reply.Events, reply.EventDelay, reply.Confidence = streamEvents, 15*time.Millisecond, 90
 	}
-	return a
+	return reply
 }
 
-// streamEvents is the length of every stream.
+// streamEvents is the number of events in every stream.
 const streamEvents = 8
 
-// site is everything that a seed runs on.
+// site is the store, entries and endpoints that a seed runs on.
 type site struct {
 	t         *testing.T
 	dir       string
@@ -96,18 +97,18 @@
 	endpoints []*endpoint
 	mu        sync.Mutex
 	version   int
-	// keys holds the keys in force, taken when one was taken away.
-	keys  []string
-	taken map[string]time.Time
-	nextK int
-	// last runs when all else of the site has ended.
-	last func()
+	// keys holds the valid keys, revokedAt when each revoked key was removed.
+	keys      []string
+	revokedAt map[string]time.Time
+	lastKey   int
+	// finalCleanup runs after all other cleanups of the site.
+	finalCleanup func()
 }
 
 func newSite(t *testing.T, program string) *site {
 	t.Helper()
-	s := &site{t: t, dir: t.TempDir(), store: standin.NewStore(), taken: make(map[string]time.Time), last: func() {}}
-	t.Cleanup(func() { s.last() })
+	s := &site{t: t, dir: t.TempDir(), store: standin.NewStore(), revokedAt: make(map[string]time.Time), finalCleanup: func() {}}
+	t.Cleanup(func() { s.finalCleanup() })
 	for range 3 {
 		s.addKey()
 	}
@@ -128,13 +129,13 @@
 func zoneOf(i int) string { return [...]string{"a", "b"}[i%2] }
 
 func (s *site) addKey() {
-	s.nextK++
-	s.keys = append(s.keys, fmt.Sprintf("key-%d", s.nextK))
+	s.lastKey++
+	s.keys = append(s.keys, fmt.Sprintf("key-%d", s.lastKey))
 }
 
 func (s *site) addEndpoint(name, service, version, zone string) *endpoint {
 	e := &endpoint{name: name, service: service, zone: zone, version: version}
-	inner, err := standin.StartEndpoint(name, e.act)
+	inner, err := standin.StartEndpoint(name, e.reply)
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -146,12 +147,12 @@
 	s.mu.Lock()
 	s.endpoints = append(s.endpoints, e)
 	s.mu.Unlock()
-	s.announce(e, "ready")
+	s.register(e, "ready")
 	return e
 }
 
-// announce writes an endpoint's entry with its proxy's address.
-func (s *site) announce(e *endpoint, state string) {
+// register writes an endpoint's registration with its proxy's address to the store.
+func (s *site) register(e *endpoint, state string) {
 	e.mu.Lock()
 	e.sequence++
 	text := string(e.Registration(e.service, e.zone, e.version, state, e.sequence))
@@ -159,7 +160,7 @@
 	s.store.Put("keyed.servers", e.name, []byte(strings.Replace(text, e.Address(), e.proxy.address(), 1)))
 }
 
-func (s *site) all() []*endpoint {
+func (s *site) allEndpoints() []*endpoint {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]*endpoint(nil), s.endpoints...)
@@ -168,8 +169,8 @@
 func (s *site) heartbeats() {
 	for s.t.Context().Err() == nil {
 		time.Sleep(400 * time.Millisecond)
-		for _, e := range s.all() {
-			s.announce(e, "ready")
+		for _, e := range s.allEndpoints() {
+			s.register(e, "ready")
 		}
 	}
 }
@@ -194,18 +195,18 @@
 }
 
 func (s *site) addEntry(name, program string) {
-	p := &process{name: name, door: s.store.Handler()}
-	srv := httptest.NewServer(p.door)
+	p := &process{name: name, storeHandler: s.store.Handler()}
+	srv := httptest.NewServer(p.storeHandler)
 	s.t.Cleanup(func() { srv.CloseClientConnections(); srv.Close() })
 	var err error
-	if p.store, err = newProxy(strings.TrimPrefix(srv.URL, "http://")); err != nil {
+	if p.storeProxy, err = newProxy(strings.TrimPrefix(srv.URL, "http://")); err != nil {
 		s.t.Fatal(err)
 	}
 	callers, ready := address.FreeAddress(), address.FreeAddress()
 	p.base, p.ready = "http://"+callers, "http://"+ready+"/readyz"
 	p.settings = filepath.Join(s.dir, name+".toml")
 	text := fmt.Sprintf("vm=%q\nzone=\"a\"\nregion=\"r\"\npeer=%q\n[entry]\ncallers=%q\n[direct]\nstore=%q\nready=%q\ngrace=%q\nkey-lease=%q\nretry-ratio=1\nretry-slack=1000\nexposure=0.3\n",
-		name, address.FreeAddress(), callers, p.store.address(), ready, grace, lease)
+		name, address.FreeAddress(), callers, p.storeProxy.address(), ready, stopGrace, keyLease)
 	if err = os.WriteFile(p.settings, []byte(text), 0o600); err != nil {
 		s.t.Fatal(err)
 	}
@@ -216,17 +217,17 @@
 	s.start(p, program)
 	s.t.Cleanup(func() {
 		p.mu.Lock()
-		p.meant = true
+		p.exitExpected = true
 		cmd, ended := p.cmd, p.ended
 		p.mu.Unlock()
 		_ = cmd.Process.Signal(syscall.SIGCONT)
 		_ = cmd.Process.Kill()
 		<-ended
-		p.store.close()
+		p.storeProxy.close()
 	})
 }
 
-// start runs the program; an end that this soak did not cause fails the seed.
+// start runs the program. If the process ends without being told to, the test fails.
 func (s *site) start(p *process, program string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -237,33 +238,34 @@
 		return
 	}
 	ended := make(chan struct{})
-	p.cmd, p.ended, p.meant, p.leavingSince = cmd, ended, false, time.Time{}
-	p.calmSince = time.Now()
+	p.cmd, p.ended, p.exitExpected, p.leavingSince = cmd, ended, false, time.Time{}
+	p.undisturbedSince = time.Now()
 	go func() {
 		err := cmd.Wait()
 		p.mu.Lock()
-		meant := p.meant
+		expected := p.exitExpected
 		p.mu.Unlock()
-		if !meant {
-			s.t.Errorf("%s ended by itself: %v", p.name, err)
+		if !expected {
+			s.t.Errorf("%s ended unexpectedly: %v", p.name, err)
 		}
 		close(ended)
 	}()
 }
 
-// signal sends a signal to the process that runs now.
-func (p *process) signal(sig syscall.Signal, meant bool) {
+// signal sends a signal to the current process. If ends is true, the process is
+// expected to end.
+func (p *process) signal(sig syscall.Signal, ends bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.meant = p.meant || meant
+	p.exitExpected = p.exitExpected || ends
 	_ = p.cmd.Process.Signal(sig)
 }
 
-// disturbed notes a fault that touches the process now.
-func (p *process) disturbed() {
+// recordDisturbance records that a fault affects the process now.
+func (p *process) recordDisturbance() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.calmSince = time.Now()
+	p.undisturbedSince = time.Now()
 }
 
 func (p *process) isReady() bool {
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -1,13 +1,13 @@
-// Package soak runs entries as programs of their own against stand-ins and
-// injects faults from outside them: signals, proxies that delay, reset, cut or
-// silence connections, and a store and endpoints that misbehave. While it runs it
-// checks the promises of the system from what callers and endpoints see.
+// Package soak runs entries as separate processes against stand-ins and injects
+// faults from outside: signals, proxies that delay, reset or block connections, and
+// faults of the store and the endpoints. It checks the guarantees of the system from
+// what callers and endpoints record.
 //
-// A seed decides the faults, their order and their overlap:
+// A seed determines the faults, their order and their overlap:
 //
 //	go test ./soak -seed 7          one seed
-//	go test ./soak -seeds 50        fifty fresh ones
-//	go test ./soak                  the seeds that ever failed and two more
+//	go test ./soak -seeds 50        fifty random seeds
+//	go test ./soak                  the seeds that have failed before and two more
 package soak
 
 import (
@@ -32,18 +32,18 @@
 
 var (
 	oneSeed   = flag.Uint64("seed", 0, "run this seed only")
-	seedCount = flag.Int("seeds", 0, "run so many fresh seeds")
-	seconds   = flag.Int("seconds", 8, "how long the faults of a seed go on")
-	keepLogs  = flag.String("logs", "", "directory for the logs of seeds that fail")
+	seedCount = flag.Int("seeds", 0, "number of random seeds to run")
+	seconds   = flag.Int("seconds", 8, "duration of the fault injection of a seed")
+	keepLogs  = flag.String("logs", "", "directory for the entries' logs of failed seeds")
 )
 
-// regressions are the seeds that ever failed, with the cause.
+// regressions are the seeds that have failed before, with the cause.
 var regressions = map[uint64]string{
-	12683428: "hung: the stand-in store held a silent write for ever, since its body was not read",
+	12683428: "hang: the stand-in store never ended a silent write because it did not read the body",
 }
 
-// always are run beside them.
-var always = []uint64{1, 2}
+// fixedSeeds run in addition to the regressions.
+var fixedSeeds = []uint64{1, 2}
 
 func TestSoak(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "parsleydeal-entry")
@@ -51,12 +51,12 @@
 	if out, err := build.CombinedOutput(); err != nil {
 		t.Fatalf("build: %v\n%s", err, out)
 	}
-	for _, seed := range seedsOf() {
+	for _, seed := range seedsToRun() {
 		t.Run(strconv.FormatUint(seed, 10), func(t *testing.T) { runSeed(t, seed, program) })
 	}
 }
 
-func seedsOf() (seeds []uint64) {
+func seedsToRun() (seeds []uint64) {
 	if *oneSeed != 0 {
 		return []uint64{*oneSeed}
 	}
@@ -69,10 +69,10 @@
 	for seed := range regressions {
 		seeds = append(seeds, seed)
 	}
-	return append(seeds, always...)
+	return append(seeds, fixedSeeds...)
 }
 
-// sent is one request as its caller saw it.
+// sent is a request with its result as received by the caller.
 type sent struct {
 	id     string
 	kind   string
@@ -80,12 +80,12 @@
 	entry  *process
 	at     time.Time
 	status int
-	// err says that the connection ended before the whole answer.
+	// err is set if the connection ended before the complete answer.
 	err  error
 	body string
 }
 
-// soak is one seed under way.
+// soak is the run of one seed.
 type soak struct {
 	*site
 	t       *testing.T
@@ -94,46 +94,47 @@
 	faults  sync.WaitGroup
 	mu      sync.Mutex
 	sent    []sent
-	// story tells the faults, for a seed that fails.
-	story []string
-	begun time.Time
+	// faultLog lists the injected faults; it is printed if the seed fails.
+	faultLog  []string
+	startedAt time.Time
 }
 
-// overtime is how long a seed may take beyond its faults: the last fault's end, two
-// planned stops in a row, the recovery and the end of the stand-ins.
-const overtime = 60 * time.Second
+// hangMargin is how long a seed may take after the last fault was started: it covers
+// the end of that fault, two planned stops in a row, the recovery and the shutdown of
+// the stand-ins.
+const hangMargin = 60 * time.Second
 
 func runSeed(t *testing.T, seed uint64, program string) {
-	fmt.Printf("seed %d begins\n", seed)
-	k := &soak{site: newSite(t, program), t: t, rng: rand.New(rand.NewPCG(seed, 0)), program: program, begun: time.Now()}
-	watch := time.AfterFunc(time.Duration(*seconds)*time.Second+overtime, func() { k.hangs(seed) })
-	// The watch covers the end of the entries and stand-ins, which may hang as well.
-	k.site.last = func() { watch.Stop() }
+	fmt.Printf("starting seed %d\n", seed)
+	k := &soak{site: newSite(t, program), t: t, rng: rand.New(rand.NewPCG(seed, 0)), program: program, startedAt: time.Now()}
+	watchdog := time.AfterFunc(time.Duration(*seconds)*time.Second+hangMargin, func() { k.abortHung(seed) })
+	// The watchdog also covers the shutdown of the entries and stand-ins, which may hang.
+	k.site.finalCleanup = func() { watchdog.Stop() }
 	k.waitReady(5 * time.Second)
 	ctx, stop := context.WithCancel(t.Context())
 	var callers sync.WaitGroup
 	for n := range 12 {
-		callers.Go(func() { k.call(ctx, n, rand.New(rand.NewPCG(seed, uint64(n)+1))) })
+		callers.Go(func() { k.sendRequests(ctx, n, rand.New(rand.NewPCG(seed, uint64(n)+1))) })
 	}
 	for end := time.Now().Add(time.Duration(*seconds) * time.Second); time.Now().Before(end); {
-		k.fault()
+		k.addFault()
 		time.Sleep(time.Duration(50+k.rng.IntN(700)) * time.Millisecond)
 	}
 	k.faults.Wait()
-	k.recovers()
+	k.checkRecovery()
 	stop()
 	callers.Wait()
 	time.Sleep(200 * time.Millisecond)
 	k.check()
 	if t.Failed() {
-		t.Logf("seed %d, the faults:\n%s", seed, strings.Join(k.story, "\n"))
+		t.Logf("seed %d, injected faults:\n%s", seed, strings.Join(k.faultLog, "\n"))
 		k.saveLogs(seed)
 	}
 }
 
-// hangs ends a seed that does not end by itself. Its entries are ended first: the
-// panic that shows where it hangs would leave them running.
-func (k *soak) hangs(seed uint64) {
+// abortHung ends a seed that hangs with a panic, which prints all stacks. It kills the
+// entries first, since they would outlive the panic.
+func (k *soak) abortHung(seed uint64) {
 	if *keepLogs == "" {
 		if dir, err := os.MkdirTemp("", "soak"); err == nil {
 			*keepLogs = dir
@@ -176,9 +177,9 @@
 	}
 }
 
-// call sends requests one after the other, keeping its connection to an entry for
-// as long as that lives.
-func (k *soak) call(ctx context.Context, n int, rng *rand.Rand) {
+// sendRequests sends requests one after the other to random entries, over keep-alive
+// connections.
+func (k *soak) sendRequests(ctx context.Context, n int, rng *rand.Rand) {
 	client := &http.Client{Transport: &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: 2}, Timeout: 6 * time.Second}
 	for i := 0; ctx.Err() == nil; i++ {
 		p := k.entries[rng.IntN(len(k.entries))]
@@ -186,18 +187,18 @@
 		k.mu.Lock()
 		key := k.keys[rng.IntN(len(k.keys))]
 		k.mu.Unlock()
-		k.note(k.ask(client, p, kind, key, fmt.Sprintf("r-%d-%d", n, i)))
+		k.record(k.send(client, p, kind, key, fmt.Sprintf("r-%d-%d", n, i)))
 		time.Sleep(time.Duration(rng.IntN(30)) * time.Millisecond)
 	}
 }
 
-func (k *soak) ask(client *http.Client, p *process, kind, key, id string) sent {
+func (k *soak) send(client *http.Client, p *process, kind, key, id string) sent {
 	out := sent{id: id, kind: kind, key: key, entry: p, at: time.Now()}
 	method := map[string]string{"chat": "POST", "read": "GET", "fee": "POST"}[kind]
 	var body io.Reader
 	if method == "POST" {
-		// A body that can be read only once keeps net/http from sending it again by
-		// itself, which would look as if the entry ran it twice.
+		// With a body that can be read only once net/http does not retry the request by
+		// itself, which would look as if the entry had run it twice.
 		body = io.MultiReader(strings.NewReader("body of " + id))
 	}
 	r, err := http.NewRequest(method, p.base+"/"+kind+"/x", body)
@@ -225,36 +226,36 @@
 	return out
 }
 
-func (k *soak) note(s sent) {
+func (k *soak) record(s sent) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.sent = append(k.sent, s)
 }
 
-func (k *soak) tell(format string, a ...any) {
+func (k *soak) logFault(format string, a ...any) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.story = append(k.story, fmt.Sprintf("%7.3f ", time.Since(k.begun).Seconds())+fmt.Sprintf(format, a...))
+	k.faultLog = append(k.faultLog, fmt.Sprintf("%7.3f ", time.Since(k.startedAt).Seconds())+fmt.Sprintf(format, a...))
 }
 
-// span draws how long a fault lasts.
-func (k *soak) span(most time.Duration) time.Duration {
-	return 50*time.Millisecond + time.Duration(k.rng.Int64N(int64(most)))
+// randomDuration returns the duration of a fault: 50 ms plus a random part below limit.
+func (k *soak) randomDuration(limit time.Duration) time.Duration {
+	return 50*time.Millisecond + time.Duration(k.rng.Int64N(int64(limit)))
 }
 
-// while runs a fault for a span beside the others.
-func (k *soak) while(d time.Duration, begin, end func()) {
-	begin()
+// holdFault starts a fault and ends it after d, concurrently with other faults.
+func (k *soak) holdFault(d time.Duration, start, end func()) {
+	start()
 	k.faults.Go(func() {
 		time.Sleep(d)
 		end()
 	})
 }
 
-// fault draws the next fault.
-func (k *soak) fault() {
+// addFault injects a random fault.
+func (k *soak) addFault() {
 	p := k.entries[k.rng.IntN(len(k.entries))]
-	all := k.all()
+	all := k.allEndpoints()
 	e := all[k.rng.IntN(len(all))]
 	switch n := k.rng.IntN(11); n {
 	case 0:
@@ -262,101 +263,101 @@
 	case 1:
 		k.restart(p, syscall.SIGTERM)
 	case 2:
-		k.pause(p, k.span(2500*time.Millisecond))
+		k.pause(p, k.randomDuration(2500*time.Millisecond))
 	case 3:
-		m, d := mode(1+k.rng.IntN(int(modes)-1)), k.span(3*time.Second)
-		k.tell("%s: way to the store %s for %s", p.name, m, d)
-		k.while(d, func() { p.store.set(m) }, func() { p.store.set(pass) })
+		m, d := mode(1+k.rng.IntN(int(modeCount)-1)), k.randomDuration(3*time.Second)
+		k.logFault("%s: connections to the store %s for %s", p.name, m, d)
+		k.holdFault(d, func() { p.storeProxy.setMode(m) }, func() { p.storeProxy.setMode(pass) })
 	case 4:
-		f, d := standin.Fault(1+k.rng.IntN(5)), k.span(3*time.Second)
-		k.tell("%s: store fails with %d for %s", p.name, f, d)
-		k.while(d, func() { p.door.SetFault(f) }, func() { p.door.SetFault(standin.NoFault) })
+		f, d := standin.Fault(1+k.rng.IntN(5)), k.randomDuration(3*time.Second)
+		k.logFault("%s: store fault %d for %s", p.name, f, d)
+		k.holdFault(d, func() { p.storeHandler.SetFault(f) }, func() { p.storeHandler.SetFault(standin.NoFault) })
 	case 5:
-		m, d := mode(1+k.rng.IntN(int(modes)-1)), k.span(2*time.Second)
-		k.tell("%s: way to the endpoint %s for %s", e.name, m, d)
-		k.while(d, func() { e.proxy.set(m) }, func() { e.proxy.set(pass) })
+		m, d := mode(1+k.rng.IntN(int(modeCount)-1)), k.randomDuration(2*time.Second)
+		k.logFault("%s: connections to the endpoint %s for %s", e.name, m, d)
+		k.holdFault(d, func() { e.proxy.setMode(m) }, func() { e.proxy.setMode(pass) })
 	case 6, 7:
-		k.misbehave(e)
+		k.addEndpointFault(e)
 	case 8:
-		k.takeKey()
+		k.revokeKey()
 	case 9:
-		zone, d := zoneOf(k.rng.IntN(2)), k.span(2*time.Second)
-		k.tell("zone %s out for %s", zone, d)
-		k.while(d, func() { k.store.Put("keyed.op", "evacuate/"+zone, []byte("{}")) }, func() { k.store.Put("keyed.op", "evacuate/"+zone, nil) })
+		zone, d := zoneOf(k.rng.IntN(2)), k.randomDuration(2*time.Second)
+		k.logFault("zone %s evacuated for %s", zone, d)
+		k.holdFault(d, func() { k.store.Put("keyed.op", "evacuate/"+zone, []byte("{}")) }, func() { k.store.Put("keyed.op", "evacuate/"+zone, nil) })
 	case 10:
-		k.tell("store forgets, SIGHUP to %s", p.name)
+		k.logFault("store compacted, SIGHUP to %s", p.name)
 		k.store.Compact("keyed.op")
 		k.store.Compact("keyed.servers")
 		p.signal(syscall.SIGHUP, false)
 	}
 }
 
-// restart ends a process and starts it again once it is gone.
+// restart ends a process by a signal and starts it again once it has ended.
 func (k *soak) restart(p *process, sig syscall.Signal) {
 	p.mu.Lock()
-	ended, busy := p.ended, p.meant
-	if !busy && sig == syscall.SIGTERM {
+	ended, restarting := p.ended, p.exitExpected
+	if !restarting && sig == syscall.SIGTERM {
 		p.leavingSince = time.Now()
 	}
 	p.mu.Unlock()
-	if busy {
+	if restarting {
 		return
 	}
-	k.tell("%s: %s", p.name, sig)
+	k.logFault("%s: %s", p.name, sig)
 	if sig == syscall.SIGKILL {
-		p.disturbed()
+		p.recordDisturbance()
 	}
 	p.signal(sig, true)
 	k.faults.Go(func() {
 		select {
 		case <-ended:
-		case <-time.After(grace + 3*time.Second):
-			k.t.Errorf("%s is still there %s after %s", p.name, grace+3*time.Second, sig)
+		case <-time.After(stopGrace + 3*time.Second):
+			k.t.Errorf("%s still runs %s after %s", p.name, stopGrace+3*time.Second, sig)
 			p.signal(syscall.SIGKILL, true)
 			<-ended
 		}
-		k.tell("%s: starts again", p.name)
+		k.logFault("%s: restarted", p.name)
 		k.start(p, k.program)
 	})
 }
 
 func (k *soak) pause(p *process, d time.Duration) {
-	k.tell("%s: paused for %s", p.name, d)
-	p.disturbed()
-	k.while(d, func() { p.signal(syscall.SIGSTOP, false) }, func() {
+	k.logFault("%s: paused for %s", p.name, d)
+	p.recordDisturbance()
+	k.holdFault(d, func() { p.signal(syscall.SIGSTOP, false) }, func() {
 		p.signal(syscall.SIGCONT, false)
-		p.disturbed()
+		p.recordDisturbance()
 	})
 }
 
-// misbehave gives an endpoint a fault in a part of its answers.
-func (k *soak) misbehave(e *endpoint) {
-	acts := map[string]standin.Reply{
+// addEndpointFault makes an endpoint fail in one way for a random ratio of its requests.
+func (k *soak) addEndpointFault(e *endpoint) {
+	replies := map[string]standin.Reply{
 		"loses answers": {DropAnswer: true}, "fails": {Status: 500}, "refuses": {NotRun: true}, "is slow": {Delay: 600 * time.Millisecond},
 		"breaks streams": {BreakAfter: 3}, "answers others first": {OtherAnswerFirst: true}, "adds answers": {ExtraAnswer: true}, "signs nothing": {NoSignature: true},
 	}
 	names := []string{"loses answers", "fails", "refuses", "is slow", "breaks streams", "answers others first", "adds answers", "signs nothing"}
-	name, d, part := names[k.rng.IntN(len(names))], k.span(2*time.Second), k.rng.Float64()
-	a := acts[name]
+	name, d, ratio := names[k.rng.IntN(len(names))], k.randomDuration(2*time.Second), k.rng.Float64()
+	reply := replies[name]
 	if name != "breaks streams" {
-		a.BreakAfter = -1
+		reply.BreakAfter = -1
 	}
-	if (a.OtherAnswerFirst || a.ExtraAnswer) && e.service == "pool" {
-		return // the stand-in answers so with plain bodies only
+	if (reply.OtherAnswerFirst || reply.ExtraAnswer) && e.service == "pool" {
+		return // the stand-in supports these faults for plain bodies only
 	}
-	k.tell("%s: %s, %.0f%% for %s", e.name, name, 100*part, d)
-	k.while(d, func() {
-		e.set(func() standin.Reply {
-			if rand.Float64() < part {
-				return a
+	k.logFault("%s: %s, %.0f%% for %s", e.name, name, 100*ratio, d)
+	k.holdFault(d, func() {
+		e.setFault(func() standin.Reply {
+			if rand.Float64() < ratio {
+				return reply
 			}
 			return standin.Reply{BreakAfter: -1}
 		})
-	}, func() { e.set(nil) })
+	}, func() { e.setFault(nil) })
 }
 
-// takeKey takes a key away and gives out another.
-func (k *soak) takeKey() {
+// revokeKey revokes a random key and adds a new one.
+func (k *soak) revokeKey() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	i := k.rng.IntN(len(k.keys))
@@ -364,19 +365,19 @@
 	k.keys = append(k.keys[:i:i], k.keys[i+1:]...)
 	k.addKey()
 	k.publish()
-	k.taken[key] = time.Now()
-	k.story = append(k.story, fmt.Sprintf("%7.3f %s was taken away", time.Since(k.begun).Seconds(), key))
+	k.revokedAt[key] = time.Now()
+	k.faultLog = append(k.faultLog, fmt.Sprintf("%7.3f %s revoked", time.Since(k.startedAt).Seconds(), key))
 }
 
-// recovers checks that everything works again soon after the last fault.
-func (k *soak) recovers() {
-	for _, e := range k.all() {
-		e.set(nil)
-		e.proxy.set(pass)
+// checkRecovery ends all faults and checks that requests are answered soon after.
+func (k *soak) checkRecovery() {
+	for _, e := range k.allEndpoints() {
+		e.setFault(nil)
+		e.proxy.setMode(pass)
 	}
 	for _, p := range k.entries {
-		p.store.set(pass)
-		p.door.SetFault(standin.NoFault)
+		p.storeProxy.setMode(pass)
+		p.storeHandler.SetFault(standin.NoFault)
 	}
 	k.waitReady(6 * time.Second)
 	time.Sleep(2 * time.Second)
@@ -387,10 +388,10 @@
 		key := k.keys[0]
 		k.mu.Unlock()
 		kind := [...]string{"chat", "read", "fee"}[i/len(k.entries)%3]
-		s := k.ask(client, p, kind, key, fmt.Sprintf("z-%d", i))
-		k.note(s)
+		s := k.send(client, p, kind, key, fmt.Sprintf("z-%d", i))
+		k.record(s)
 		if s.status != http.StatusOK || s.err != nil {
-			k.t.Errorf("after all faults: %s at %s got %d %v %s", kind, p.name, s.status, s.err, s.body)
+			k.t.Errorf("after recovery: %s at %s got %d %v %s", kind, p.name, s.status, s.err, s.body)
 		}
 	}
 }
