--- a/design/design.go
+++ b/design/design.go
@@ -1,9 +1,9 @@
-// Package design describes the callers' interface for goa. Only `make generate`
-// reads it.
+// Package design defines the HTTP interfaces of callers and operators in goa's design
+// language. It is used by `make generate` only.
 package design
 
 import (
-	//revive:disable:dot-imports goa's language is written with dot imports
+	//revive:disable:dot-imports goa designs use dot imports
 	. "goa.design/goa/v3/dsl"
 )
 
@@ -50,14 +50,14 @@
 	})
 })
 
-// ModelList is the list of routes in the shape of OpenAI's models list.
+// ModelList is the list of routes in the format of OpenAI's models list.
 var ModelList = Type("ModelList", func() {
 	Attribute("object", String, "Always \"list\"")
 	Attribute("data", ArrayOf(Model))
 	Required("object", "data")
 })
 
-// Model is one route a caller may name as model.
+// Model is a route that a caller may name as the model of a chat completion.
 var Model = Type("Model", func() {
 	Attribute("id", String, "Name of the route")
 	Attribute("object", String, "Always \"model\"")
--- a/design/operators.go
+++ b/design/operators.go
@@ -1,7 +1,7 @@
 package design
 
 import (
-	//revive:disable:dot-imports goa's language is written with dot imports
+	//revive:disable:dot-imports goa designs use dot imports
 	. "goa.design/goa/v3/dsl"
 )
 
