--- a/cmd/parsleydeal-endpoint/main.go
+++ b/cmd/parsleydeal-endpoint/main.go
@@ -1,4 +1,5 @@
-// Command parsleydeal-endpoint is described by its --help.
+// Command parsleydeal-endpoint runs the endpoint process in front of an engine or a
+// service. See --help for its usage.
 package main
 
 import (
--- a/cmd/parsleydeal-entry/main.go
+++ b/cmd/parsleydeal-entry/main.go
@@ -1,4 +1,5 @@
-// Command parsleydeal-entry is described by its --help.
+// Command parsleydeal-entry runs an entry, which routes the requests of callers. See
+// --help for its usage.
 package main
 
 import (
--- a/cmd/parsleydeal/main.go
+++ b/cmd/parsleydeal/main.go
@@ -1,4 +1,4 @@
-// Command parsleydeal is described by its --help.
+// Command parsleydeal is the operators' command line tool. See --help for its usage.
 package main
 
 import (
