--- a/peer/pool.go
+++ b/peer/pool.go
@@ -1,4 +1,4 @@
-// Package peer connects the system's own processes over drpc.
+// Package peer connects the processes of the system over drpc.
 package peer
 
 import (
@@ -16,31 +16,32 @@
 // Errors is the namespace of this package's errors.
 var Errors = errorx.NewNamespace("peer")
 
-// ErrNotReached marks a call that provably never reached the peer.
+// ErrNotReached is the type of the error of a call whose peer could not be dialled, so
+// that the call cannot have reached it.
 var ErrNotReached = Errors.NewType("not-reached")
 
 const (
 	dialTimeout = 500 * clock.Millis(1)
-	// idleExpiration closes pooled connections that nobody used for a while.
+	// idleExpiration is how long an unused connection stays in the pool.
 	idleExpiration = 30 * clock.Second
-	// idlePerPeer bounds the idle connections kept to one peer.
+	// idlePerPeer is the maximum number of idle connections to one peer.
 	idlePerPeer = 64
 )
 
-// Pool keeps connections to peers by address. A drpc connection carries one
-// call at a time, so calls in parallel use several connections and none waits
-// behind another.
+// Pool pools connections to peers by address. A drpc connection carries one call at
+// a time, so concurrent calls use separate connections and do not wait for each other.
+// It is safe for concurrent use.
 type Pool struct {
 	conns *drpcpool.Pool[string, drpcpool.Conn]
 	dial  func(ctx context.Context, address string) (net.Conn, error)
 }
 
-// NewPool makes a pool that dials plain TCP.
+// NewPool returns a pool that dials plain TCP.
 func NewPool() *Pool {
 	return NewPoolWith((&net.Dialer{Timeout: dialTimeout.Duration()}).DialContext)
 }
 
-// NewPoolWith makes a pool over a dialer, such as one that speaks TLS.
+// NewPoolWith returns a pool that connects with dial, for example over TLS.
 func NewPoolWith(dial func(ctx context.Context, network, address string) (net.Conn, error)) *Pool {
 	return &Pool{
 		conns: drpcpool.New[string, drpcpool.Conn](drpcpool.Options{Expiration: idleExpiration.Duration(), KeyCapacity: idlePerPeer}),
@@ -50,12 +51,14 @@
 	}
 }
 
-// Gate returns a client of the gate at an address.
+// Gate returns a client of the gate of the endpoint process at an address. The
+// connection is dialled at the first call.
 func (p *Pool) Gate(ctx context.Context, address string) wire.DRPCGateClient {
 	return wire.NewDRPCGateClient(p.conn(ctx, address))
 }
 
-// Peer returns a client of the process at an address.
+// Peer returns a client of the process at an address. The connection is dialled at the
+// first call.
 func (p *Pool) Peer(ctx context.Context, address string) wire.DRPCPeerClient {
 	return wire.NewDRPCPeerClient(p.conn(ctx, address))
 }
--- a/peer/server.go
+++ b/peer/server.go
@@ -9,8 +9,8 @@
 	"storj.io/drpc/drpcserver"
 )
 
-// Serve answers peers on a listener until the context ends. Gate is nil in an
-// entry.
+// Serve serves drpc calls of peers on a listener until the context ends. gate is nil
+// in an entry.
 func Serve(ctx context.Context, lis net.Listener, p wire.DRPCPeerServer, gate wire.DRPCGateServer) (err error) {
 	return serve(ctx, stallListener{Listener: lis, limit: stallLimit}, p, gate)
 }
--- a/peer/stall.go
+++ b/peer/stall.go
@@ -7,13 +7,13 @@
 	"github.com/parsleydeal/parsleydeal/clock"
 )
 
-// stallLimit is how long a peer may take nothing of what is sent to it.
+// stallLimit is the timeout of one write to a peer.
 const stallLimit = 30 * clock.Second
 
-// stallListener bounds every write to a connection. A peer that is paused or
-// gone without a word takes nothing more, and a write to it would block for as
-// long as TCP hopes: the run behind it would keep its place in the window and its
-// engine. The write fails instead, which ends the connection and frees both.
+// stallListener sets a deadline for every write to a connection. A peer that is paused
+// or unreachable reads nothing, and a write to it would block until TCP gives up; the
+// run would keep its slot in the window and in its engine for that long. The failed
+// write ends the connection and frees both.
 type stallListener struct {
 	net.Listener
 	limit clock.Millis
@@ -33,7 +33,7 @@
 	limit time.Duration
 }
 
-// Write sends data, or fails when the peer takes none of it for too long.
+// Write writes p, or fails when the write takes longer than the limit.
 func (c *stallConn) Write(p []byte) (n int, err error) {
 	if err = c.SetWriteDeadline(time.Now().Add(c.limit)); err != nil {
 		return 0, err
--- a/peer/stall_test.go
+++ b/peer/stall_test.go
@@ -10,13 +10,14 @@
 	"github.com/parsleydeal/parsleydeal/peer/wire"
 )
 
-// endless is a gate whose answers never end.
-type endless struct {
+// endlessGate is a gate whose answers never end. failed gets the error of the first
+// write that fails.
+type endlessGate struct {
 	wire.DRPCGateUnimplementedServer
 	failed chan error
 }
 
-func (e *endless) Run(stream wire.DRPCGate_RunStream) (err error) {
+func (e *endlessGate) Run(stream wire.DRPCGate_RunStream) (err error) {
 	p := &wire.Piece{Data: make([]byte, 32<<10)}
 	for err == nil {
 		err = stream.Send(p)
@@ -25,15 +26,15 @@
 	return err
 }
 
-// An entry is paused in the middle of an answer: its connection stays open and
-// takes nothing. The gate must not hold its place for it for ever.
-func TestStalledPeerFreesTheGate(t *testing.T) {
+// An entry is paused during an answer: its connection stays open and it reads nothing.
+// The gate's write must fail, so that the run does not keep its slot for ever.
+func TestWriteToStalledPeerFails(t *testing.T) {
 	is := is.New(t)
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	g := &endless{failed: make(chan error, 1)}
+	g := &endlessGate{failed: make(chan error, 1)}
 	go func() {
 		_ = serve(ctx, stallListener{Listener: lis, limit: 50}, &wire.DRPCPeerUnimplementedServer{}, g)
 	}()
@@ -44,6 +45,6 @@
 	case err = <-g.failed:
 		is.True(err != nil)
 	case <-time.After(time.Minute):
-		t.Fatal("the gate still waits for a stalled peer")
+		t.Fatal("the gate's write to a stalled peer did not fail")
 	}
 }
