--- a/Makefile
+++ b/Makefile
@@ -9,11 +9,11 @@
 build:
 	go build ./...
 
-# Tests listed in KNOWN-RED.txt run by themselves and are printed, not counted.
+# Tests listed in KNOWN-RED.txt run separately: they are printed and do not fail the build.
 RED := $(shell cut -s -d: -f1 KNOWN-RED.txt | paste -sd '|' -)
 
-# Property tests draw from a fixed seed here, so that CI gives one verdict;
-# `go test ./...` by hand draws anew.
+# Property tests use a fixed seed here, so that CI results are reproducible;
+# a plain `go test ./...` uses a random one.
 SEEDED := $(shell git grep -l pgregory.net/rapid -- '*_test.go' | xargs -n1 dirname | sort -u | sed 's|^|./|')
 OTHERS = $(shell go list ./... | grep -v -x -F $(foreach p,$(SEEDED),-e github.com/parsleydeal/parsleydeal/$(p:./%=%)))
 SKIP := $(if $(RED),-skip '^($(RED))$$')
@@ -55,7 +55,7 @@
 demo:
 	go run ./cmd/parsleydeal demo
 
-# Each target runs for FUZZTIME; Go fuzzes one target at a time.
+# Each target runs for FUZZTIME, one after the other: Go fuzzes one target at a time.
 FUZZTIME ?= 20s
 FUZZ := table:FuzzApply bill:FuzzStatement bill:FuzzTaken claim:FuzzState session:FuzzVerify settings:FuzzCheck platform:FuzzOperator platform:FuzzEndpoint platform:FuzzRecords site:FuzzUnpack explain:FuzzRead account:FuzzRead
 
