--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -33,7 +33,7 @@
 var (
 	oneSeed   = flag.Uint64("seed", 0, "run this seed only")
 	seedCount = flag.Int("seeds", 0, "number of random seeds to run")
-	seconds   = flag.Int("seconds", 8, "duration of the fault injection of a seed")
+	seconds   = flag.Int("seconds", 8, "duration of the fault injection of a seed in seconds")
 	keepLogs  = flag.String("logs", "", "directory for the entries' logs of failed seeds")
 )
 
@@ -243,9 +243,9 @@
 	return 50*time.Millisecond + time.Duration(k.rng.Int64N(int64(limit)))
 }
 
-// holdFault starts a fault and ends it after d, concurrently with other faults.
-func (k *soak) holdFault(d time.Duration, start, end func()) {
-	start()
+// holdFault injects a fault and ends it after d, concurrently with other faults.
+func (k *soak) holdFault(d time.Duration, inject, end func()) {
+	inject()
 	k.faults.Go(func() {
 		time.Sleep(d)
 		end()
