--- a/bench/quality.go
+++ b/bench/quality.go
@@ -140,7 +140,7 @@
 		word = 1 - word
 	}
 	pass := word >= r.c.target
-	r.feed(event.Judged{Now: now, Route: "route", Version: p.First, Organisation: "o", Score: word, Passed: pass})
+	r.feed(event.CascadeRated{Now: now, Route: "route", Version: p.First, Organisation: "o", Score: word, Passed: pass})
 	if !pass {
 		r.cost += r.price(p.Second)
 		score = r.score(p.Second)
--- a/bench/rollout.go
+++ b/bench/rollout.go
@@ -188,15 +188,15 @@
 	}
 	if failed {
 		r.at(r.now+failureAfter, func() {
-			r.feed(e, event.Observed{Now: r.now, Route: "dossier", Version: version, Organisation: org, Failed: true})
+			r.feed(e, event.AttemptEnded{Now: r.now, Route: "dossier", Version: version, Organisation: org, Failed: true})
 		})
 		return
 	}
 	r.at(r.now+firstToken, func() {
-		r.feed(e, event.Begun{Now: r.now, Route: "dossier", Version: version, Organisation: org})
+		r.feed(e, event.AnswerStarted{Now: r.now, Route: "dossier", Version: version, Organisation: org})
 	})
 	r.at(r.now+wholeAfter, func() {
-		r.feed(e, event.Observed{Now: r.now, Route: "dossier", Version: version, Organisation: org})
+		r.feed(e, event.AttemptEnded{Now: r.now, Route: "dossier", Version: version, Organisation: org})
 	})
 	known := int64(0)
 	if version == oldVersion {
--- a/bench/zone.go
+++ b/bench/zone.go
@@ -106,10 +106,10 @@
 
 // see gives an entry the tables in force now.
 func (r *zoneRun) see(e *zoneEntry) {
-	t := &table.Tables{Pools: map[string]table.Pool{choicePool: {ColdWindow: zoneCold, FullWindow: zonePlaces}}, Zones: map[string]table.Site{}}
+	t := &table.Tables{Pools: map[string]table.Pool{choicePool: {ColdWindow: zoneCold, FullWindow: zonePlaces}}, Zones: map[string]table.Location{}}
 	for name, out := range r.out {
 		if out {
-			t.Zones[name] = table.Site{State: table.Out}
+			t.Zones[name] = table.Location{State: table.Out}
 		}
 	}
 	m := r.members.Members()
--- a/certificate/certificate.go
+++ b/certificate/certificate.go
@@ -23,15 +23,15 @@
 
 // Kinds of errors.
 var (
-	// ErrUnfit marks files that hold no usable certificate.
-	ErrUnfit = Errors.NewType("unfit")
-	// ErrForeign marks a peer whose certificate is of no known authority, or
+	// ErrUnusable marks files that hold no usable certificate.
+	ErrUnusable = Errors.NewType("unfit")
+	// ErrUntrusted marks a peer whose certificate is of no known authority, or
 	// not valid now.
-	ErrForeign = Errors.NewType("foreign")
+	ErrUntrusted = Errors.NewType("foreign")
 )
 
-// Keeper holds the certificate of one interface.
-type Keeper struct {
+// Reloader holds the certificate of one interface.
+type Reloader struct {
 	files settings.Certificate
 	// current is replaced whole; connections that are open keep what they began
 	// with.
@@ -50,8 +50,8 @@
 }
 
 // Open reads the files. ErrUnfit says what is wrong with them.
-func Open(files settings.Certificate) (k *Keeper, err error) {
-	k = &Keeper{files: files}
+func Open(files settings.Certificate) (k *Reloader, err error) {
+	k = &Reloader{files: files}
 	_, err = k.Reload()
 	return k, err
 }
@@ -59,10 +59,10 @@
 // Reload looks at the files and takes what is new. Files that cannot be used,
 // such as a key that was written before its certificate, leave the old
 // certificate in place.
-func (k *Keeper) Reload() (changed bool, err error) {
+func (k *Reloader) Reload() (changed bool, err error) {
 	defer func() {
 		if err != nil {
-			err = ErrUnfit.Wrap(err, "%s", k.files.Certificate)
+			err = ErrUnusable.Wrap(err, "%s", k.files.Certificate)
 		}
 	}()
 	text, err := k.read()
@@ -81,7 +81,7 @@
 	return true, nil
 }
 
-func (k *Keeper) read() (text [][]byte, err error) {
+func (k *Reloader) read() (text [][]byte, err error) {
 	for _, path := range []string{k.files.Certificate, k.files.Key, k.files.Authorities} {
 		var data []byte
 		if path != "" {
@@ -100,12 +100,12 @@
 		return nil, err
 	}
 	if until := l.certificate.Leaf.NotAfter; time.Now().After(until) {
-		return nil, ErrUnfit.New("certificate expired at %s", until.UTC().Format(time.RFC3339))
+		return nil, ErrUnusable.New("certificate expired at %s", until.UTC().Format(time.RFC3339))
 	}
 	if len(text[2]) > 0 {
 		l.authorities = x509.NewCertPool()
 		if !l.authorities.AppendCertsFromPEM(text[2]) {
-			return nil, ErrUnfit.New("file of authorities holds no certificate")
+			return nil, ErrUnusable.New("file of authorities holds no certificate")
 		}
 	}
 	l.server = l.serverConfig()
@@ -123,7 +123,7 @@
 
 // Watch reloads until the context ends. Report hears of each new certificate,
 // with a nil error, and of each failure once until it changes.
-func (k *Keeper) Watch(ctx context.Context, every clock.Millis, report func(err error)) {
+func (k *Reloader) Watch(ctx context.Context, every clock.Millis, report func(err error)) {
 	t := time.NewTicker(every.Duration())
 	defer t.Stop()
 	last := ""
@@ -146,11 +146,11 @@
 }
 
 // NotAfter returns when the certificate in use expires.
-func (k *Keeper) NotAfter() time.Time { return k.current.Load().certificate.Leaf.NotAfter }
+func (k *Reloader) NotAfter() time.Time { return k.current.Load().certificate.Leaf.NotAfter }
 
 // Listener speaks TLS on the connections of a listener, each with the
 // certificate that is current when it begins.
-func (k *Keeper) Listener(lis net.Listener) net.Listener {
+func (k *Reloader) Listener(lis net.Listener) net.Listener {
 	return tls.NewListener(lis, &tls.Config{
 		MinVersion:         tls.VersionTLS12,
 		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) { return k.current.Load().server, nil },
@@ -160,7 +160,7 @@
 // Dial connects to another process of the system and has it prove that it is
 // one. Its name is not compared: processes are known by IP numbers that go from
 // VM to VM, so a certificate of the system's own authority is the proof.
-func (k *Keeper) Dial(ctx context.Context, network, address string) (conn net.Conn, err error) {
+func (k *Reloader) Dial(ctx context.Context, network, address string) (conn net.Conn, err error) {
 	l := k.current.Load()
 	d := &tls.Dialer{Config: &tls.Config{
 		MinVersion:   tls.VersionTLS12,
@@ -175,7 +175,7 @@
 
 func (l *loaded) verify(state tls.ConnectionState) (err error) {
 	if len(state.PeerCertificates) == 0 {
-		return ErrForeign.New("the other side shows no certificate")
+		return ErrUntrusted.New("the other side shows no certificate")
 	}
 	between := x509.NewCertPool()
 	for _, c := range state.PeerCertificates[1:] {
@@ -183,7 +183,7 @@
 	}
 	_, err = state.PeerCertificates[0].Verify(x509.VerifyOptions{Roots: l.authorities, Intermediates: between, KeyUsages: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth}})
 	if err != nil {
-		return ErrForeign.Wrap(err, "verify the other side")
+		return ErrUntrusted.Wrap(err, "verify the other side")
 	}
 	return nil
 }
--- a/certificate/certificate_test.go
+++ b/certificate/certificate_test.go
@@ -98,7 +98,7 @@
 }
 
 // serveEcho answers lines on a listener until the test ends.
-func serveEcho(t *testing.T, k *Keeper) (address string) {
+func serveEcho(t *testing.T, k *Reloader) (address string) {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -128,7 +128,7 @@
 	return err
 }
 
-func call(k *Keeper, address string) (c net.Conn, err error) {
+func call(k *Reloader, address string) (c net.Conn, err error) {
 	c, err = k.Dial(context.Background(), "tcp", address)
 	if err != nil {
 		return nil, err
@@ -165,7 +165,7 @@
 
 // A process that another authority vouches for speaks to the system's own. It
 // must get no further than the handshake, in either direction.
-func TestForeignCertificateIsRefused(t *testing.T) {
+func TestUntrustedCertificateIsRejected(t *testing.T) {
 	is := is.New(t)
 	ours, theirs := newAuthority(t), newAuthority(t)
 	ourFiles, theirFiles := newFiles(t), newFiles(t)
@@ -178,13 +178,13 @@
 	_, err = call(them, serveEcho(t, us))
 	is.True(err != nil) // our server refuses their client
 	_, err = call(us, serveEcho(t, them))
-	is.True(errorx.IsOfType(err, ErrForeign)) // our client refuses their server
+	is.True(errorx.IsOfType(err, ErrUntrusted)) // our client refuses their server
 }
 
 // A certificate expires on a VM whose files nobody renewed. Others must refuse
 // it from then on, and a process must not take an expired one in place of one
 // that still holds.
-func TestExpiredCertificateIsRefused(t *testing.T) {
+func TestExpiredCertificateIsRejected(t *testing.T) {
 	is := is.New(t)
 	a := newAuthority(t)
 	files, old := newFiles(t), newFiles(t)
@@ -193,23 +193,23 @@
 	is.NoErr(err)
 	a.write(files, 3, -time.Hour, a)
 	_, err = k.Reload()
-	is.True(errorx.IsOfType(err, ErrUnfit))
+	is.True(errorx.IsOfType(err, ErrUnusable))
 	_, err = call(k, serveEcho(t, k))
 	is.NoErr(err) // the old one goes on
 	a.write(old, 4, -time.Hour, a)
 	_, err = Open(old)
-	is.True(errorx.IsOfType(err, ErrUnfit))
+	is.True(errorx.IsOfType(err, ErrUnusable))
 	expired, err := loadExpired(old)
 	is.NoErr(err)
 	_, err = call(expired, serveEcho(t, k))
 	is.True(err != nil) // refused by the server
 	_, err = call(k, serveEcho(t, expired))
-	is.True(errorx.IsOfType(err, ErrForeign)) // refused by the client
+	is.True(errorx.IsOfType(err, ErrUntrusted)) // refused by the client
 }
 
 // loadExpired is a process that has held its certificate past its end.
-func loadExpired(files settings.Certificate) (k *Keeper, err error) {
-	k = &Keeper{files: files}
+func loadExpired(files settings.Certificate) (k *Reloader, err error) {
+	k = &Reloader{files: files}
 	text, err := k.read()
 	if err != nil {
 		return nil, err
@@ -227,7 +227,7 @@
 
 // A reload falls between the writing of the key and of its certificate. The
 // pair does not match and must not replace the one in use.
-func TestHalfWrittenPairIsNotTaken(t *testing.T) {
+func TestMismatchedPairIsNotLoaded(t *testing.T) {
 	is := is.New(t)
 	a := newAuthority(t)
 	files, next := newFiles(t), newFiles(t)
@@ -237,7 +237,7 @@
 	is.NoErr(err)
 	is.NoErr(os.Rename(next.Key, files.Key))
 	_, err = k.Reload()
-	is.True(errorx.IsOfType(err, ErrUnfit))
+	is.True(errorx.IsOfType(err, ErrUnusable))
 	_, err = call(k, serveEcho(t, k))
 	is.NoErr(err)
 	is.NoErr(os.Rename(next.Certificate, files.Certificate))
--- a/chat/assembly.go
+++ b/chat/assembly.go
@@ -13,11 +13,11 @@
 	fields map[string]any
 }
 
-// Text adds text.
-func (a *Assembly) Text(text string) { a.text.WriteString(text) }
+// AddText adds text.
+func (a *Assembly) AddText(text string) { a.text.WriteString(text) }
 
-// Delta adds a delta as the engine wrote it.
-func (a *Assembly) Delta(raw []byte) (err error) {
+// AddDelta adds a delta as the engine wrote it.
+func (a *Assembly) AddDelta(raw []byte) (err error) {
 	var delta map[string]any
 	if err = json.Unmarshal(raw, &delta); err != nil {
 		return err
--- a/chat/chat_test.go
+++ b/chat/chat_test.go
@@ -19,7 +19,7 @@
 		`{"tool_calls":[{"index":1,"function":{"arguments":"5}"}}],"reasoning_content":"first "}`,
 		`{"reasoning_content":"then"}`,
 	} {
-		is.NoErr(a.Delta([]byte(delta)))
+		is.NoErr(a.AddDelta([]byte(delta)))
 	}
 	data, err := json.Marshal(a.Message())
 	is.NoErr(err)
@@ -28,7 +28,7 @@
 		`{"function":{"arguments":"{\"fee\":5}","name":"bill"},"id":"b","type":"function"}]}`)
 }
 
-func TestParseRefusesWhatIsNotServed(t *testing.T) {
+func TestParseRejectsUnsupportedRequests(t *testing.T) {
 	is := is.New(t)
 	for body, reason := range map[string]string{
 		`{`:                              "unexpected end of JSON input",
--- a/chat/prefix_test.go
+++ b/chat/prefix_test.go
@@ -18,7 +18,7 @@
 // All callers ask the same short question. Were it a prefix, all of them would
 // go to the endpoint that answered it first, and a replaced or idle endpoint
 // beside it would get nothing.
-func TestShortPrefixHasNoName(t *testing.T) {
+func TestShortPrefixHasNoHash(t *testing.T) {
 	is := is.New(t)
 	is.Equal(conversation("When is the renewal due?").PrefixHash(), uint64(0))
 	long := strings.Repeat("case history ", 100)
--- a/checkpoint/checkpoint.go
+++ b/checkpoint/checkpoint.go
@@ -97,7 +97,7 @@
 
 // update tracks the last checkpoint and whether the next one is due before Interval.
 func (s *State) update(now clock.Millis, tables *table.State) {
-	if at := tables.SavedAt(); !s.initialized || at != s.lastOffset {
+	if at := tables.CheckpointOffset(); !s.initialized || at != s.lastOffset {
 		s.initialized, s.lastOffset, s.lastSeenAt, s.triggeredAt, s.lastAppendAt = true, at, now, 0, 0
 	}
 	// If the log retains neither its first record nor a checkpoint, a starting process
--- a/choice/endpoint_test.go
+++ b/choice/endpoint_test.go
@@ -26,9 +26,9 @@
 func newView(endpoints []provider.VM, out ...string) *view.View {
 	s := membership.New("test")
 	s.Reduce(event.VMsListed{VMs: endpoints})
-	t := &table.Tables{Pools: map[string]table.Pool{"p": {ColdWindow: 2, FullWindow: 10}}, Zones: map[string]table.Site{}}
+	t := &table.Tables{Pools: map[string]table.Pool{"p": {ColdWindow: 2, FullWindow: 10}}, Zones: map[string]table.Location{}}
 	for _, z := range out {
-		t.Zones[z] = table.Site{State: table.Out}
+		t.Zones[z] = table.Location{State: table.Out}
 	}
 	return view.New(t, 0, 0, s.Members(), false)
 }
@@ -185,7 +185,7 @@
 	s := membership.New("test")
 	s.Reduce(event.VMsListed{VMs: vms(provider.EndpointRole, 4, 2)})
 	in := &table.Tables{Pools: map[string]table.Pool{"p": {ColdWindow: 2, FullWindow: 10}}}
-	out := &table.Tables{Pools: in.Pools, Zones: map[string]table.Site{"z1": {State: table.Out}}}
+	out := &table.Tables{Pools: in.Pools, Zones: map[string]table.Location{"z1": {State: table.Out}}}
 	zones := zone.NewState()
 	zones.Reduce(0, out, s.Members())
 	zones.Reduce(1, in, s.Members())
--- a/cli/load.go
+++ b/cli/load.go
@@ -89,7 +89,7 @@
 		cfg.Unbilled = func(ctx context.Context, requests []string) ([]string, error) { return unbilled(ctx, log, requests) }
 	}
 	if len(c.Measure) > 0 {
-		cfg.Seconds = func(ctx context.Context) (float64, error) { return cpuSeconds(ctx, c.Measure) }
+		cfg.ProcessorSeconds = func(ctx context.Context) (float64, error) { return cpuSeconds(ctx, c.Measure) }
 	}
 	res, err := load.Run(ctx, &plan, cfg)
 	if err != nil {
@@ -130,7 +130,7 @@
 			return err
 		}
 	}
-	if res.Broken() > 0 || res.Whole == 0 {
+	if res.Broken() > 0 || res.Completed == 0 {
 		return errPromiseBroken
 	}
 	return nil
--- a/cli/load_test.go
+++ b/cli/load_test.go
@@ -71,7 +71,7 @@
 	cfg := load.Config{HTTP: &http.Client{Transport: balancer}}
 	res, err := load.Run(t.Context(), &p, cfg)
 	is.NoErr(err)
-	if res.Broken() > 0 || res.Whole != res.Sent || res.Cuts > 0 {
+	if res.Broken() > 0 || res.Completed != res.Sent || res.Disconnects > 0 {
 		var out bytes.Buffer
 		is.NoErr(res.Print(&out))
 		t.Fatal(out.String())
--- a/cli/local.go
+++ b/cli/local.go
@@ -158,7 +158,7 @@
 	s.VM, s.Zone, s.Region = vm, zone, "demo"
 	s.Peer, s.Operators = l.reserve(), l.reserve()
 	s.Platform = l.base
-	s.VMListEvery = 100
+	s.VMListInterval = 100
 	s.Entry.LeaveDelay = 0
 	s.Session = settings.Session{Keys: map[string]string{"demo": "no secret, for the demo alone does it stand"}, Current: "demo"}
 	return s
--- a/cli/secure_test.go
+++ b/cli/secure_test.go
@@ -68,7 +68,7 @@
 		is.NoErr(err)
 		l.operatorsHTTP = &http.Client{Transport: &http.Transport{TLSClientConfig: &tls.Config{RootCAs: pool, Certificates: []tls.Certificate{clientCertificate}}}}
 		l.adjust = func(s *settings.Settings) {
-			s.TLS = settings.TLS{ReloadEvery: 100, Peers: files}
+			s.TLS = settings.TLS{ReloadInterval: 100, Peers: files}
 			s.TLS.Callers = settings.Certificate{Certificate: files.Certificate, Key: files.Key}
 			s.TLS.Operators = files
 		}
--- a/client/publish_test.go
+++ b/client/publish_test.go
@@ -30,17 +30,17 @@
 
 func change(id string, base int64) *table.Change {
 	return &table.Change{ID: id, Author: "ops", Kind: table.Whole, Base: base, Tables: table.Tables{
-		Zones: map[string]table.Site{"a": {State: table.Out}},
+		Zones: map[string]table.Location{"a": {State: table.Out}},
 	}}
 }
 
 // The log takes the change in and its answer is lost. An operator who sends it
 // again blindly sees a conflict with his own change and undoes it, or fills the
 // log; one who gives up does not know. Publish looks on the log first.
-func TestPublishAfterLostAnswerStandsOnce(t *testing.T) {
+func TestPublishAfterLostReplyAppendsOnce(t *testing.T) {
 	is := is.New(t)
 	op, p := newOperator(t)
-	p.SetFaults(standin.Faults{LoseAnswers: 1})
+	p.SetFaults(standin.Faults{DropAnswers: 1})
 	v, err := op.Publish(t.Context(), change("one", -1))
 	is.NoErr(err)
 	is.True(v.Accepted)
@@ -54,7 +54,7 @@
 
 // Two operators publish on the same revision. The later one must hear that his
 // change was rejected, not that it was appended.
-func TestPublishTellsTheLoserOfARace(t *testing.T) {
+func TestPublishRejectsStaleBaseRevision(t *testing.T) {
 	is := is.New(t)
 	op, _ := newOperator(t)
 	_, err := op.Publish(t.Context(), change("one", -1))
@@ -65,7 +65,7 @@
 
 // The log is down for as long as the operator waits. The change provably does
 // not stand on it, and that is what he must be told.
-func TestPublishWhileTheLogIsDownIsNotSent(t *testing.T) {
+func TestPublishWhileLogIsDownReportsNotSent(t *testing.T) {
 	is := is.New(t)
 	op, p := newOperator(t)
 	p.SetFaults(standin.Faults{Down: true})
--- a/control/control.go
+++ b/control/control.go
@@ -188,7 +188,7 @@
 func (s *State) reportShortenedLog(head int64) (effects []event.Effect) {
 	shortened := head < s.tables.Offset()
 	if shortened && !s.logShortened {
-		effects = append(effects, event.Report{Message: "Log shows less than was read", Fields: []any{"stream", provider.ConfigStream, "head", head, "reduced", s.tables.Offset()}})
+		effects = append(effects, event.WriteLog{Message: "Log shows less than was read", Fields: []any{"stream", provider.ConfigStream, "head", head, "reduced", s.tables.Offset()}})
 	}
 	s.logShortened = shortened
 	return effects
@@ -200,7 +200,7 @@
 	if !ok {
 		return nil
 	}
-	if o.Adopted {
+	if o.Restored {
 		s.tail = s.tail.Restart(offset)
 	}
 	s.tail = s.tail.Add(&wire.Record{Offset: offset, Data: data})
@@ -216,22 +216,22 @@
 	}
 	c, err := table.ParseCheckpoint(e.Reply.GetCheckpoint().GetData())
 	if err != nil {
-		return []event.Effect{event.Report{Message: "Cannot decode the checkpoint of a peer", Fields: []any{"peer", e.From, "reason", err.Error()}}}
+		return []event.Effect{event.WriteLog{Message: "Cannot decode the checkpoint of a peer", Fields: []any{"peer", e.From, "reason", err.Error()}}}
 	}
 	if !s.tables.Import(c) {
 		return nil
 	}
 	s.tail = s.tail.Restart(c.Offset())
 	s.lastCheckpoint = c
-	return []event.Effect{event.Report{Message: "Tables taken from a peer's checkpoint", Fields: []any{"peer", e.From, "revision", c.Revision(), "offset", c.Offset()}}}
+	return []event.Effect{event.WriteLog{Message: "Tables taken from a peer's checkpoint", Fields: []any{"peer", e.From, "revision", c.Revision(), "offset", c.Offset()}}}
 }
 
-func outcomeReport(o table.Outcome) event.Report {
+func outcomeReport(o table.Outcome) event.WriteLog {
 	if o.Checkpoint {
-		return event.Report{Message: "Checkpoint read", Fields: []any{"offset", o.Revision, "counts", o.Accepted, "adopted", o.Adopted, "reason", o.Reason}}
+		return event.WriteLog{Message: "Checkpoint read", Fields: []any{"offset", o.Revision, "counts", o.Accepted, "adopted", o.Restored, "reason", o.Reason}}
 	}
 	if o.Accepted {
-		return event.Report{Message: "Change accepted", Fields: []any{"change", o.ID, "author", o.Author, "revision", o.Revision}}
+		return event.WriteLog{Message: "Change accepted", Fields: []any{"change", o.ID, "author", o.Author, "revision", o.Revision}}
 	}
-	return event.Report{Message: "Change rejected", Fields: []any{"change", o.ID, "author", o.Author, "offset", o.Revision, "reason", o.Reason}}
+	return event.WriteLog{Message: "Change rejected", Fields: []any{"change", o.ID, "author", o.Author, "offset", o.Revision, "reason", o.Reason}}
 }
--- a/control/evidence_test.go
+++ b/control/evidence_test.go
@@ -72,8 +72,8 @@
 		*made++
 	}
 	route, org := fmt.Sprint("route-", h/100%3), fmt.Sprint("org-", h/1000%10)
-	c.reduce(p, event.Begun{Now: c.at(p), Route: route, Version: version, Organisation: org})
-	c.reduce(p, event.Observed{Now: c.at(p), Route: route, Version: version, Organisation: org})
+	c.reduce(p, event.AnswerStarted{Now: c.at(p), Route: route, Version: version, Organisation: org})
+	c.reduce(p, event.AttemptEnded{Now: c.at(p), Route: route, Version: version, Organisation: org})
 	c.after(requestInterval, func() { c.request(p, number+1, made) })
 }
 
@@ -97,7 +97,7 @@
 	c.partitioned = func(_, _ *proc) bool { messages++; return xxhash.Sum64String(fmt.Sprint(messages))%3 == 0 }
 	for i := range 40 {
 		p := c.byVM[c.listed[i%6].ID]
-		c.reduce(p, event.Begun{Now: c.at(p), Route: "r", Version: "m@2", Organisation: "o"})
+		c.reduce(p, event.AnswerStarted{Now: c.at(p), Route: "r", Version: "m@2", Organisation: "o"})
 		c.run(300, nil)
 	}
 	c.run(20*clock.Second, nil)
@@ -109,7 +109,7 @@
 	}
 	p := c.start(other, 700)
 	c.run(settleTime, nil)
-	c.reduce(p, event.Begun{Now: c.at(p), Route: "r", Version: "m@2", Organisation: "o"})
+	c.reduce(p, event.AnswerStarted{Now: c.at(p), Route: "r", Version: "m@2", Organisation: "o"})
 	c.run(20*clock.Second, nil)
 	is.Equal(judge.knownRequests("m@2"), 41) // the counts of the previous incarnation remain
 }
--- a/control/lease.go
+++ b/control/lease.go
@@ -15,7 +15,7 @@
 // reduceLease brings the engine next to this process into the state that the tables set.
 func (s *State) reduceLease(e event.Event) (effects []event.Effect, changed bool) {
 	switch e.(type) {
-	case event.Tick, event.EngineSeen, event.AppendDone, event.WeightsDone, event.OrderDone:
+	case event.Tick, event.EngineReported, event.AppendDone, event.WeightsDone, event.OrderDone:
 	default:
 		return nil, false
 	}
--- a/control/size_test.go
+++ b/control/size_test.go
@@ -88,8 +88,8 @@
 		x := n*sizeRequests + i
 		route, version, org := fmt.Sprint("route-", x%sizeRoutes), fmt.Sprintf("m%d@1", x%sizeVersions), fmt.Sprint("org-", x%sizeOrgs)
 		vm := fmt.Sprintf("vm-%04d", sizeEntries+x*31%(sizeVMs-sizeEntries))
-		reduce(event.Begun{Now: now, Route: route, Version: version, Organisation: org})
-		reduce(event.Observed{Now: now, Route: route, Version: version, Organisation: org, VM: vm})
+		reduce(event.AnswerStarted{Now: now, Route: route, Version: version, Organisation: org})
+		reduce(event.AttemptEnded{Now: now, Route: route, Version: version, Organisation: org, VM: vm})
 		reduce(event.LoadReceived{Now: now, Load: &wire.Load{Vm: vm, Epoch: 2, Sequence: uint64(x)}})
 	}
 	for i := range 3 {
--- a/daemon/direct.go
+++ b/daemon/direct.go
@@ -98,7 +98,7 @@
 		const megabyte = 1 << 20
 		debug.SetMemoryLimit(int64(memoryLimitRatio * float64(s.Direct.Memory) * megabyte))
 	}
-	strategies, err := decision.Choose(s.Decisions.Ways)
+	strategies, err := decision.Choose(s.Decisions.Strategies)
 	if err != nil {
 		return nil, err
 	}
@@ -125,8 +125,8 @@
 	})
 	d.server = relay.New(relay.Config{
 		Clock: d.clock, Log: d.log, Dialect: platform.Dialect(), View: d.loop.View, Started: d.loop.Started(), Pool: upstream.NewPool(d.clock), Zone: s.Zone,
-		Strict: s.Direct.StrictKeys, KeyLease: s.Direct.KeyLease - leaseMargin, RetryRatio: s.Direct.RetryRatio, RetrySlack: s.Direct.RetrySlack, RetryWindow: s.Direct.RetrySpan,
-		ColdOverage: s.Direct.ColdOverage, ColdSlack: s.Direct.ColdSlack, SessionIdleTimeout: s.Direct.SessionLife, Strategies: strategies,
+		Strict: s.Direct.StrictKeys, KeyLease: s.Direct.KeyLease - leaseMargin, RetryRatio: s.Direct.RetryRatio, RetrySlack: s.Direct.RetrySlack, RetryWindow: s.Direct.RetryWindow,
+		ColdOverage: s.Direct.ColdOverage, ColdSlack: s.Direct.ColdSlack, SessionIdleTimeout: s.Direct.SessionIdleTimeout, Strategies: strategies,
 	})
 	return d, nil
 }
--- a/daemon/secure.go
+++ b/daemon/secure.go
@@ -15,13 +15,13 @@
 // Certificates holds the certificates of a process's interfaces. A nil one means
 // that the interface uses plain TCP. The zero value uses plain TCP everywhere.
 type Certificates struct {
-	callers, operators, peers *certificate.Keeper
+	callers, operators, peers *certificate.Reloader
 }
 
 // OpenCertificates loads the certificates that the settings name. It fails if one
 // of them cannot be loaded.
 func OpenCertificates(s settings.TLS) (c Certificates, err error) {
-	open := func(files settings.Certificate) (k *certificate.Keeper) {
+	open := func(files settings.Certificate) (k *certificate.Reloader) {
 		if err != nil || files.Certificate == "" {
 			return nil
 		}
@@ -42,7 +42,7 @@
 }
 
 // secure wraps a listener in TLS if there is a certificate for it.
-func secure(k *certificate.Keeper, lis net.Listener) net.Listener {
+func secure(k *certificate.Reloader, lis net.Listener) net.Listener {
 	if k == nil {
 		return lis
 	}
@@ -51,9 +51,9 @@
 
 // byInterface returns the certificates by the name of their interface; interfaces
 // without one are left out.
-func (c Certificates) byInterface() map[string]*certificate.Keeper {
-	out := make(map[string]*certificate.Keeper)
-	for name, k := range map[string]*certificate.Keeper{"callers": c.callers, "operators": c.operators, "peers": c.peers} {
+func (c Certificates) byInterface() map[string]*certificate.Reloader {
+	out := make(map[string]*certificate.Reloader)
+	for name, k := range map[string]*certificate.Reloader{"callers": c.callers, "operators": c.operators, "peers": c.peers} {
 		if k != nil {
 			out[name] = k
 		}
@@ -67,11 +67,11 @@
 		p.node.Metrics().GetOrCreateGauge(`parsleydeal_certificate_seconds_left{interface="`+name+`"}`, func() float64 {
 			return time.Until(k.NotAfter()).Seconds()
 		})
-		go k.Watch(ctx, p.settings.TLS.ReloadEvery, func(err error) { logReload(p.log, name, k, err) })
+		go k.Watch(ctx, p.settings.TLS.ReloadInterval, func(err error) { logReload(p.log, name, k, err) })
 	}
 }
 
-func logReload(l *log.Logger, name string, k *certificate.Keeper, err error) {
+func logReload(l *log.Logger, name string, k *certificate.Reloader, err error) {
 	if err != nil {
 		l.Error("New certificate is not taken, the old one stays in use", "interface", name, "expires", k.NotAfter(), "error", logbook.Text(err))
 		return
--- a/emulator/emulator_test.go
+++ b/emulator/emulator_test.go
@@ -18,12 +18,12 @@
 // replay is a file of testdata: a load that callers once suffered under, and what they
 // may expect of it.
 type replay struct {
-	Story string `toml:"story"`
-	// Ways are those that the replay is for; the ways in force else.
-	Ways   map[string]string `toml:"ways"`
-	Site   Site              `toml:"site"`
-	Load   Load              `toml:"load"`
-	Bounds struct {
+	Description string `toml:"story"`
+	// Strategies are those that the replay is for; the ways in force else.
+	Strategies map[string]string `toml:"ways"`
+	Site       Site              `toml:"site"`
+	Load       Load              `toml:"load"`
+	Bounds     struct {
 		// Late is the part of the answers that may be late, Refused the part of the
 		// requests that may be refused, InZone the least part of prompts in their entry's
 		// zone.
@@ -38,25 +38,25 @@
 	} `toml:"bounds"`
 }
 
-// TestReplays plays the loads of testdata; each file tells its story.
-func TestReplays(t *testing.T) {
+// TestScenariosStayWithinBounds plays the loads of testdata; each file tells its story.
+func TestScenariosStayWithinBounds(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.toml")
 	is.New(t).NoErr(err)
 	for _, file := range files {
 		t.Run(filepath.Base(file), func(t *testing.T) {
 			is := is.New(t)
 			x := read(t, file)
-			ways, err := decision.Choose(x.Ways)
+			ways, err := decision.Choose(x.Strategies)
 			is.NoErr(err)
-			r, err := Play(x.Site, x.Load, ways)
+			r, err := Run(x.Site, x.Load, ways)
 			is.NoErr(err)
 			t.Logf("%+v", r)
 			is.True(float64(r.Late) <= x.Bounds.Late*float64(r.InTime+r.Late))
-			is.True(float64(r.Refused) <= x.Bounds.Refused*float64(r.Asked))
+			is.True(float64(r.Refused) <= x.Bounds.Refused*float64(r.Requests))
 			is.True(float64(r.InZone) >= x.Bounds.InZone*float64(r.Sent))
-			is.True(x.Bounds.Again == 0 || float64(r.Again) <= x.Bounds.Again*float64(r.Read))
+			is.True(x.Bounds.Again == 0 || float64(r.RepeatedTokens) <= x.Bounds.Again*float64(r.PrefillTokens))
 			is.True(x.Bounds.Poor == 0 || float64(r.Poor) <= x.Bounds.Poor*float64(r.InTime+r.Late))
-			is.Equal(r.InTime+r.Late+r.Refused, r.Asked) // nobody is left without a word
+			is.Equal(r.InTime+r.Late+r.Refused, r.Requests) // nobody is left without a word
 			is.Equal(r.OverRate, 0)
 		})
 	}
@@ -74,36 +74,36 @@
 
 // A trial is repeated to find out what a change did. Were its figures to differ by
 // themselves, they would say nothing.
-func TestSameSeedSameDigits(t *testing.T) {
+func TestSameSeedGivesSameResult(t *testing.T) {
 	is := is.New(t)
 	x := read(t, "testdata/six-zones.toml")
 	x.Load.Seconds = 3
-	a, err := Play(x.Site, x.Load, decision.Strategies{})
+	a, err := Run(x.Site, x.Load, decision.Strategies{})
 	is.NoErr(err)
-	b, err := Play(x.Site, x.Load, decision.Strategies{})
+	b, err := Run(x.Site, x.Load, decision.Strategies{})
 	is.NoErr(err)
 	is.Equal(a, b)
 	x.Load.Seed++
-	c, err := Play(x.Site, x.Load, decision.Strategies{})
+	c, err := Run(x.Site, x.Load, decision.Strategies{})
 	is.NoErr(err)
 	is.True(a != c)
 }
 
 // A mistake in a site's file is named before anything is played.
-func TestUnplayableSitesAreNamed(t *testing.T) {
+func TestInvalidSiteOrLoadIsRejected(t *testing.T) {
 	for names, change := range map[string]func(x *replay){
 		"endpoints":  func(x *replay) { x.Site.Endpoints = 0 },
 		"slots":      func(x *replay) { x.Site.Slots = 0 },
 		"models":     func(x *replay) { x.Site.Models = nil },
 		"per-second": func(x *replay) { x.Load.PerSecond = -1 },
-		"draft":      func(x *replay) { x.Load.Kinds[0].AimMillis = 0 },
-		"summary":    func(x *replay) { x.Load.Kinds[1].Hard = 1.5 },
+		"draft":      func(x *replay) { x.Load.Kinds[0].TargetMillis = 0 },
+		"summary":    func(x *replay) { x.Load.Kinds[1].HardFraction = 1.5 },
 	} {
 		t.Run(names, func(t *testing.T) {
 			is := is.New(t)
 			x := read(t, "testdata/six-zones.toml")
 			change(&x)
-			r, err := Play(x.Site, x.Load, decision.Strategies{})
+			r, err := Run(x.Site, x.Load, decision.Strategies{})
 			is.True(errorx.IsOfType(err, ErrSite))
 			is.True(strings.Contains(err.Error(), names))
 			is.Equal(r, Result{}) // nothing was played
@@ -113,10 +113,10 @@
 
 // An endpoint reads one prompt after another and never streams more answers than it has
 // slots, whatever it is given, and reads no token that it keeps.
-func TestEndpointKeepsToItsSlots(t *testing.T) {
+func TestEndpointStaysWithinItsSlots(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := Site{Slots: rapid.IntRange(1, 4).Draw(t, "slots"), Memory: 1000}
-		m := Model{Name: "m", Token: 0.1, Foot: 5, Event: 10}
+		s := Site{Slots: rapid.IntRange(1, 4).Draw(t, "slots"), CacheTokens: 1000}
+		m := Model{Name: "m", TokenMillis: 0.1, OverheadMillis: 5, EventMillis: 10}
 		e := newEndpoint(s, nil)
 		now, readUntil := clock.Millis(0), clock.Millis(0)
 		for range rapid.IntRange(1, 60).Draw(t, "prompts") {
--- a/emulator/endpoint.go
+++ b/emulator/endpoint.go
@@ -29,7 +29,7 @@
 }
 
 func newEndpoint(s Site, limits []Limit) *endpoint {
-	return &endpoint{slots: s.Slots, memory: s.Memory, kept: make(map[string]float64), size: make(map[string]int), limits: limits, toldAt: make(map[string]clock.Millis)}
+	return &endpoint{slots: s.Slots, memory: s.CacheTokens, kept: make(map[string]float64), size: make(map[string]int), limits: limits, toldAt: make(map[string]clock.Millis)}
 }
 
 // begin takes a prompt and tells when its first byte and its end come, and how many
@@ -37,9 +37,9 @@
 func (e *endpoint) begin(now clock.Millis, m Model, parts []placement.Block, events int) (first, end clock.Millis, read int) {
 	start := max(e.freeAt, float64(now), e.slotAt(float64(now)))
 	read = e.read(start, m, parts)
-	e.freeAt = start + m.Token*float64(read)
-	byteAt := e.freeAt + m.Foot
-	endAt := byteAt + m.Event*float64(events-1)
+	e.freeAt = start + m.TokenMillis*float64(read)
+	byteAt := e.freeAt + m.OverheadMillis
+	endAt := byteAt + m.EventMillis*float64(events-1)
 	e.held++
 	e.ends = append(e.ends, endAt)
 	return clock.Millis(byteAt), clock.Millis(endAt), read
--- a/emulator/play.go
+++ b/emulator/play.go
@@ -26,7 +26,7 @@
 
 // Result counts what became of the requests.
 type Result struct {
-	Asked int
+	Requests int
 	// InTime requests had their first byte within its aim; Late ones after it.
 	InTime int
 	Late   int
@@ -34,15 +34,15 @@
 	Refused int
 	// Poor answers were too hard for the model that made them.
 	Poor int
-	// Twice counts requests that were asked of the larger model as well.
-	Twice int
+	// Escalated counts requests that were asked of the larger model as well.
+	Escalated int
 	// InZone counts prompts sent to an endpoint of their entry's zone, Sent all.
 	InZone int
 	Sent   int
-	// Read is the number of tokens read, Again those of shared parts that some endpoint
+	// PrefillTokens is the number of tokens read, Again those of shared parts that some endpoint
 	// had read before.
-	Read  int
-	Again int
+	PrefillTokens  int
+	RepeatedTokens int
 	// OverRate counts the requests that an endpoint got beyond the rate that it names.
 	OverRate int
 }
@@ -78,8 +78,8 @@
 	urgent bool
 }
 
-// Play plays a load on a site with some mechanisms switched off.
-func Play(s Site, l Load, ways decision.Strategies) (r Result, err error) {
+// Run plays a load on a site with some mechanisms switched off.
+func Run(s Site, l Load, ways decision.Strategies) (r Result, err error) {
 	if err = Check(s, l); err != nil {
 		return r, err
 	}
@@ -193,17 +193,17 @@
 
 func (p *play) request(now clock.Millis) {
 	k := p.kind()
-	r := &request{kind: k, entry: p.entries[p.rnd.IntN(len(p.entries))], hard: p.rnd.Float64() < k.Hard, startedAt: now}
+	r := &request{kind: k, entry: p.entries[p.rnd.IntN(len(p.entries))], hard: p.rnd.Float64() < k.HardFraction, startedAt: now}
 	subject := p.rnd.IntN(k.Subjects)
-	if k.Hot > 0 && p.rnd.Float64() < k.Hot {
+	if k.HotFraction > 0 && p.rnd.Float64() < k.HotFraction {
 		subject = 0
 	}
-	own := int(float64(k.Own) * (0.5 + p.rnd.Float64()))
+	own := int(float64(k.OwnTokens) * (0.5 + p.rnd.Float64()))
 	r.parts = []placement.Block{
-		{ID: fmt.Sprintf("%s/%d", k.Name, subject), Tokens: k.Shared},
-		{ID: fmt.Sprintf("own/%d", p.result.Asked), Tokens: own},
+		{ID: fmt.Sprintf("%s/%d", k.Name, subject), Tokens: k.SharedTokens},
+		{ID: fmt.Sprintf("own/%d", p.result.Requests), Tokens: own},
 	}
-	p.result.Asked++
+	p.result.Requests++
 	p.send(r, now)
 }
 
@@ -259,17 +259,17 @@
 		e.held--
 		work.End()
 		r.model = len(p.site.Models) - 1
-		p.result.Twice++
+		p.result.Escalated++
 		p.send(r, now)
 	})
 }
 
 // count counts what was read.
 func (p *play) count(m Model, shared placement.Block, read int) {
-	p.result.Read += read
+	p.result.PrefillTokens += read
 	key := m.Name + "/" + shared.ID
 	if p.read[key] && read >= shared.Tokens {
-		p.result.Again += shared.Tokens
+		p.result.RepeatedTokens += shared.Tokens
 	}
 	p.read[key] = true
 }
--- a/emulator/site.go
+++ b/emulator/site.go
@@ -30,8 +30,8 @@
 	Endpoints int `toml:"endpoints"`
 	// Slots is how many answers an endpoint streams at once, Memory how many tokens of
 	// prompt parts it keeps.
-	Slots  int `toml:"slots"`
-	Memory int `toml:"memory"`
+	Slots       int `toml:"slots"`
+	CacheTokens int `toml:"memory"`
 	// Models are in the order of their size, the smallest first.
 	Models []Model `toml:"models"`
 }
@@ -39,11 +39,11 @@
 // Model is a model that all endpoints serve.
 type Model struct {
 	Name string `toml:"name"`
-	// Token is how long a token takes to read, Foot what a first byte takes beside the
+	// TokenMillis is how long a token takes to read, Foot what a first byte takes beside the
 	// reading, Event the span between two events; all in milliseconds.
-	Token float64 `toml:"token"`
-	Foot  float64 `toml:"foot"`
-	Event float64 `toml:"event"`
+	TokenMillis    float64 `toml:"token"`
+	OverheadMillis float64 `toml:"foot"`
+	EventMillis    float64 `toml:"event"`
 }
 
 // Load describes what callers ask.
@@ -78,28 +78,28 @@
 	Name string `toml:"name"`
 	// Share is its part of all requests, by weight.
 	Share float64 `toml:"share"`
-	// AimMillis is when its first byte should come at the latest.
-	AimMillis int64 `toml:"aim-ms"`
+	// TargetMillis is when its first byte should come at the latest.
+	TargetMillis int64 `toml:"aim-ms"`
 	// Subjects is how many shared parts there are, of Shared tokens each; Own is the
 	// mean of what a prompt has beside its shared part.
 	Subjects int `toml:"subjects"`
-	// Hot is the part of the requests that ask for one and the same subject.
-	Hot    float64 `toml:"hot"`
-	Shared int     `toml:"shared"`
-	Own    int     `toml:"own"`
-	Events int     `toml:"events"`
-	// Hard is the part of requests that are too hard for the smallest model.
-	Hard float64 `toml:"hard"`
+	// HotFraction is the part of the requests that ask for one and the same subject.
+	HotFraction  float64 `toml:"hot"`
+	SharedTokens int     `toml:"shared"`
+	OwnTokens    int     `toml:"own"`
+	Events       int     `toml:"events"`
+	// HardFraction is the part of requests that are too hard for the smallest model.
+	HardFraction float64 `toml:"hard"`
 }
 
-func (k Kind) aim() clock.Millis { return clock.Millis(k.AimMillis) }
+func (k Kind) aim() clock.Millis { return clock.Millis(k.TargetMillis) }
 
 // Check tells what makes a site and a load unplayable.
 func Check(s Site, l Load) (err error) {
 	switch {
 	case s.Zones < 1, s.Entries < 1, s.Endpoints < 1:
 		return ErrSite.New("zones, entries and endpoints must be 1 or more")
-	case s.Slots < 1, s.Memory < 0:
+	case s.Slots < 1, s.CacheTokens < 0:
 		return ErrSite.New("slots must be 1 or more, memory 0 or more")
 	case len(s.Models) == 0:
 		return ErrSite.New("models: there must be one")
@@ -109,7 +109,7 @@
 		return ErrSite.New("kinds: there must be one")
 	}
 	for _, m := range s.Models {
-		if m.Token < 0 || m.Foot < 0 || m.Event < 0 {
+		if m.TokenMillis < 0 || m.OverheadMillis < 0 || m.EventMillis < 0 {
 			return ErrSite.New("models: %s has a negative span", m.Name)
 		}
 	}
@@ -119,7 +119,7 @@
 		}
 	}
 	for _, k := range l.Kinds {
-		if k.Share <= 0 || k.AimMillis <= 0 || k.Shared < 0 || k.Own < 0 || k.Events < 1 || k.Subjects < 1 || k.Hard < 0 || k.Hard > 1 || k.Hot < 0 || k.Hot > 1 {
+		if k.Share <= 0 || k.TargetMillis <= 0 || k.SharedTokens < 0 || k.OwnTokens < 0 || k.Events < 1 || k.Subjects < 1 || k.HardFraction < 0 || k.HardFraction > 1 || k.HotFraction < 0 || k.HotFraction > 1 {
 			return ErrSite.New("kinds: %s has a figure out of range", k.Name)
 		}
 	}
--- a/endpoint/admit_test.go
+++ b/endpoint/admit_test.go
@@ -110,7 +110,7 @@
 	for _, a := range answers {
 		r.is.Equal((<-a).text, standin.Text(3))
 	}
-	r.is.Equal(r.engine.Most(), 2)
+	r.is.Equal(r.engine.MaxRunning(), 2)
 }
 
 // An engine restarts, and only its generation shows it. The opened window must be back at its
@@ -133,7 +133,7 @@
 func TestBurstDoesNotCrashColdEngine(t *testing.T) {
 	r := newRig(t, 3)
 	r.patch("[tables.pools.small]\nversions = [\"small@1\"]\ncold-window = 2\nfull-window = 64\nqueue = 400\nqueue-wait = \"30s\"\n")
-	r.engine.SetCold(2, 64)
+	r.engine.SetColdStart(2, 64)
 	const burst = 200
 	answers := make([]chan result, burst)
 	for i := range answers {
@@ -142,8 +142,8 @@
 	for _, a := range answers {
 		r.is.Equal((<-a).text, standin.Text(3))
 	}
-	r.is.Equal(r.engine.Falls(), 0)
-	r.is.True(r.engine.Most() > 2) // the window opened
+	r.is.Equal(r.engine.Crashes(), 0)
+	r.is.True(r.engine.MaxRunning() > 2) // the window opened
 	r.waitUntilIdle()
 }
 
--- a/endpoint/order.go
+++ b/endpoint/order.go
@@ -17,7 +17,7 @@
 	switch f := f.(type) {
 	case event.FetchWeights:
 		go e.fetchWeights(f)
-	case event.GiveOrder:
+	case event.SendOrder:
 		go e.giveOrder(f)
 	}
 }
@@ -32,7 +32,7 @@
 	e.node.Loop().Post(e.aborted, event.WeightsDone{Now: e.node.Clock().Now(), Version: f.Version, Err: err})
 }
 
-func (e *Endpoint) giveOrder(f event.GiveOrder) {
+func (e *Endpoint) giveOrder(f event.SendOrder) {
 	outcome := e.order(f)
 	e.node.Log().Info("Engine order finished.", "kind", f.Kind, "version", f.Version, "role", f.Role, "fence", f.Fence, "outcome", outcome)
 	e.node.Loop().Post(e.aborted, event.OrderDone{Now: e.node.Clock().Now(), ID: f.ID, Outcome: outcome})
@@ -42,26 +42,26 @@
 // Without these checks a process that was paused after the decision would act on a lease that
 // another process has taken over. Engines that check fencing numbers reject such orders
 // themselves; for all others the lease stream is read first.
-func (e *Endpoint) order(f event.GiveOrder) event.OrderOutcome {
-	if f.Compare && !e.hasNewestLease(f.Fence) {
+func (e *Endpoint) order(f event.SendOrder) event.OrderOutcome {
+	if f.CompareFence && !e.hasNewestLease(f.Fence) {
 		return event.OrderFenced
 	}
 	remaining := f.Until - e.node.Clock().Now()
 	if remaining <= 0 {
-		return event.OrderNotGiven
+		return event.OrderNotSent
 	}
 	ctx, cancel := context.WithTimeout(e.aborted, min(remaining, lease.OrderLifetime).Duration())
 	defer cancel()
 	err := e.engine.SendOrder(ctx, engine.Command{Kind: string(f.Kind), Version: f.Version, Role: f.Role, Fence: f.Fence})
 	switch {
 	case err == nil:
-		return event.OrderTaken
+		return event.OrderAccepted
 	case errorx.IsOfType(err, engine.ErrFenced):
 		return event.OrderFenced
 	case errorx.IsOfType(err, engine.ErrRejected), errorx.IsOfType(err, engine.ErrBusy):
 		return event.OrderRefused
 	case errorx.IsOfType(err, engine.ErrNotStarted):
-		return event.OrderNotGiven
+		return event.OrderNotSent
 	}
 	return event.OrderUnknown
 }
--- a/endpoint/run_test.go
+++ b/endpoint/run_test.go
@@ -148,7 +148,7 @@
 	for _, method := range []string{"GET", "POST"} {
 		r.plain.SetFaults(standin.PlainFaults{})
 		r.is.NoErr(r.run(t.Context(), r.serviceHead("warm-"+method, method, "warm"), "").err)
-		r.plain.SetFaults(standin.PlainFaults{Vanish: true})
+		r.plain.SetFaults(standin.PlainFaults{DropConnection: true})
 		head := r.serviceHead("r-"+method, method, "fees")
 		head.Headers = []*wire.Header{{Name: "Idempotency-Key", Value: "k"}}
 		r.expectRefusal(r.run(t.Context(), head, ""), refusal.EngineFailed, refusal.Unknown)
--- a/endpoint/watch.go
+++ b/endpoint/watch.go
@@ -66,7 +66,7 @@
 	// The revision is read first: work on older tables that starts after this read is either
 	// seen as busy or refused by its last check.
 	revision := e.node.View().Revision()
-	e.node.Loop().Offer(event.EngineSeen{
+	e.node.Loop().Offer(event.EngineReported{
 		Now: e.node.Clock().Now(), Generation: l.Generation, Versions: l.Versions, Role: l.Role, Busy: e.busy.versions(), Revision: revision,
 	})
 	if e.gate.SetGeneration(l.Generation) {
--- a/entry/answer.go
+++ b/entry/answer.go
@@ -102,10 +102,10 @@
 
 func (a *answerWriter) assemble(p *wire.Piece) (err error) {
 	if len(p.GetData()) == 0 {
-		a.message.Text(p.GetText())
+		a.message.AddText(p.GetText())
 		return nil
 	}
-	if err = a.message.Delta(p.GetData()); err != nil {
+	if err = a.message.AddDelta(p.GetData()); err != nil {
 		return refusal.New(refusal.EngineFailed, "a piece of the answer cannot be read").WithRun(refusal.Ran)
 	}
 	return nil
--- a/entry/cascade.go
+++ b/entry/cascade.go
@@ -91,7 +91,7 @@
 	}
 	score = min(max(score, 0), 1)
 	pass = score >= req.route.QualityTarget
-	e.node.Loop().Offer(event.Judged{
+	e.node.Loop().Offer(event.CascadeRated{
 		Now: now, Route: req.routeName, Version: req.version, Organisation: req.organisation, Score: score, Passed: pass,
 	})
 	return pass
--- a/entry/observe.go
+++ b/entry/observe.go
@@ -47,7 +47,7 @@
 		return
 	}
 	o.firstAt = o.lastAt
-	o.entry.node.Loop().Offer(event.Begun{Now: o.lastAt, Route: o.req.routeName, Version: o.req.version, Organisation: o.req.organisation})
+	o.entry.node.Loop().Offer(event.AnswerStarted{Now: o.lastAt, Route: o.req.routeName, Version: o.req.version, Organisation: o.req.organisation})
 }
 
 // end reports how the attempt ended, if that reflects on the version.
@@ -62,7 +62,7 @@
 	now := o.entry.node.Clock().Now()
 	first, gap := o.latencies()
 	o.entry.countAttempt(o.req, o.vm, first, gap)
-	o.entry.node.Loop().Offer(event.Observed{
+	o.entry.node.Loop().Offer(event.AttemptEnded{
 		Now: now, Route: o.req.routeName, Version: o.req.version, Organisation: o.req.organisation, VM: o.vm,
 		Failed: failed, FirstToken: first, TokenGap: gap, Slow: missesObjective(o.req.route.Objective, first, gap),
 	})
--- a/event/event.go
+++ b/event/event.go
@@ -66,8 +66,8 @@
 	Load *wire.Load
 }
 
-// Observed tells the end of one attempt on a version, as traffic saw it.
-type Observed struct {
+// AttemptEnded tells the end of one attempt on a version, as traffic saw it.
+type AttemptEnded struct {
 	Now          clock.Millis
 	Route        string
 	Version      string
@@ -113,7 +113,7 @@
 func (PeerFailed) isEvent()      {}
 func (RecordsReceived) isEvent() {}
 func (LoadReceived) isEvent()    {}
-func (Observed) isEvent()        {}
+func (AttemptEnded) isEvent()    {}
 func (Rated) isEvent()           {}
 func (Draining) isEvent()        {}
 func (AppendDone) isEvent()      {}
@@ -143,8 +143,8 @@
 // Publish asks the shell to publish the state's view to traffic.
 type Publish struct{}
 
-// Report asks for a log line about a verdict on a change.
-type Report struct {
+// WriteLog asks for a log line about a verdict on a change.
+type WriteLog struct {
 	Message string
 	Fields  []any
 }
@@ -153,4 +153,4 @@
 func (Exchange) isEffect()     {}
 func (FetchRecords) isEffect() {}
 func (Publish) isEffect()      {}
-func (Report) isEffect()       {}
+func (WriteLog) isEffect()     {}
--- a/event/evidence.go
+++ b/event/evidence.go
@@ -2,18 +2,18 @@
 
 import "github.com/parsleydeal/parsleydeal/clock"
 
-// Begun tells that the first token of an answer came. It counts the answers
+// AnswerStarted tells that the first token of an answer came. It counts the answers
 // against which errors are set: an answer's end comes too late for that, since
 // errors end sooner than good answers.
-type Begun struct {
+type AnswerStarted struct {
 	Now          clock.Millis
 	Route        string
 	Version      string
 	Organisation string
 }
 
-// Judged brings the rater's word on the first answer of a cascade.
-type Judged struct {
+// CascadeRated brings the rater's word on the first answer of a cascade.
+type CascadeRated struct {
 	Now          clock.Millis
 	Route        string
 	Version      string
@@ -24,5 +24,5 @@
 	Passed bool
 }
 
-func (Begun) isEvent()  {}
-func (Judged) isEvent() {}
+func (AnswerStarted) isEvent() {}
+func (CascadeRated) isEvent()  {}
--- a/event/lease.go
+++ b/event/lease.go
@@ -17,20 +17,20 @@
 
 // The outcomes of orders.
 const (
-	// OrderTaken orders were accepted; their effect shows in a later EngineSeen.
-	OrderTaken OrderOutcome = iota
+	// OrderAccepted orders were accepted; their effect shows in a later EngineSeen.
+	OrderAccepted OrderOutcome = iota
 	// OrderRefused orders were refused by the engine, such as for lack of room.
 	OrderRefused
 	// OrderFenced orders carried an old fencing number.
 	OrderFenced
-	// OrderNotGiven orders never left.
-	OrderNotGiven
+	// OrderNotSent orders never left.
+	OrderNotSent
 	// OrderUnknown orders may have had effect, or may yet have.
 	OrderUnknown
 )
 
-// EngineSeen brings what the engine beside this process says of itself.
-type EngineSeen struct {
+// EngineReported brings what the engine beside this process says of itself.
+type EngineReported struct {
 	Now        clock.Millis
 	Generation uint64
 	// Versions is nil when the engine does not tell what it has loaded; it takes
@@ -57,16 +57,16 @@
 	Outcome OrderOutcome
 }
 
-func (EngineSeen) isEvent()  {}
-func (WeightsDone) isEvent() {}
-func (OrderDone) isEvent()   {}
+func (EngineReported) isEvent() {}
+func (WeightsDone) isEvent()    {}
+func (OrderDone) isEvent()      {}
 
 // FetchWeights asks the weight store to make a version available to this VM.
 type FetchWeights struct{ Version string }
 
-// GiveOrder asks the shell to give the engine an order; OrderDone follows with
+// SendOrder asks the shell to give the engine an order; OrderDone follows with
 // the same ID.
-type GiveOrder struct {
+type SendOrder struct {
 	ID      uint64
 	Kind    OrderKind
 	Version string
@@ -75,10 +75,10 @@
 	Fence int64
 	// Until is the instant after which the order may not be given any more.
 	Until clock.Millis
-	// Compare is true when the engine ignores fencing numbers, so that the shell
+	// CompareFence is true when the engine ignores fencing numbers, so that the shell
 	// compares them itself.
-	Compare bool
+	CompareFence bool
 }
 
 func (FetchWeights) isEffect() {}
-func (GiveOrder) isEffect()    {}
+func (SendOrder) isEffect()    {}
--- a/event/spread.go
+++ b/event/spread.go
@@ -2,8 +2,8 @@
 
 import "github.com/parsleydeal/parsleydeal/clock"
 
-// Behind tells that a peer decides on a higher revision than this process.
-type Behind struct {
+// PeerAhead tells that a peer decides on a higher revision than this process.
+type PeerAhead struct {
 	Now clock.Millis
 	VM  string
 	// Address is the peer's; empty asks membership.
@@ -17,5 +17,5 @@
 	On     bool
 }
 
-func (Behind) isEvent()  {}
-func (Follow) isEffect() {}
+func (PeerAhead) isEvent() {}
+func (Follow) isEffect()   {}
--- a/evidence/state.go
+++ b/evidence/state.go
@@ -95,13 +95,13 @@
 	case event.Tick:
 		s.now = e.Now
 		return nil, s.refreshReport()
-	case event.Begun:
+	case event.AnswerStarted:
 		return s.record(Key{e.Route, e.Version, e.Organisation}, Stats{Started: 1}), false
-	case event.Observed:
+	case event.AttemptEnded:
 		return s.record(Key{e.Route, e.Version, e.Organisation}, observed(e)), false
 	case event.Rated:
 		return s.record(Key{e.Route, e.Version, e.Organisation}, Stats{Ratings: 1, RatingSum: e.Score}), false
-	case event.Judged:
+	case event.CascadeRated:
 		return s.record(Key{e.Route, e.Version, e.Organisation}, judged(e)), false
 	case event.DigestReceived:
 		for _, c := range e.Digest.GetCounts() {
@@ -113,7 +113,7 @@
 	return deltas, false
 }
 
-func observed(e event.Observed) Stats {
+func observed(e event.AttemptEnded) Stats {
 	if e.Failed {
 		return Stats{Errors: 1}
 	}
@@ -124,7 +124,7 @@
 	return t
 }
 
-func judged(e event.Judged) Stats {
+func judged(e event.CascadeRated) Stats {
 	t := Stats{Judged: 1, Ratings: 1, RatingSum: e.Score}
 	if e.Passed {
 		t.Passed = 1
--- a/evidence/state_test.go
+++ b/evidence/state_test.go
@@ -59,7 +59,7 @@
 	is := is.New(t)
 	s := NewState("a", 1)
 	s.Reduce(event.Tick{Now: 1})
-	s.Reduce(event.Observed{Version: "m@1", Failed: true})
+	s.Reduce(event.AttemptEnded{Version: "m@1", Failed: true})
 	for _, now := range []clock.Millis{reportInterval, 2 * reportInterval, 10 * reportWindow} {
 		_, changed := s.Reduce(event.Tick{Now: now + 1})
 		is.True(changed)
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -55,7 +55,7 @@
 	// it is set.
 	startedAt clock.Millis
 	hasStart  bool
-	engine    *event.EngineSeen
+	engine    *event.EngineReported
 	// fence is the offset of the current lease, which expires here at leaseExpiresAt.
 	fence          int64
 	leaseExpiresAt clock.Millis
@@ -82,7 +82,7 @@
 }
 
 type order struct {
-	event.GiveOrder
+	event.SendOrder
 	// accepted is true once the engine has accepted the order but not reported its effect.
 	accepted bool
 	deadline clock.Millis
@@ -102,7 +102,7 @@
 	switch e := e.(type) {
 	case event.Tick:
 		s.tick(e.Now)
-	case event.EngineSeen:
+	case event.EngineReported:
 		s.tick(e.Now)
 		s.updateEngine(e)
 	case event.AppendDone:
@@ -124,7 +124,7 @@
 
 // updateEngine records the engine's reported state. A new generation of the engine has lost the
 // loaded versions and the fetched weights.
-func (s *State) updateEngine(e event.EngineSeen) {
+func (s *State) updateEngine(e event.EngineReported) {
 	if s.engine != nil && s.engine.Generation != e.Generation {
 		s.fetchedVersion = ""
 		s.noRoom = false
@@ -186,7 +186,7 @@
 	}
 	s.now = max(s.now, e.Now)
 	switch e.Outcome {
-	case event.OrderTaken:
+	case event.OrderAccepted:
 		s.order.accepted = true
 		s.order.deadline = s.now + effectTimeout
 		return
@@ -246,9 +246,9 @@
 		return s.requestLease(env)
 	}
 	s.lastID++
-	o.ID, o.Fence, o.Until, o.Compare = s.lastID, s.fence, s.now+OrderLifetime, !env.ChecksFencing
+	o.ID, o.Fence, o.Until, o.CompareFence = s.lastID, s.fence, s.now+OrderLifetime, !env.ChecksFencing
 	// The order times out here only after it can no longer be sent.
-	s.order = &order{GiveOrder: o, deadline: s.now + 2*OrderLifetime}
+	s.order = &order{SendOrder: o, deadline: s.now + 2*OrderLifetime}
 	return []event.Effect{o}
 }
 
@@ -266,7 +266,7 @@
 // versions are unloaded first. New versions are loaded before old ones are unloaded, so that a pool
 // that swaps versions keeps its capacity, unless the engine lacks room. A version that still serves
 // requests stays loaded until they have ended.
-func (s *State) nextOrder(env Env) (o event.GiveOrder, ok bool) {
+func (s *State) nextOrder(env Env) (o event.SendOrder, ok bool) {
 	var missing, surplus []string
 	for _, v := range env.Versions {
 		if !slices.Contains(s.engine.Versions, v) {
@@ -278,20 +278,20 @@
 			continue
 		}
 		if env.Withdrawn(v) {
-			return event.GiveOrder{Kind: event.UnloadVersion, Version: v}, true
+			return event.SendOrder{Kind: event.UnloadVersion, Version: v}, true
 		}
 		if !slices.Contains(env.Versions, v) {
 			surplus = append(surplus, v)
 		}
 	}
 	if len(missing) > 0 && (!s.noRoom || len(surplus) == 0) {
-		return event.GiveOrder{Kind: event.LoadVersion, Version: slices.Min(missing)}, true
+		return event.SendOrder{Kind: event.LoadVersion, Version: slices.Min(missing)}, true
 	}
 	if len(surplus) > 0 {
-		return event.GiveOrder{Kind: event.UnloadVersion, Version: slices.Min(surplus)}, true
+		return event.SendOrder{Kind: event.UnloadVersion, Version: slices.Min(surplus)}, true
 	}
 	if env.Role != "" && s.engine.Role != env.Role {
-		return event.GiveOrder{Kind: event.ChangeRole, Role: env.Role}, true
+		return event.SendOrder{Kind: event.ChangeRole, Role: env.Role}, true
 	}
 	return o, false
 }
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -41,11 +41,11 @@
 		c.gen++
 		fallthrough
 	case "engine":
-		c.reduce(event.EngineSeen{Now: c.now, Generation: c.gen, Versions: append([]string{}, f[1:]...), Revision: c.env.Revision})
+		c.reduce(event.EngineReported{Now: c.now, Generation: c.gen, Versions: append([]string{}, f[1:]...), Revision: c.env.Revision})
 	case "busy":
-		c.reduce(event.EngineSeen{Now: c.now, Generation: c.gen, Versions: f[1:], Busy: f[1:2], Revision: c.env.Revision})
+		c.reduce(event.EngineReported{Now: c.now, Generation: c.gen, Versions: f[1:], Busy: f[1:2], Revision: c.env.Revision})
 	case "role-seen":
-		c.reduce(event.EngineSeen{Now: c.now, Generation: c.gen, Versions: c.env.Versions, Role: f[1], Revision: c.env.Revision})
+		c.reduce(event.EngineReported{Now: c.now, Generation: c.gen, Versions: c.env.Versions, Role: f[1], Revision: c.env.Revision})
 	case "weights":
 		c.reduce(event.WeightsDone{Now: c.now, Version: f[1]})
 	case "weights-busy":
@@ -60,7 +60,7 @@
 }
 
 var outcomes = map[string]event.OrderOutcome{
-	"taken": event.OrderTaken, "refused": event.OrderRefused, "fenced": event.OrderFenced, "unknown": event.OrderUnknown,
+	"taken": event.OrderAccepted, "refused": event.OrderRefused, "fenced": event.OrderFenced, "unknown": event.OrderUnknown,
 }
 
 func (c *script) reduce(e event.Event) {
@@ -70,7 +70,7 @@
 			fmt.Fprintf(&c.out, "%d fetch %s\n", c.now, f.Version)
 		case event.Append:
 			fmt.Fprintf(&c.out, "%d take a lease\n", c.now)
-		case event.GiveOrder:
+		case event.SendOrder:
 			fmt.Fprintf(&c.out, "%d %s %s fence %d\n", c.now, f.Kind, f.Version+f.Role, f.Fence)
 		}
 	}
@@ -134,7 +134,7 @@
 					step(i, event.AppendDone{Now: now, Stream: x.Stream, ID: x.ID, Offset: offset})
 				case event.FetchWeights:
 					step(i, event.WeightsDone{Now: now, Version: x.Version})
-				case event.GiveOrder:
+				case event.SendOrder:
 					delayed = append(delayed, func() { m.sendOrder(x.Fence) })
 				}
 			}
@@ -143,7 +143,7 @@
 			"time": func(t *rapid.T) {
 				now += clock.Millis(rapid.IntRange(1, 20_000).Draw(t, "span"))
 				i := rapid.IntRange(0, 1).Draw(t, "holder")
-				step(i, event.EngineSeen{Now: now, Generation: 1, Versions: []string{}})
+				step(i, event.EngineReported{Now: now, Generation: 1, Versions: []string{}})
 			},
 			"order": func(t *rapid.T) {
 				if len(delayed) == 0 {
@@ -178,7 +178,7 @@
 		}
 		for i := range states {
 			env := Env{VM: fmt.Sprintf("vm-%d", i), Versions: []string{"a@1"}, Withdrawn: func(string) bool { return false }}
-			for _, f := range states[i].Reduce(event.EngineSeen{Now: now, Generation: 1, Versions: []string{}}, env) {
+			for _, f := range states[i].Reduce(event.EngineReported{Now: now, Generation: 1, Versions: []string{}}, env) {
 				x, ok := f.(event.FetchWeights)
 				if !ok {
 					continue
--- a/load/compare.go
+++ b/load/compare.go
@@ -47,7 +47,7 @@
 		add(a[i].name+" p95 µs", float64(a[i].spans.P95), float64(b[i].spans.P95), false)
 		add(a[i].name+" p99 µs", float64(a[i].spans.P99), float64(b[i].spans.P99), false)
 	}
-	add("whole per core second", before.PerCore, after.PerCore, true)
+	add("whole per core second", before.CompletedPerCoreSecond, after.CompletedPerCoreSecond, true)
 	for i, p := range after.Promises {
 		c := Comparison{Name: "broken: " + p.Name, After: float64(p.Broken), Worse: p.Broken > 0}
 		if i < len(before.Promises) {
@@ -58,7 +58,7 @@
 	return out, nil
 }
 
-func share(r *Result) float64 { return float64(r.Whole) / float64(max(r.Sent+r.Unsent, 1)) }
+func share(r *Result) float64 { return float64(r.Completed) / float64(max(r.Sent+r.Unsent, 1)) }
 
 // samePlan leaves out where the system was, which differs between builds.
 func samePlan(a, b Plan) bool {
--- a/load/load_test.go
+++ b/load/load_test.go
@@ -29,7 +29,7 @@
 	return p
 }
 
-func TestScheduleIsTheSameForASeed(t *testing.T) {
+func TestScheduleIsDeterministicForASeed(t *testing.T) {
 	is := is.New(t)
 	p := testPlan()
 	a, b := schedule(&p), schedule(&p)
@@ -54,7 +54,7 @@
 // The system stalls for a second while requests keep falling due. Counted from
 // when each was sent, the stall would show in one request; a caller feels it in
 // all of them.
-func TestSpansCountFromWhenARequestWasDue(t *testing.T) {
+func TestLatencyIsMeasuredFromDueTime(t *testing.T) {
 	is := is.New(t)
 	srv := httptest.NewServer(standin.NewEngine(0, 0, 2).Handler())
 	defer srv.Close()
@@ -70,7 +70,7 @@
 
 // A verdict that no breach can change proves nothing. Each breach below must be
 // seen by the promise it breaks, and by no other.
-func TestTallySeesEachBreach(t *testing.T) {
+func TestStatsDetectEachBreach(t *testing.T) {
 	p := testPlan()
 	chat := request{number: 7, organisation: &p.Organisations[0], route: &p.Routes[0], session: 0, nonce: "n1-7"}
 	fee := request{number: 8, organisation: &p.Organisations[0], service: &p.Services[0], session: -1, nonce: "n1-8", key: "k", doubled: true}
@@ -117,7 +117,7 @@
 
 // A call that may not be repeated is refused or lost. Sending it again is right
 // only after proof that it did not run.
-func TestOnlyWhatMayBeRepeatedIsSentAgain(t *testing.T) {
+func TestOnlyRetryableRequestsAreRetried(t *testing.T) {
 	is := is.New(t)
 	p := testPlan()
 	unkeyed := &request{service: &p.Services[0]}
@@ -132,7 +132,7 @@
 	is.True(!repeatable(unkeyed, refusal.New(refusal.Malformed, ""))) // it would be refused again
 }
 
-func TestResultsCompare(t *testing.T) {
+func TestCompareResults(t *testing.T) {
 	is := is.New(t)
 	p := testPlan()
 	tally := newTally(&p)
@@ -168,7 +168,7 @@
 
 // More requests fall due than may be under way. They must be counted as not
 // sent, not wait and make the load look lighter.
-func TestLoadIsBounded(t *testing.T) {
+func TestOpenRequestsAreBounded(t *testing.T) {
 	is := is.New(t)
 	release := make(chan struct{})
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -187,7 +187,7 @@
 	is.True(res.Unsent > 0)
 }
 
-func TestPlanFaultsAreNamed(t *testing.T) {
+func TestPlanCheckReportsEveryFault(t *testing.T) {
 	is := is.New(t)
 	p := Plan{Rate: -1, Arrival: "late"}
 	err := p.Check()
--- a/load/result.go
+++ b/load/result.go
@@ -16,8 +16,8 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Spans holds quantiles of a span in microseconds.
-type Spans struct {
+// DurationStats holds quantiles of a span in microseconds.
+type DurationStats struct {
 	Count int64   `toml:"count" json:"count"`
 	Mean  float64 `toml:"mean" json:"mean"`
 	P50   int64   `toml:"p50" json:"p50"`
@@ -27,43 +27,43 @@
 	Max   int64   `toml:"max" json:"max"`
 }
 
-func (s span) quantiles() Spans {
+func (s span) quantiles() DurationStats {
 	q := func(p float64) int64 { return s.h.ValueAtQuantile(p) }
-	return Spans{Count: s.h.TotalCount(), Mean: s.h.Mean(), P50: q(50), P95: q(95), P99: q(99), P999: q(99.9), Max: s.h.Max()}
+	return DurationStats{Count: s.h.TotalCount(), Mean: s.h.Mean(), P50: q(50), P95: q(95), P99: q(99), P999: q(99.9), Max: s.h.Max()}
 }
 
-// Share is one organisation's part of a run.
-type Share struct {
-	Name       string `toml:"name" json:"name"`
-	Sent       int64  `toml:"sent" json:"sent"`
-	Whole      int64  `toml:"whole" json:"whole"`
-	FirstToken Spans  `toml:"first-token" json:"first-token"`
+// OrganisationResult is one organisation's part of a run.
+type OrganisationResult struct {
+	Name       string        `toml:"name" json:"name"`
+	Sent       int64         `toml:"sent" json:"sent"`
+	Completed  int64         `toml:"whole" json:"whole"`
+	FirstToken DurationStats `toml:"first-token" json:"first-token"`
 }
 
 // Result is what became of a run. Spans count from when a request was due.
 type Result struct {
-	Build string       `toml:"build" json:"build"`
-	Took  clock.Millis `toml:"took" json:"took"`
-	Sent  int64        `toml:"sent" json:"sent"`
-	Whole int64        `toml:"whole" json:"whole"`
+	Build     string       `toml:"build" json:"build"`
+	Took      clock.Millis `toml:"took" json:"took"`
+	Sent      int64        `toml:"sent" json:"sent"`
+	Completed int64        `toml:"whole" json:"whole"`
 	// Unsent requests found max-open requests under way.
 	Unsent int64 `toml:"unsent" json:"unsent"`
 	Tries  int64 `toml:"tries" json:"tries"`
-	// Cuts counts tries whose connection broke, also where a later try served.
-	Cuts     int64            `toml:"cuts" json:"cuts"`
-	Outcomes map[string]int64 `toml:"outcomes" json:"outcomes"`
-	// PerCore is whole answers a second of the entries' processor time; 0 when
+	// Disconnects counts tries whose connection broke, also where a later try served.
+	Disconnects int64            `toml:"cuts" json:"cuts"`
+	Outcomes    map[string]int64 `toml:"outcomes" json:"outcomes"`
+	// CompletedPerCoreSecond is whole answers a second of the entries' processor time; 0 when
 	// it was not measured.
-	PerCore    float64 `toml:"whole-per-core-second" json:"whole-per-core-second"`
-	FirstToken Spans   `toml:"first-token" json:"first-token"`
-	TokenGap   Spans   `toml:"token-gap" json:"token-gap"`
-	Total      Spans   `toml:"total" json:"total"`
+	CompletedPerCoreSecond float64       `toml:"whole-per-core-second" json:"whole-per-core-second"`
+	FirstToken             DurationStats `toml:"first-token" json:"first-token"`
+	TokenGap               DurationStats `toml:"token-gap" json:"token-gap"`
+	Total                  DurationStats `toml:"total" json:"total"`
 	// Routed and Direct count from when a request was sent, and only those that
 	// needed one try; their difference is what the system adds.
-	Routed        Spans     `toml:"routed-first-token" json:"routed-first-token"`
-	Direct        Spans     `toml:"direct-first-token" json:"direct-first-token"`
-	Organisations []Share   `toml:"organisations" json:"organisations"`
-	Promises      []Promise `toml:"promises" json:"promises"`
+	Routed        DurationStats        `toml:"routed-first-token" json:"routed-first-token"`
+	Direct        DurationStats        `toml:"direct-first-token" json:"direct-first-token"`
+	Organisations []OrganisationResult `toml:"organisations" json:"organisations"`
+	Promises      []Promise            `toml:"promises" json:"promises"`
 	// Failures holds the first few requests without a whole answer.
 	Failures []string `toml:"failures" json:"failures,omitempty"`
 	Plan     Plan     `toml:"plan" json:"plan"`
@@ -71,13 +71,13 @@
 
 func (t *tally) result(build string, took time.Duration) *Result {
 	res := &Result{
-		Build: build, Took: clock.FromDuration(took), Sent: t.sent, Whole: t.whole, Unsent: t.unsent, Tries: t.tries, Cuts: t.cuts, Outcomes: t.outcomes,
+		Build: build, Took: clock.FromDuration(took), Sent: t.sent, Completed: t.whole, Unsent: t.unsent, Tries: t.tries, Disconnects: t.cuts, Outcomes: t.outcomes,
 		FirstToken: t.first.quantiles(), TokenGap: t.gap.quantiles(), Total: t.total.quantiles(),
 		Routed: t.routed.quantiles(), Direct: t.direct.quantiles(), Failures: t.failures, Plan: *t.plan,
 	}
 	for _, name := range slices.Sorted(maps.Keys(t.perOrganisation)) {
 		o := t.perOrganisation[name]
-		res.Organisations = append(res.Organisations, Share{Name: name, Sent: o.sent, Whole: o.whole, FirstToken: o.first.quantiles()})
+		res.Organisations = append(res.Organisations, OrganisationResult{Name: name, Sent: o.sent, Completed: o.whole, FirstToken: o.first.quantiles()})
 	}
 	for _, name := range promiseNames {
 		res.Promises = append(res.Promises, *t.promises[name])
@@ -142,7 +142,7 @@
 // Print shows the result to a person.
 func (r *Result) Print(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	fmt.Fprintf(t, "%d sent, %d whole, %d not sent for want of room, %.2f tries each, %d cut, %s\n", r.Sent, r.Whole, r.Unsent, float64(r.Tries)/float64(max(r.Sent, 1)), r.Cuts, r.Took)
+	fmt.Fprintf(t, "%d sent, %d whole, %d not sent for want of room, %.2f tries each, %d cut, %s\n", r.Sent, r.Completed, r.Unsent, float64(r.Tries)/float64(max(r.Sent, 1)), r.Disconnects, r.Took)
 	for _, name := range slices.Sorted(maps.Keys(r.Outcomes)) {
 		fmt.Fprintf(t, "  %s\t%d\n", name, r.Outcomes[name])
 	}
@@ -153,8 +153,8 @@
 	for _, s := range r.spans() {
 		fmt.Fprintf(t, "%s\t%d\t%s\n", s.name, s.spans.Count, s.spans.cells())
 	}
-	if r.PerCore > 0 {
-		fmt.Fprintf(t, "whole answers a second of processor time in the entries\t%.0f\n", r.PerCore)
+	if r.CompletedPerCoreSecond > 0 {
+		fmt.Fprintf(t, "whole answers a second of processor time in the entries\t%.0f\n", r.CompletedPerCoreSecond)
 	}
 	fmt.Fprintln(t, "PROMISE\tchecked\tbroken\t")
 	for _, p := range r.Promises {
@@ -165,7 +165,7 @@
 
 type namedSpans struct {
 	name  string
-	spans Spans
+	spans DurationStats
 }
 
 func (r *Result) spans() (out []namedSpans) {
@@ -176,7 +176,7 @@
 	return out
 }
 
-func (s Spans) cells() string {
+func (s DurationStats) cells() string {
 	const perMilli = 1000
 	var cells []string
 	for _, v := range []int64{s.P50, s.P95, s.P99, s.P999, s.Max} {
--- a/load/run.go
+++ b/load/run.go
@@ -18,9 +18,9 @@
 	// Unbilled returns which of the answered requests have no bill, once the
 	// log had time to hold them; nil checks none.
 	Unbilled func(ctx context.Context, requests []string) (missing []string, err error)
-	// Seconds returns the processor time that the entries have used so far; nil
+	// ProcessorSeconds returns the processor time that the entries have used so far; nil
 	// measures none.
-	Seconds func(ctx context.Context) (seconds float64, err error)
+	ProcessorSeconds func(ctx context.Context) (seconds float64, err error)
 }
 
 // NewHTTP makes a client that opens as many connections as a plan needs.
@@ -61,16 +61,16 @@
 	}
 	res = r.tally.result(cfg.Build, took)
 	if used := after - before; used > 0 {
-		res.PerCore = float64(res.Whole) / used
+		res.CompletedPerCoreSecond = float64(res.Completed) / used
 	}
 	return res, nil
 }
 
 func (r *runner) seconds(ctx context.Context) (s float64, err error) {
-	if r.cfg.Seconds == nil {
+	if r.cfg.ProcessorSeconds == nil {
 		return 0, nil
 	}
-	return r.cfg.Seconds(ctx)
+	return r.cfg.ProcessorSeconds(ctx)
 }
 
 // sendAll sends each request when it is due, whether or not earlier ones have
--- a/node/leave_test.go
+++ b/node/leave_test.go
@@ -19,7 +19,7 @@
 func startNode(ctx context.Context, t *testing.T, lis net.Listener, vm string, vms func() []provider.VM) *Node {
 	t.Helper()
 	s := settings.Default()
-	s.VM, s.Zone, s.VMListEvery = vm, "zone-"+vm, 20
+	s.VM, s.Zone, s.VMListInterval = vm, "zone-"+vm, 20
 	n := New(Config{
 		Settings: s, Clock: clock.System(), Log: log.New(io.Discard), Peers: peer.NewPool(),
 		Store: provider.Log{Read: func(_ context.Context, _ string, _ int64, _ clock.Millis) (p provider.Page, err error) {
--- a/node/node.go
+++ b/node/node.go
@@ -195,7 +195,7 @@
 // goroutines.
 func (n *Node) perform(e event.Effect) {
 	switch e := e.(type) {
-	case event.Report:
+	case event.WriteLog:
 		n.cfg.Log.Info(e.Message, e.Fields...)
 	case event.Exchange:
 		n.exchange(e)
--- a/node/peer.go
+++ b/node/peer.go
@@ -53,7 +53,7 @@
 // fetched at once. If address is empty, it is looked up in the VM list. It never blocks.
 func (n *Node) ReportNewerRevision(vm, address string, revision int64) {
 	if revision > n.View().Revision() {
-		n.loop.Offer(event.Behind{Now: n.cfg.Clock.Now(), VM: vm, Address: address, Revision: revision})
+		n.loop.Offer(event.PeerAhead{Now: n.cfg.Clock.Now(), VM: vm, Address: address, Revision: revision})
 	}
 }
 
--- a/node/vms.go
+++ b/node/vms.go
@@ -25,7 +25,7 @@
 		} else {
 			n.loop.Post(ctx, event.VMsListed{Now: n.cfg.Clock.Now(), VMs: vms})
 		}
-		if !clock.Pause(ctx, listPause(n.cfg.Settings.VMListEvery, len(vms))) {
+		if !clock.Pause(ctx, listPause(n.cfg.Settings.VMListInterval, len(vms))) {
 			return
 		}
 	}
--- a/operations/status.go
+++ b/operations/status.go
@@ -101,7 +101,7 @@
 	return m
 }
 
-func sitesOut(sites map[string]table.Site) (out []string) {
+func sitesOut(sites map[string]table.Location) (out []string) {
 	out = []string{}
 	for _, name := range slices.Sorted(maps.Keys(sites)) {
 		if sites[name].State == table.Out {
--- a/proof/config_test.go
+++ b/proof/config_test.go
@@ -123,7 +123,7 @@
 	if r.tables.Revision() < r.revision {
 		c.t.Fatalf("never-reverts: %s went from revision %d to %d", r.name, r.revision, r.tables.Revision())
 	}
-	if o.Checkpoint && !o.Adopted && r.tables.Revision() != r.revision {
+	if o.Checkpoint && !o.Restored && r.tables.Revision() != r.revision {
 		c.t.Fatalf("checkpoint-moves-no-revision: %s went from %d to %d", r.name, r.revision, r.tables.Revision())
 	}
 	before := r.revision
--- a/provider/http_test.go
+++ b/provider/http_test.go
@@ -12,7 +12,7 @@
 // An append fails. What the journal does next hangs on whether the record may
 // stand on the log: "refused" sends it again at once, "unknown" reads the log
 // first. Taking a lost answer for a refusal would write records twice.
-func TestAppendErrorsSayWhetherTheRecordMayStand(t *testing.T) {
+func TestAppendErrorsDistinguishRefusedFromUnknown(t *testing.T) {
 	is := is.New(t)
 	answers := map[string]struct {
 		handler http.HandlerFunc
--- a/rollout/state.go
+++ b/rollout/state.go
@@ -156,7 +156,7 @@
 	for _, r := range e.Page.Records {
 		h, err := Decode(r.Data)
 		if err != nil {
-			effects = append(effects, event.Report{Message: "Hold skipped", Fields: []any{"offset", r.Offset, "reason", err}})
+			effects = append(effects, event.WriteLog{Message: "Hold skipped", Fields: []any{"offset", r.Offset, "reason", err}})
 			continue
 		}
 		h.Offset = r.Offset
--- a/rollout/state_test.go
+++ b/rollout/state_test.go
@@ -67,7 +67,7 @@
 	effects, changed := s.Reduce(event.Tick{}, deltasOf("m@2", "o", bad), envOf(first, 0, tables(0)))
 	is.Equal(len(effects), 0) // ticks carry no evidence
 	is.True(!changed)
-	effects, changed = s.Reduce(event.Observed{}, deltasOf("m@2", "o", bad), envOf(first, 0, tables(0)))
+	effects, changed = s.Reduce(event.AttemptEnded{}, deltasOf("m@2", "o", bad), envOf(first, 0, tables(0)))
 	is.True(changed)
 	is.True(s.Holds(tables(0)).Held("m@2", "o")) // in force here before it is on the log
 	records := appends(effects)
@@ -89,13 +89,13 @@
 	is := is.New(t)
 	first, second := judges()
 	s := NewState()
-	effects, _ := s.Reduce(event.Observed{}, deltasOf("m@2", "o", bad), envOf(second, 0, tables(0)))
+	effects, _ := s.Reduce(event.AttemptEnded{}, deltasOf("m@2", "o", bad), envOf(second, 0, tables(0)))
 	is.Equal(len(appends(effects)), 0) // not its turn yet
 	effects, _ = s.Reduce(event.Tick{}, nil, envOf(second, takeoverDelay, tables(0)))
 	is.Equal(len(appends(effects)), 1)
 
 	s = NewState()
-	effects, _ = s.Reduce(event.Observed{}, deltasOf("m@2", "o", bad), envOf(first, 0, tables(0)))
+	effects, _ = s.Reduce(event.AttemptEnded{}, deltasOf("m@2", "o", bad), envOf(first, 0, tables(0)))
 	done := event.AppendDone{Stream: provider.HoldStream, ID: appends(effects)[0].ID, Err: errors.New("log is down")}
 	s.Reduce(done, nil, envOf(first, 100, tables(0)))
 	effects, _ = s.Reduce(event.Tick{}, nil, envOf(first, 100+retryInterval, tables(0)))
@@ -108,10 +108,10 @@
 	is := is.New(t)
 	s := NewState()
 	for range 1000 {
-		_, changed := s.Reduce(event.Observed{}, deltasOf("m@2", "o", evidence.Stats{Started: 990, Errors: 10}), envOf("a", 0, tables(0)))
+		_, changed := s.Reduce(event.AttemptEnded{}, deltasOf("m@2", "o", evidence.Stats{Started: 990, Errors: 10}), envOf("a", 0, tables(0)))
 		is.True(!changed)
 	}
-	_, changed := s.Reduce(event.Observed{}, deltasOf("m@2", "o", bad), envOf("a", 0, tables(0)))
+	_, changed := s.Reduce(event.AttemptEnded{}, deltasOf("m@2", "o", bad), envOf("a", 0, tables(0)))
 	is.True(changed)
 }
 
@@ -120,9 +120,9 @@
 func TestVersionIsHeldForOneOrganisation(t *testing.T) {
 	is := is.New(t)
 	s := NewState()
-	s.Reduce(event.Observed{}, deltasOf("m@2", "bad", evidence.Stats{Started: 1, Errors: 1}), envOf("a", 0, tables(0)))
-	s.Reduce(event.Observed{}, deltasOf("m@2", "good", evidence.Stats{Started: 35}), envOf("a", 0, tables(0)))
-	s.Reduce(event.Observed{}, deltasOf("m@2", "bad", evidence.Stats{Started: 20, Errors: 20}), envOf("a", 0, tables(0)))
+	s.Reduce(event.AttemptEnded{}, deltasOf("m@2", "bad", evidence.Stats{Started: 1, Errors: 1}), envOf("a", 0, tables(0)))
+	s.Reduce(event.AttemptEnded{}, deltasOf("m@2", "good", evidence.Stats{Started: 35}), envOf("a", 0, tables(0)))
+	s.Reduce(event.AttemptEnded{}, deltasOf("m@2", "bad", evidence.Stats{Started: 20, Errors: 20}), envOf("a", 0, tables(0)))
 	is.True(s.Holds(tables(0)).Held("m@2", "bad"))
 	is.True(!s.Holds(tables(0)).Held("m@2", "good"))
 }
@@ -132,11 +132,11 @@
 func TestCommonCauseHoldsNothing(t *testing.T) {
 	is := is.New(t)
 	s := NewState()
-	s.Reduce(event.Observed{}, deltasOf("m@1", "o", evidence.Stats{Started: 90_000}), envOf("a", 0, tables(0)))
-	s.Reduce(event.Observed{}, deltasOf("m@2", "o", evidence.Stats{Started: 10_000}), envOf("a", 0, tables(0)))
+	s.Reduce(event.AttemptEnded{}, deltasOf("m@1", "o", evidence.Stats{Started: 90_000}), envOf("a", 0, tables(0)))
+	s.Reduce(event.AttemptEnded{}, deltasOf("m@2", "o", evidence.Stats{Started: 10_000}), envOf("a", 0, tables(0)))
 	for range 300 {
-		s.Reduce(event.Observed{}, deltasOf("m@1", "o", evidence.Stats{Started: 42, Errors: 18}), envOf("a", 0, tables(0)))
-		s.Reduce(event.Observed{}, deltasOf("m@2", "o", evidence.Stats{Started: 5, Errors: 2}), envOf("a", 0, tables(0)))
+		s.Reduce(event.AttemptEnded{}, deltasOf("m@1", "o", evidence.Stats{Started: 42, Errors: 18}), envOf("a", 0, tables(0)))
+		s.Reduce(event.AttemptEnded{}, deltasOf("m@2", "o", evidence.Stats{Started: 5, Errors: 2}), envOf("a", 0, tables(0)))
 	}
 	is.Equal(len(s.Holds(tables(0)).List()), 0)
 }
@@ -148,7 +148,7 @@
 	s := NewState()
 	last := tables(0)
 	last.Versions["m@1"] = table.Version{Withdrawn: true}
-	effects, _ := s.Reduce(event.Observed{}, deltasOf("m@2", "o", bad), envOf("a", 0, last))
+	effects, _ := s.Reduce(event.AttemptEnded{}, deltasOf("m@2", "o", bad), envOf("a", 0, last))
 	is.Equal(len(s.Holds(last).List()), 0)
 	is.Equal(len(appends(effects)), 0)
 	is.Equal(len(effects), 1) // the report
@@ -165,7 +165,7 @@
 	target.Routes["r"] = r
 	s := NewState()
 	for range 200 {
-		s.Reduce(event.Observed{}, deltasOf("m@2", "o", bad), envOf("a", 0, target))
+		s.Reduce(event.AttemptEnded{}, deltasOf("m@2", "o", bad), envOf("a", 0, target))
 	}
 	is.Equal(len(s.Holds(target).List()), 0)
 }
@@ -187,7 +187,7 @@
 	is := is.New(t)
 	first, _ := judges()
 	s := NewState()
-	effects, _ := s.Reduce(event.Observed{}, deltasOf("m@2", "o", bad), envOf(first, 0, tables(0)))
+	effects, _ := s.Reduce(event.AttemptEnded{}, deltasOf("m@2", "o", bad), envOf(first, 0, tables(0)))
 	s.Reduce(logPage(appends(effects)[0].Data), nil, envOf(first, 0, tables(0)))
 	effects, _ = s.Reduce(event.Tick{}, nil, envOf(first, renewInterval-1, tables(0)))
 	is.Equal(len(appends(effects)), 0)
@@ -202,7 +202,7 @@
 	is := is.New(t)
 	first, _ := judges()
 	s := NewState()
-	effects, _ := s.Reduce(event.Observed{}, deltasOf("m@2", "o", bad), envOf(first, 0, tables(0)))
+	effects, _ := s.Reduce(event.AttemptEnded{}, deltasOf("m@2", "o", bad), envOf(first, 0, tables(0)))
 	other := NewState()
 	other.Reduce(logPage([]byte("rubbish"), appends(effects)[0].Data), nil, envOf("z", 0, tables(0)))
 	is.True(other.Holds(tables(0)).Held("m@2", "o"))
@@ -233,7 +233,7 @@
 	digest := func(now clock.Millis) event.DigestReceived {
 		return event.DigestReceived{Now: now, Digest: &wire.Digest{Holds: s.Holds(tables(0)).Logged()}}
 	}
-	effects, _ := s.Reduce(event.Observed{}, deltasOf("m@2", "o", bad), envOf(first, 0, tables(0)))
+	effects, _ := s.Reduce(event.AttemptEnded{}, deltasOf("m@2", "o", bad), envOf(first, 0, tables(0)))
 	receiver.Reduce(digest(0), nil, envOf("z", 0, tables(0)))
 	is.True(!receiver.Holds(tables(0)).Held("m@2", "o")) // not on the log yet
 	s.Reduce(logPage(appends(effects)[0].Data), nil, envOf(first, 0, tables(0)))
--- a/settings/check_test.go
+++ b/settings/check_test.go
@@ -13,7 +13,7 @@
 // An operator writes a file with several slips. A daemon that named only the
 // first, or ran on a default in place of a misspelt key, would cost a start for
 // each slip, or serve for weeks without the limit that was meant.
-func TestCheckNamesEveryFault(t *testing.T) {
+func TestCheckReportsEveryFault(t *testing.T) {
 	programs := map[string]Program{"entry": EntryProgram, "endpoint": EndpointProgram, "any": AnyProgram}
 	datadriven.RunTest(t, "testdata/check", func(_ *testing.T, d *datadriven.TestData) string {
 		_, faults := Check([]byte(d.Input), programs[d.Cmd])
@@ -42,7 +42,7 @@
 	is.Equal(inTable, keys)
 }
 
-func TestPageShowsTheTable(t *testing.T) {
+func TestOperatorsPageShowsTheTable(t *testing.T) {
 	is := is.New(t)
 	page, err := os.ReadFile("../docs/OPERATORS.md")
 	is.NoErr(err)
@@ -63,7 +63,7 @@
 
 // A file still switches a decision off after a trial. The entry refuses it unless the
 // section says that this is meant, and refuses names that it does not know.
-func TestWaysMustBeMeant(t *testing.T) {
+func TestStrategiesRequireTrial(t *testing.T) {
 	const entry = "vm=\"a\"\nzone=\"z\"\nregion=\"r\"\npeer=\"127.0.0.1:1\"\n[entry]\ncallers=\"127.0.0.1:2\"\n[direct]\nstore=\"127.0.0.1:3\"\nready=\"127.0.0.1:4\"\n[decisions]\n"
 	for text, faults := range map[string]int{
 		"ways.told-work = \"off\"": 1, "trial = true\nways.told-work = \"off\"": 0, "trial = true\nways.told = \"off\"": 1, "trial = true": 0, "ways = {}": 0,
--- a/settings/options.go
+++ b/settings/options.go
@@ -82,7 +82,7 @@
 	},
 	{
 		Key: "vm-list-every", Allowed: "50ms to 1m", Doc: "span between two readings of the VM list",
-		ok: func(s *Settings) bool { return between(s.VMListEvery, 50, clock.Minute) },
+		ok: func(s *Settings) bool { return between(s.VMListInterval, 50, clock.Minute) },
 	},
 	{
 		Key: "log.level", Allowed: "\"debug\", \"info\", \"warn\" or \"error\"", Doc: "lowest level that is logged",
@@ -116,7 +116,7 @@
 var tlsOptions = slices.Concat(
 	[]Option{{
 		Key: "tls.reload-every", Allowed: "100ms to 1h", Doc: "span between two looks at the certificate files",
-		ok: func(s *Settings) bool { return between(s.TLS.ReloadEvery, 100, clock.Hour) },
+		ok: func(s *Settings) bool { return between(s.TLS.ReloadInterval, 100, clock.Hour) },
 	}},
 	certificateOptions("callers", "the callers' interface", func(s *Settings) Certificate { return s.TLS.Callers }, false),
 	certificateOptions("operators", "the operators' interface", func(s *Settings) Certificate { return s.TLS.Operators }, false),
@@ -233,7 +233,7 @@
 	},
 	{
 		Key: "direct.retry-span", Allowed: "1s to 1h", Doc: "span over which these attempts are counted",
-		ok: func(s *Settings) bool { return between(s.Direct.RetrySpan, clock.Second, maxTimeout) },
+		ok: func(s *Settings) bool { return between(s.Direct.RetryWindow, clock.Second, maxTimeout) },
 	},
 	{
 		Key: "direct.exposure", Allowed: "above 0, at most 1", Doc: "part of a service's requests that an unproven version may get",
@@ -249,7 +249,7 @@
 	},
 	{
 		Key: "direct.session-life", Allowed: "100ms to 1h", Doc: "how long a session lasts that nobody uses",
-		ok: func(s *Settings) bool { return between(s.Direct.SessionLife, 100, maxTimeout) },
+		ok: func(s *Settings) bool { return between(s.Direct.SessionIdleTimeout, 100, maxTimeout) },
 	},
 }
 
@@ -263,8 +263,8 @@
 
 // areWays reports whether the ways chosen are known and meant.
 func areWays(d Decisions) bool {
-	_, err := decision.Choose(d.Ways)
-	return err == nil && (d.Trial || len(d.Ways) == 0)
+	_, err := decision.Choose(d.Strategies)
+	return err == nil && (d.Trial || len(d.Strategies) == 0)
 }
 
 // ways lists the decisions with their ways, those that are a mechanism together.
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -38,8 +38,8 @@
 	Direct    Direct   `toml:"direct"`
 	// Decisions says how decisions are made that have several ways.
 	Decisions Decisions `toml:"decisions"`
-	// VMListEvery is the span between two readings of the VM list.
-	VMListEvery clock.Millis `toml:"vm-list-every"`
+	// VMListInterval is the span between two readings of the VM list.
+	VMListInterval clock.Millis `toml:"vm-list-every"`
 }
 
 // Log configures the process's own log lines.
@@ -51,11 +51,11 @@
 // TLS configures certificates by interface. An interface without a certificate
 // speaks plain TCP.
 type TLS struct {
-	// ReloadEvery is the span between two looks at the files.
-	ReloadEvery clock.Millis `toml:"reload-every"`
-	Callers     Certificate  `toml:"callers"`
-	Operators   Certificate  `toml:"operators"`
-	Peers       Certificate  `toml:"peers"`
+	// ReloadInterval is the span between two looks at the files.
+	ReloadInterval clock.Millis `toml:"reload-every"`
+	Callers        Certificate  `toml:"callers"`
+	Operators      Certificate  `toml:"operators"`
+	Peers          Certificate  `toml:"peers"`
 }
 
 // Certificate names the PEM files of one interface.
@@ -127,42 +127,42 @@
 	KeyLease   clock.Millis `toml:"key-lease"`
 	// RetryRatio and RetrySlack bound the attempts beyond the first in each
 	// RetrySpan.
-	RetryRatio float64      `toml:"retry-ratio"`
-	RetrySlack float64      `toml:"retry-slack"`
-	RetrySpan  clock.Millis `toml:"retry-span"`
+	RetryRatio  float64      `toml:"retry-ratio"`
+	RetrySlack  float64      `toml:"retry-slack"`
+	RetryWindow clock.Millis `toml:"retry-span"`
 	// Exposure is the part of a service's requests that an unproven version may
 	// get.
 	Exposure float64 `toml:"exposure"`
 	// ColdOverage and ColdSlack widen what an endpoint in cold start may get.
 	ColdOverage float64 `toml:"cold-overage"`
 	ColdSlack   float64 `toml:"cold-slack"`
-	// SessionLife is how long a session lasts that nobody uses.
-	SessionLife clock.Millis `toml:"session-life"`
+	// SessionIdleTimeout is how long a session lasts that nobody uses.
+	SessionIdleTimeout clock.Millis `toml:"session-life"`
 }
 
 // Decisions chooses between ways of decisions. Ways is empty unless Trial is set, so that
 // a name left over from a trial is refused.
 type Decisions struct {
-	Trial bool              `toml:"trial"`
-	Ways  map[string]string `toml:"ways"`
+	Trial      bool              `toml:"trial"`
+	Strategies map[string]string `toml:"ways"`
 }
 
 // Default returns the settings before a file is read.
 func Default() Settings {
 	return Settings{
 		Log: Log{Level: "info", Format: "text"},
-		TLS: TLS{ReloadEvery: 10 * clock.Second},
+		TLS: TLS{ReloadInterval: 10 * clock.Second},
 		Entry: Entry{
 			MaxBody: 4 << 20, MaxHeaders: 64 << 10, MaxConnections: 20000,
 			HeaderTimeout: 10 * clock.Second, BodyTimeout: 30 * clock.Second, WriteTimeout: 30 * clock.Second, IdleTimeout: 2 * clock.Minute,
 			LeaveDelay: 2 * clock.Second,
 		},
-		Endpoint:    Endpoint{StopLimit: 10 * clock.Minute},
-		Session:     Session{Lifetime: 24 * clock.Hour},
-		VMListEvery: clock.Second,
+		Endpoint:       Endpoint{StopLimit: 10 * clock.Minute},
+		Session:        Session{Lifetime: 24 * clock.Hour},
+		VMListInterval: clock.Second,
 		Direct: Direct{
-			Grace: 8 * clock.Second, StrictKeys: true, KeyLease: 5 * clock.Second, RetryRatio: 0.1, RetrySlack: 10, RetrySpan: 10 * clock.Second,
-			Exposure: 0.1, ColdOverage: 1, SessionLife: 5 * clock.Second,
+			Grace: 8 * clock.Second, StrictKeys: true, KeyLease: 5 * clock.Second, RetryRatio: 0.1, RetrySlack: 10, RetryWindow: 10 * clock.Second,
+			Exposure: 0.1, ColdOverage: 1, SessionIdleTimeout: 5 * clock.Second,
 		},
 	}
 }
--- a/spread/spread.go
+++ b/spread/spread.go
@@ -130,7 +130,7 @@
 	case event.DigestReceived:
 		s.digestReceived(e, m)
 		return s.fetch()
-	case event.Behind:
+	case event.PeerAhead:
 		s.behind(e, m)
 		return s.fetch()
 	case event.RecordsReceived:
@@ -185,7 +185,7 @@
 	}
 }
 
-func (s *State) behind(e event.Behind, m *membership.Members) {
+func (s *State) behind(e event.PeerAhead, m *membership.Members) {
 	if e.Revision >= s.offset {
 		s.addAhead(e.VM, e.Address, e.Revision+1, m)
 	}
--- a/standin/address_test.go
+++ b/standin/address_test.go
@@ -15,7 +15,7 @@
 // A daemon of a test fails to start since a connection of another process took
 // its port in between. Addresses must stay clear of the ports that the kernel
 // gives away by itself, and none may be given twice.
-func TestFreeAddressesAreApartAndBelowTheKernelsRange(t *testing.T) {
+func TestFreeAddressesAreUniqueAndBelowEphemeralRange(t *testing.T) {
 	is := is.New(t)
 	seen := make(map[string]bool)
 	for range 100 {
--- a/standin/cold.go
+++ b/standin/cold.go
@@ -11,17 +11,17 @@
 	falls int
 }
 
-// SetCold makes the engine cold: it bears cold requests at once, and one more
+// SetColdStart makes the engine cold: it bears cold requests at once, and one more
 // for each that it serves, up to full. When it is given more than twice what it
 // bears it falls over: it breaks all streams off and is cold again.
-func (e *Engine) SetCold(cold, full int) {
+func (e *Engine) SetColdStart(cold, full int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.cold = coldStart{bears: cold, cold: cold, full: full, falls: e.cold.falls}
 }
 
-// Falls returns how often the engine fell over.
-func (e *Engine) Falls() int {
+// Crashes returns how often the engine fell over.
+func (e *Engine) Crashes() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.cold.falls
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -91,8 +91,8 @@
 // Running returns how many requests the engine holds.
 func (e *Engine) Running() int64 { return e.running.Load() }
 
-// Most returns the most requests that the engine held at once.
-func (e *Engine) Most() int { return int(e.most.Load()) }
+// MaxRunning returns the most requests that the engine held at once.
+func (e *Engine) MaxRunning() int { return int(e.most.Load()) }
 
 // Cancelled returns how many requests ended because their caller went.
 func (e *Engine) Cancelled() int { return int(e.cancelled.Load()) }
--- a/standin/plain.go
+++ b/standin/plain.go
@@ -12,8 +12,8 @@
 
 // PlainFaults tells a plain service how to fail.
 type PlainFaults struct {
-	// Vanish takes a call and closes the connection without an answer.
-	Vanish bool
+	// DropConnection takes a call and closes the connection without an answer.
+	DropConnection bool
 	// BreakAfter breaks an answer off after so many bytes of the echo; 0 never.
 	BreakAfter int64
 	// Stall holds calls until it is lifted.
@@ -63,7 +63,7 @@
 func (p *Plain) Handler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		faults := p.count(r)
-		if faults.Vanish {
+		if faults.DropConnection {
 			panic(http.ErrAbortHandler)
 		}
 		for faults.Stall && r.Context().Err() == nil {
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -33,8 +33,8 @@
 type Faults struct {
 	// Down refuses every call to the log.
 	Down bool `json:"down"`
-	// LoseAnswers carries out appends but loses the next so many answers.
-	LoseAnswers int `json:"lose-answers"`
+	// DropAnswers carries out appends but loses the next so many answers.
+	DropAnswers int `json:"lose-answers"`
 	// DelayMillis slows every call to the log.
 	DelayMillis int64 `json:"delay-millis"`
 	// RefuseWeights refuses the next so many fetches by rate limit.
@@ -140,9 +140,9 @@
 	}
 	p.mu.Lock()
 	offset := p.stream(r.PathValue("name")).add(data)
-	lose := p.faults.LoseAnswers > 0
+	lose := p.faults.DropAnswers > 0
 	if lose {
-		p.faults.LoseAnswers--
+		p.faults.DropAnswers--
 	}
 	p.mu.Unlock()
 	if lose {
--- a/system/lasting_test.go
+++ b/system/lasting_test.go
@@ -81,7 +81,7 @@
 	const calls = 6
 	first := len(c.platform.Records(provider.BillStream))
 	for range calls {
-		c.platform.SetFaults(standin.Faults{LoseAnswers: 1})
+		c.platform.SetFaults(standin.Faults{DropAnswers: 1})
 		is.True(c.streamChat(c.entries[0], nil).complete)
 	}
 	c.eventually("all bills", func() bool { return len(c.bills()) == sent+calls })
@@ -252,7 +252,7 @@
 	s := clusterSpec{entries: 1, endpoints: 1, plain: 3, zones: 2, firstTokenDelay: 1, tokenGap: 1, tokenCount: 2}
 	c := newCluster(t, s)
 	for _, p := range c.plain {
-		p.SetFaults(standin.PlainFaults{Vanish: true})
+		p.SetFaults(standin.PlainFaults{DropConnection: true})
 	}
 	status, h, _ := c.call(t.Context(), c.entries[0], http.MethodPost, "/v1/services/records/fee", "renew", nil)
 	is.True(status >= http.StatusInternalServerError)
--- a/system/outage_test.go
+++ b/system/outage_test.go
@@ -49,7 +49,7 @@
 	is := is.New(t)
 	s := clusterSpec{entries: 2, endpoints: 2, zones: 2, firstTokenDelay: 1, tokenGap: 1, tokenCount: 3}
 	c := newCluster(t, s)
-	c.platform.SetFaults(standin.Faults{LoseAnswers: 6})
+	c.platform.SetFaults(standin.Faults{DropAnswers: 6})
 	const requests = 12
 	for i := range requests {
 		r := c.streamChat(c.entries[i%2], nil)
--- a/table/check.go
+++ b/table/check.go
@@ -182,7 +182,7 @@
 	}
 }
 
-func checkPlacement(key string, p Placement, add faultFunc) {
+func checkPlacement(key string, p AdminState, add faultFunc) {
 	if p != In && p != Out {
 		add("%s.state: is %q, \"in\" or \"out\" is allowed", key, p)
 	}
--- a/table/checkpoint.go
+++ b/table/checkpoint.go
@@ -66,7 +66,7 @@
 	for _, o := range c.outcomes {
 		body.Outcomes = append(body.Outcomes, o.plain())
 	}
-	data, err = toml.Marshal(&Change{Kind: Saved, Tables: *c.tables, Saved: body})
+	data, err = toml.Marshal(&Change{Kind: CheckpointChange, Tables: *c.tables, Saved: body})
 	if err != nil {
 		return nil, ErrMalformed.Wrap(err, "encode checkpoint")
 	}
@@ -87,7 +87,7 @@
 }
 
 func (c *Change) checkpoint() (out *Checkpoint, err error) {
-	if c.Kind != Saved || c.Saved == nil {
+	if c.Kind != CheckpointChange || c.Saved == nil {
 		return nil, ErrMalformed.New("record is no checkpoint")
 	}
 	s := c.Saved
@@ -140,7 +140,7 @@
 		s.savedAt = offset
 	default:
 		o.Accepted = s.Import(saved)
-		o.Adopted = o.Accepted
+		o.Restored = o.Accepted
 		if o.Accepted {
 			s.savedAt = offset
 		}
@@ -160,9 +160,9 @@
 	return errA == nil && errB == nil && slices.Equal(a, b)
 }
 
-// SavedAt returns the offset of the last checkpoint that counted; -1 when there
+// CheckpointOffset returns the offset of the last checkpoint that counted; -1 when there
 // was none.
-func (s *State) SavedAt() int64 {
+func (s *State) CheckpointOffset() int64 {
 	if s.savedAt == 0 {
 		return -1
 	}
--- a/table/record.go
+++ b/table/record.go
@@ -30,8 +30,8 @@
 	Whole ChangeKind = "whole"
 	// Patch replaces the entries it names; an entry listed in Remove goes.
 	Patch ChangeKind = "patch"
-	// Saved is a checkpoint, which processes write themselves.
-	Saved ChangeKind = "checkpoint"
+	// CheckpointChange is a checkpoint, which processes write themselves.
+	CheckpointChange ChangeKind = "checkpoint"
 )
 
 // MaxChangeBytes bounds a change; larger ones are rejected by all alike.
@@ -72,7 +72,7 @@
 	if err = dec.Decode(c); err != nil {
 		return nil, err
 	}
-	if c.Kind != Saved && len(data) > MaxChangeBytes {
+	if c.Kind != CheckpointChange && len(data) > MaxChangeBytes {
 		return nil, fmt.Errorf("change has %d bytes, at most %d are allowed", len(data), MaxChangeBytes)
 	}
 	return c, nil
--- a/table/state.go
+++ b/table/state.go
@@ -23,7 +23,7 @@
 	// Checkpoint is true for a checkpoint's record, which is no change. Adopted
 	// says that the state began anew from it.
 	Checkpoint bool
-	Adopted    bool
+	Restored   bool
 	// Reason says why the change was rejected; empty when accepted.
 	Reason string
 }
@@ -74,7 +74,7 @@
 		return o, false
 	}
 	c, err := ParseChange(data)
-	if err == nil && c.Kind == Saved {
+	if err == nil && c.Kind == CheckpointChange {
 		return s.applySaved(offset, c)
 	}
 	if offset > s.offset {
--- a/table/state_test.go
+++ b/table/state_test.go
@@ -18,7 +18,7 @@
 // Two operators publish on the same revision. Both see their append succeed,
 // yet only the first in log order may take effect, or the second would silently
 // undo the first.
-func TestRacingChangesHaveOneWinner(t *testing.T) {
+func TestOnlyFirstOfConcurrentChangesIsAccepted(t *testing.T) {
 	is := is.New(t)
 	var s State
 	o, ok := s.Apply(0, []byte(firstChange))
@@ -50,7 +50,7 @@
 
 // A change says "nan" for a quality, as TOML allows. Every comparison with it is
 // false, so it passed each check and no version could be chosen on it.
-func TestNumbersThatAreNoneAreRejected(t *testing.T) {
+func TestNaNAndInfinityAreRejected(t *testing.T) {
 	is := is.New(t)
 	for _, body := range []string{
 		"[tables.versions.\"m@1\"]\nquality=nan\n",
--- a/table/table.go
+++ b/table/table.go
@@ -24,13 +24,13 @@
 	RefuseWhenStale StaleRule = "refuse"
 )
 
-// Placement says whether a zone or VM may receive new work.
-type Placement string
+// AdminState says whether a zone or VM may receive new work.
+type AdminState string
 
 // The placements.
 const (
-	In  Placement = "in"
-	Out Placement = "out"
+	In  AdminState = "in"
+	Out AdminState = "out"
 )
 
 // Organisation is a customer that holds keys.
@@ -174,9 +174,9 @@
 	MovesCache bool `toml:"moves-cache"`
 }
 
-// Site is the operators' word on one zone or VM.
-type Site struct {
-	State Placement `toml:"state"`
+// Location is the operators' word on one zone or VM.
+type Location struct {
+	State AdminState `toml:"state"`
 }
 
 // Tables is one whole configuration. A published value is never changed.
@@ -186,8 +186,8 @@
 	Routes        map[string]Route        `toml:"routes"`
 	Services      map[string]Service      `toml:"services"`
 	Pools         map[string]Pool         `toml:"pools"`
-	Zones         map[string]Site         `toml:"zones"`
-	VMs           map[string]Site         `toml:"vms"`
+	Zones         map[string]Location     `toml:"zones"`
+	VMs           map[string]Location     `toml:"vms"`
 }
 
 // VersionName joins a model and a version number.
--- a/zone/zone_test.go
+++ b/zone/zone_test.go
@@ -19,7 +19,7 @@
 }
 
 func newFixture() *fixture {
-	f := &fixture{state: NewState(), members: membership.New("e"), tables: &table.Tables{Zones: map[string]table.Site{}}}
+	f := &fixture{state: NewState(), members: membership.New("e"), tables: &table.Tables{Zones: map[string]table.Location{}}}
 	f.members.Reduce(event.VMsListed{VMs: []provider.VM{
 		{ID: "a", Role: provider.EndpointRole, Zone: "a", Pool: "p"},
 		{ID: "b", Role: provider.EndpointRole, Zone: "b", Pool: "p"},
@@ -33,8 +33,8 @@
 	return f.state.Reduce(now, f.tables, f.members.Members())
 }
 
-func (f *fixture) setPlacement(zone string, p table.Placement, now clock.Millis) {
-	f.tables = &table.Tables{Zones: map[string]table.Site{zone: {State: p}}}
+func (f *fixture) setPlacement(zone string, p table.AdminState, now clock.Millis) {
+	f.tables = &table.Tables{Zones: map[string]table.Location{zone: {State: p}}}
 	f.reduceAt(now)
 }
 
