--- a/relay/admit.go
+++ b/relay/admit.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	// startRetryAfter is the retry delay for callers that arrive before the site is known: about
-	// the time that the first reads of the store take.
+	// startRetryAfter is the retry delay for callers that arrive before the state of the site is
+	// loaded: about the time that the first reads of the store take.
 	startRetryAfter = 500 * clock.Millis(1)
 	// staleRetryAfter is the retry delay for a caller whose key cannot be confirmed. By then
 	// another entry gets the request, or the store has answered this one.
@@ -52,15 +52,15 @@
 
 const (
 	// startWaitRatio is the fraction of the caller timeout for which a request waits until the
-	// entry knows its site. The rest is left for the answer, from this entry or another one.
+	// state of the site is loaded. The rest is left for the answer, from this entry or another one.
 	startWaitRatio = 0.5
 	// maxStartWait is how long after an entry's start requests are held. A start takes less time
 	// unless the store is unavailable, and how long that lasts is unknown.
 	maxStartWait = 1500 * clock.Millis(1)
 )
 
-// awaitStart holds a request that arrives before the entry knows its site. After a stop of all
-// entries no other entry could serve it.
+// awaitStart holds a request that arrives before the state of the site is loaded. After a stop of
+// all entries no other entry could serve it.
 func (x *exchange) awaitStart() {
 	s := x.server
 	if x.view.Started() || s.cfg.Strategies.For(decision.EarlyRequests) != decision.Hold {
--- a/relay/admit_test.go
+++ b/relay/admit_test.go
@@ -14,8 +14,9 @@
 	"github.com/parsleydeal/parsleydeal/site"
 )
 
-// All entries start at the same time and requests arrive before they know their site. Without a
-// wait hundreds were refused, although the entry would have been ready half a second later.
+// All entries start at the same time, and requests arrive before the state of the site is loaded.
+// Without a wait hundreds were refused, although the entry would have been ready half a second
+// later.
 func TestEarlyRequestWaitsForStart(t *testing.T) {
 	for _, x := range []struct {
 		name          string
--- a/relay/attempt.go
+++ b/relay/attempt.go
@@ -53,7 +53,7 @@
 	if x.firstAttemptAt == 0 {
 		x.firstAttemptAt = now
 	}
-	work := s.board.Begin(a.endpoint, x.query(a.plan))
+	work := s.selector.Begin(a.endpoint, x.query(a.plan))
 	a.expectedFirstByte = work.ExpectedFirstByte()
 	defer work.End()
 	defer s.counts.beginRequest(x.service, a.endpoint.Version)()
@@ -74,7 +74,7 @@
 	x.connectTook += answer.ConnectTime()
 	work.FirstByte(s.cfg.Clock.Now())
 	s.latency.addError(x.route, a.plan.model(), a.timeToFirstByte-a.expectedFirstByte)
-	s.board.RecordActivity(a.endpoint.ID, s.cfg.Clock.Now())
+	s.selector.RecordActivity(a.endpoint.ID, s.cfg.Clock.Now())
 	h := s.cfg.Dialect.Head(answer.Status, answer.Header)
 	a.status, a.confidence = h.Status, h.Confidence
 	a.recordHead(h)
@@ -85,7 +85,7 @@
 func (a *attempt) countLimited() {
 	s := a.exchange.server
 	switch {
-	case !s.board.Advertised(a.endpoint).HasRate:
+	case !s.selector.Advertised(a.endpoint).HasRate:
 	case a.exchange.sends == 0:
 		s.limitedFirst.Inc()
 	default:
@@ -96,14 +96,14 @@
 // call builds the request for the endpoint.
 func (a *attempt) call() upstream.Call {
 	x := a.exchange
-	o := AttemptParams{
+	params := AttemptParams{
 		Endpoint: a.endpoint.ID, Address: a.endpoint.Address, Organisation: x.organisation, Model: a.plan.model(),
 		Remaining: max(x.remaining(), 1), Priority: x.priority, LastEventID: x.req.LastEventID, Resumes: x.req.Resumes,
 		// A reused connection may be dead, which shows only after the request was sent on it. A
 		// request that must not be repeated would be lost.
 		NewConnection: !x.route.Repeatable(),
 	}
-	c := x.server.cfg.Dialect.Call(x.req, o, x.req.body)
+	c := x.server.cfg.Dialect.Call(x.req, params, x.req.body)
 	c.HasBody = x.req.hasBody
 	c.FirstByteTimeout = a.firstByteWait
 	if c.NewConnection && x.server.cfg.Strategies.For(decision.Connection) == decision.Watched {
@@ -151,7 +151,7 @@
 	if strategy == decision.ByError {
 		timeout = x.server.latency.timeoutFor(x.route, a.plan.model(), a.expectedFirstByte)
 	}
-	if x.server.board.ActiveSince(a.endpoint.ID, a.startedAt) {
+	if x.server.selector.ActiveSince(a.endpoint.ID, a.startedAt) {
 		timeout = clock.Millis(busyTimeoutFactor * float64(timeout))
 	}
 	if waited >= timeout && !x.server.cfg.Strategies.Disabled(decision.StayIfBusy) && !a.otherEndpointHasRoom() {
@@ -169,7 +169,7 @@
 // might have arrived a moment later.
 func (a *attempt) otherEndpointHasRoom() bool {
 	x := a.exchange
-	return x.server.board.HasCapacity(x.view.Fleet(), x.retryQuery(a.plan))
+	return x.server.selector.HasCapacity(x.view.Fleet(), x.retryQuery(a.plan))
 }
 
 // recordHead records what the head of an answer reports about the endpoint.
@@ -178,8 +178,8 @@
 	now := s.cfg.Clock.Now()
 	a.outstanding = h.Outstanding
 	if h.HasLoad && !h.WrongEndpoint {
-		s.board.RecordLoad(a.endpoint.ID, h.Outstanding, h.Slots, now)
-		s.board.RecordQueueLength(a.endpoint.ID, h.QueueLength, now)
+		s.selector.RecordLoad(a.endpoint.ID, h.Outstanding, h.Slots, now)
+		s.selector.RecordQueueLength(a.endpoint.ID, h.QueueLength, now)
 	}
 	if !h.WrongEndpoint && (h.Signed || h.NotRun) {
 		a.recordAdvertisement(h, now)
@@ -192,7 +192,7 @@
 	log := func(message string, fields ...any) {
 		s.cfg.Log.Info(message, append(fields, "endpoint", e.ID, "address", e.Address, "zone", e.Zone, "request", a.exchange.req.ID, "status", h.Status)...)
 	}
-	if s.board.RecordAdvertisement(e, ad, a.startedAt, now) {
+	if s.selector.RecordAdvertisement(e, ad, a.startedAt, now) {
 		s.advertisementChanges.Inc()
 		log("Endpoint's statement changed", "born", e.Incarnation, "leaving", ad.Leaving, "has-rate", ad.HasRate, "rate", ad.Rate, "after", now-a.startedAt)
 	}
--- a/relay/latency.go
+++ b/relay/latency.go
@@ -56,7 +56,7 @@
 	minSamples = 10
 	// minSlowdown is the least excess of a slow sample over the median, as a fraction of the
 	// median; minExtraDelayMillis is the least excess for delays. Without them tiny differences
-	// would tell two versions apart where all samples are alike, as at idle endpoints.
+	// would distinguish two versions where all samples are alike, as at idle endpoints.
 	minSlowdown         = 0.25
 	minExtraDelayMillis = 50.0
 )
@@ -138,35 +138,35 @@
 	loadedFactor = 2.0
 )
 
-func (p *latencyTracker) addFirstByte(route, model string, took clock.Millis) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+func (l *latencyTracker) addFirstByte(route, model string, took clock.Millis) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	k := latencyKey{route: route, model: model}
-	mean, ok := p.means[k]
+	mean, ok := l.means[k]
 	if !ok {
 		mean = float64(took)
 	}
-	p.means[k] = mean + meanWeight*(float64(took)-mean)
+	l.means[k] = mean + meanWeight*(float64(took)-mean)
 }
 
 // addSample adds a latency of the old version, from an endpoint with the given number of
 // outstanding requests.
-func (p *latencyTracker) addSample(k latencyKey, outstanding int, sample float64) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.baseline[k] == nil {
-		p.baseline[k] = &[loadClasses]sampleWindow{}
+func (l *latencyTracker) addSample(k latencyKey, outstanding int, sample float64) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.baseline[k] == nil {
+		l.baseline[k] = &[loadClasses]sampleWindow{}
 	}
-	p.baseline[k][loadClass(outstanding)].add(sample)
+	l.baseline[k][loadClass(outstanding)].add(sample)
 }
 
 // grade reports for each grade whether a sample is slow for the load of its endpoint. Where there
 // are too few samples at that load, it is compared with the next higher load class, or else with
 // the next lower one and a larger factor. known is false while there are too few samples.
-func (p *latencyTracker) grade(k latencyKey, outstanding int, sample, factor float64) (slow [len(upgrade.SlowThresholds)]bool, known bool) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	all := p.baseline[k]
+func (l *latencyTracker) grade(k latencyKey, outstanding int, sample, factor float64) (slow [len(upgrade.SlowThresholds)]bool, known bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	all := l.baseline[k]
 	if all == nil {
 		return slow, false
 	}
@@ -192,14 +192,14 @@
 )
 
 // addError adds a prediction error of a first byte; it is negative for one that arrived early.
-func (p *latencyTracker) addError(r *catalog.Route, model string, excess clock.Millis) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+func (l *latencyTracker) addError(r *catalog.Route, model string, excess clock.Millis) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	k := errorKey(r, model)
-	if p.errors[k] == nil {
-		p.errors[k] = &sampleWindow{}
+	if l.errors[k] == nil {
+		l.errors[k] = &sampleWindow{}
 	}
-	p.errors[k].add(float64(excess))
+	l.errors[k].add(float64(excess))
 }
 
 func errorKey(r *catalog.Route, model string) latencyKey {
@@ -211,11 +211,11 @@
 
 // timeoutFor returns the first-byte timeout for a predicted time: the prediction plus a margin for
 // prediction errors. It is at least minFirstByteTimeout and at most typicalTimeout.
-func (p *latencyTracker) timeoutFor(r *catalog.Route, model string, expected clock.Millis) clock.Millis {
-	typical := p.typicalTimeout(r, model)
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	errors := p.errors[errorKey(r, model)]
+func (l *latencyTracker) timeoutFor(r *catalog.Route, model string, expected clock.Millis) clock.Millis {
+	typical := l.typicalTimeout(r, model)
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	errors := l.errors[errorKey(r, model)]
 	if errors == nil || len(errors.samples) < minSamples {
 		return typical
 	}
@@ -225,10 +225,10 @@
 
 // typicalTimeout returns the first-byte timeout from the mean of the route and model, or the
 // route's latency target while there is no mean.
-func (p *latencyTracker) typicalTimeout(r *catalog.Route, model string) clock.Millis {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	mean, ok := p.means[latencyKey{route: r.Name, model: model}]
+func (l *latencyTracker) typicalTimeout(r *catalog.Route, model string) clock.Millis {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	mean, ok := l.means[latencyKey{route: r.Name, model: model}]
 	if !ok {
 		return max(r.LatencyTarget, minFirstByteTimeout)
 	}
--- a/relay/latency_test.go
+++ b/relay/latency_test.go
@@ -33,15 +33,15 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			r := rand.New(rand.NewPCG(7, 7))
-			p, k := newLatencyTracker(), latencyKey{model: "m"}
+			l, k := newLatencyTracker(), latencyKey{model: "m"}
 			for range 400 {
 				outstanding := 1 + r.IntN(40)
-				p.addSample(k, outstanding, gapAt(r, 20, outstanding))
+				l.addSample(k, outstanding, gapAt(r, 20, outstanding))
 			}
 			slow := 0
 			for range 100 {
 				outstanding := 1 + r.IntN(2)
-				grades, known := p.grade(k, outstanding, gapAt(r, x.base, outstanding), 1)
+				grades, known := l.grade(k, outstanding, gapAt(r, x.base, outstanding), 1)
 				is.True(known)
 				if grades[0] {
 					slow++
@@ -58,16 +58,16 @@
 // answers are not slow because of that alone.
 func TestVersionUnderMoreLoadIsComparedWithMargin(t *testing.T) {
 	is := is.New(t)
-	p, k := newLatencyTracker(), latencyKey{route: "r"}
-	_, known := p.grade(k, 4, 10, 1)
+	l, k := newLatencyTracker(), latencyKey{route: "r"}
+	_, known := l.grade(k, 4, 10, 1)
 	is.True(!known)
 	for range minSamples {
-		p.addSample(k, 3, 20)
+		l.addSample(k, 3, 20)
 	}
-	grades, known := p.grade(k, 9, 49, 1)
+	grades, known := l.grade(k, 9, 49, 1)
 	is.True(known)
 	is.True(!grades[0])
-	grades, _ = p.grade(k, 9, 51, 1)
+	grades, _ = l.grade(k, 9, 51, 1)
 	is.True(grades[0])
 }
 
@@ -83,12 +83,12 @@
 	is.Equal(k, latencyKey{model: "small", delay: true})
 	is.Equal(sample, 140.0)
 
-	p := newLatencyTracker()
+	l := newLatencyTracker()
 	for i := range 40 {
-		p.addSample(k, 1, float64(-80+3*i)) // first bytes arrive up to 80 ms earlier than expected
+		l.addSample(k, 1, float64(-80+3*i)) // first bytes arrive up to 80 ms earlier than expected
 	}
 	for delay, want := range map[float64]bool{-80: false, 0: false, 20: false, 140: true} {
-		grades, known := p.grade(k, 1, delay, 1)
+		grades, known := l.grade(k, 1, delay, 1)
 		is.True(known)
 		is.Equal(grades[0], want)
 		is.Equal(grades[1], want)
--- a/relay/plan.go
+++ b/relay/plan.go
@@ -52,12 +52,12 @@
 	x := a.exchange
 	q := x.query(a.plan.escalate())
 	q.Avoid = nil
-	expected, room := x.server.board.Expect(x.view.Fleet(), q)
+	expected, room := x.server.selector.Expect(x.view.Fleet(), q)
 	if !room {
 		return false
 	}
 	answer := cascade.Answer{Confidence: confidence, Remaining: x.startedAt + x.route.LatencyTarget - q.Now}
-	return x.server.judge.ShouldEscalate(answer, cascade.LargerModel{FirstByte: expected.FirstByte, QueueWait: expected.Wait})
+	return x.server.escalator.ShouldEscalate(answer, cascade.LargerModel{FirstByte: expected.FirstByte, QueueWait: expected.Wait})
 }
 
 func (p plan) escalate() plan { return plan{models: p.models[1:]} }
--- a/relay/plan_test.go
+++ b/relay/plan_test.go
@@ -35,7 +35,7 @@
 			a := smallAnswer(x.tokens)
 			if x.waiting > 0 {
 				e := a.exchange.view.Fleet().Find("i-1")
-				a.exchange.server.board.Begin(e, placement.Query{Model: "large", Blocks: []placement.Block{{ID: "other", Tokens: x.waiting}}, FullMesh: true, Now: 1000})
+				a.exchange.server.selector.Begin(e, placement.Query{Model: "large", Blocks: []placement.Block{{ID: "other", Tokens: x.waiting}}, FullMesh: true, Now: 1000})
 			}
 			is.Equal(a.isPoor(45), x.drops)
 		})
@@ -59,23 +59,23 @@
 // request waited for as long as the route's longest prompts take.
 func TestFirstByteTimeoutFollowsPredictionError(t *testing.T) {
 	is := is.New(t)
-	p := newLatencyTracker()
+	l := newLatencyTracker()
 	r := &catalog.Route{Name: "r", LatencyTarget: 2000}
-	p.addFirstByte(r.Name, "m", 400)
-	typical := p.typicalTimeout(r, "m")
+	l.addFirstByte(r.Name, "m", 400)
+	typical := l.typicalTimeout(r, "m")
 	is.Equal(typical, clock.Millis(1600))
-	is.Equal(p.timeoutFor(r, "m", 100), typical) // too few samples
+	is.Equal(l.timeoutFor(r, "m", 100), typical) // too few samples
 	for i := range 2 * maxSamples {
-		p.addError(r, "m", clock.Millis(i%2*150))
+		l.addError(r, "m", clock.Millis(i%2*150))
 	}
-	is.Equal(p.timeoutFor(r, "m", 100), clock.Millis(400))
-	is.Equal(p.timeoutFor(r, "m", 5000), typical)
-	p = newLatencyTracker()
-	p.addFirstByte(r.Name, "m", 400)
+	is.Equal(l.timeoutFor(r, "m", 100), clock.Millis(400))
+	is.Equal(l.timeoutFor(r, "m", 5000), typical)
+	l = newLatencyTracker()
+	l.addFirstByte(r.Name, "m", 400)
 	for range maxSamples {
-		p.addError(r, "m", -300)
+		l.addError(r, "m", -300)
 	}
-	is.Equal(p.timeoutFor(r, "m", 0), minFirstByteTimeout)
+	is.Equal(l.timeoutFor(r, "m", 0), minFirstByteTimeout)
 }
 
 // If each entry kept as many idle connections as the limit allows one entry alone, all entries
--- a/relay/request.go
+++ b/relay/request.go
@@ -87,7 +87,7 @@
 type Dialect struct {
 	// Read reads the head of a request. The error is a refusal that states what is wrong.
 	Read func(r *http.Request) (req *Request, err error)
-	Call func(req *Request, o AttemptParams, body []byte) upstream.Call
+	Call func(req *Request, params AttemptParams, body []byte) upstream.Call
 	Head func(status int, h http.Header) Head
 	// SetRefusalHeaders adds the request ID to the headers of a refusal.
 	SetRefusalHeaders func(h http.Header, id string)
--- a/relay/run.go
+++ b/relay/run.go
@@ -56,9 +56,9 @@
 		if err = x.checkAllowed(); err != nil {
 			return x.giveUp(failure, x.correctRunState(err))
 		}
-		e, why := x.selectEndpoint(p)
-		if why != placement.Selected {
-			return x.giveUp(failure, x.correctRunState(x.placementError(p, why)))
+		e, reason := x.selectEndpoint(p)
+		if reason != placement.Selected {
+			return x.giveUp(failure, x.correctRunState(x.placementError(p, reason)))
 		}
 		x.tried[e.ID] = true
 		a := &attempt{exchange: x, plan: p, endpoint: e}
@@ -110,20 +110,20 @@
 // refused for a moment only, and is selected again if no other one has room. One that was silent
 // is selected again only if there is nothing else: it seems to have no load, since no request got
 // an answer there.
-func (x *exchange) selectEndpoint(p plan) (e *fleet.Endpoint, why placement.Reason) {
-	e, why = x.server.board.Select(x.view.Fleet(), x.query(p))
+func (x *exchange) selectEndpoint(p plan) (e *fleet.Endpoint, reason placement.Reason) {
+	e, reason = x.server.selector.Select(x.view.Fleet(), x.query(p))
 	if len(x.tried) == 0 {
-		return e, why
+		return e, reason
 	}
 	for _, avoid := range []map[string]bool{x.tried, x.silentEndpoints, nil} {
 		if e != nil {
-			return e, why
+			return e, reason
 		}
 		q := x.retryQuery(p)
 		q.Avoid = avoid
-		e, why = x.server.board.Select(x.view.Fleet(), q)
+		e, reason = x.server.selector.Select(x.view.Fleet(), q)
 	}
-	return e, why
+	return e, reason
 }
 
 // retryQuery returns the query for a further attempt. It accepts any endpoint that can answer
@@ -145,13 +145,13 @@
 	version := rule.Version(catalog.Fraction(x.session), s.sessions.version(x.session, x.service, now, x.view))
 	return placement.Query{
 		Service: x.service, Version: version, Rule: rule, Zone: s.cfg.Zone, Avoid: x.tried, Model: p.model(),
-		Blocks: x.req.Blocks, Bytes: len(x.req.body), Bounds: s.bounds(x.view, x.service), FullMesh: x.view.FullMesh(), FirstByteBudget: x.firstByteTimeout(now), Now: now,
+		Blocks: x.req.Blocks, Bytes: len(x.req.body), Bounds: s.bounds(x.view, x.service), FullMesh: x.view.FullMesh(), FirstByteBudget: x.firstByteBudget(now), Now: now,
 	}
 }
 
-// firstByteTimeout returns the longest predicted time to the first byte that is acceptable at an
+// firstByteBudget returns the longest predicted time to the first byte that is acceptable at an
 // endpoint; 0 for no limit, as once part of the answer was sent to the caller.
-func (x *exchange) firstByteTimeout(now clock.Millis) clock.Millis {
+func (x *exchange) firstByteBudget(now clock.Millis) clock.Millis {
 	if x.written || x.route.LatencyTarget <= 0 || x.server.cfg.Strategies.Disabled(decision.LatePrompts) {
 		return 0
 	}
@@ -159,11 +159,11 @@
 }
 
 // placementError returns the refusal of a request that no endpoint can take.
-func (x *exchange) placementError(p plan, why placement.Reason) error {
-	if why == placement.Full {
+func (x *exchange) placementError(p plan, reason placement.Reason) error {
+	if reason == placement.Full {
 		q := x.query(p)
 		q.Avoid = nil
-		return refusal.New(refusal.Saturated, "all endpoints are full: "+x.server.board.CountObstacles(x.view.Fleet(), q).String())
+		return refusal.New(refusal.Saturated, "all endpoints are full: "+x.server.selector.CountObstacles(x.view.Fleet(), q).String())
 	}
 	return refusal.New(refusal.NoEndpoint, "no endpoint may get the request")
 }
@@ -252,19 +252,19 @@
 	switch {
 	case callerLeft:
 	case r == done || r == poor:
-		s.board.RecordOutcome(a.endpoint.ID, false, now)
+		s.selector.RecordOutcome(a.endpoint.ID, false, now)
 	case a.status == 0 && r == notRun, a.wrongEndpoint:
-		s.board.RecordUnreachable(a.endpoint.ID, now)
-	case a.silent && !s.board.ActiveSince(a.endpoint.ID, a.startedAt):
-		s.board.RecordUnreachable(a.endpoint.ID, now)
+		s.selector.RecordUnreachable(a.endpoint.ID, now)
+	case a.silent && !s.selector.ActiveSince(a.endpoint.ID, a.startedAt):
+		s.selector.RecordUnreachable(a.endpoint.ID, now)
 	case a.silent:
 		// The endpoint answers other requests, so it is slow but reachable; the next requests get
 		// a longer timeout.
 		s.latency.addFirstByte(x.route.Name, a.plan.model(), now-a.startedAt)
 		s.latency.addError(x.route, a.plan.model(), now-a.startedAt-a.expectedFirstByte)
-		s.board.RecordOutcome(a.endpoint.ID, true, now)
+		s.selector.RecordOutcome(a.endpoint.ID, true, now)
 	default:
-		s.board.RecordOutcome(a.endpoint.ID, true, now)
+		s.selector.RecordOutcome(a.endpoint.ID, true, now)
 	}
 	if !callerLeft && r != notRun {
 		s.recordOutcome(x, a, r)
--- a/relay/run_test.go
+++ b/relay/run_test.go
@@ -39,8 +39,8 @@
 	return New(Config{
 		Clock: c, Log: log.New(io.Discard), View: func() *site.View { return view }, Pool: upstream.NewPool(c), RetryRatio: 1, RetrySlack: 100, RetryWindow: 1000,
 		Dialect: Dialect{
-			Call: func(req *Request, o AttemptParams, _ []byte) upstream.Call {
-				return upstream.Call{Address: o.Address, Method: "GET", Target: "/x", Host: "h", Header: http.Header{"Request-Id": {req.ID}}}
+			Call: func(req *Request, params AttemptParams, _ []byte) upstream.Call {
+				return upstream.Call{Address: params.Address, Method: "GET", Target: "/x", Host: "h", Header: http.Header{"Request-Id": {req.ID}}}
 			},
 			Head: func(status int, h http.Header) Head {
 				return Head{Status: status, Signed: true, Confidence: -1, Header: h}
@@ -121,7 +121,7 @@
 		slotsOf("i-other", other.Address()),
 	})
 	server := serverOn(c, view)
-	server.board.RecordLoad("i-other", 100, 4, c.Now())
+	server.selector.RecordLoad("i-other", 100, 4, c.Now())
 	w := httptest.NewRecorder()
 	x := &exchange{
 		server: server, view: view, w: w, r: httptest.NewRequest(http.MethodGet, "/x", nil), startedAt: c.Now(), deadline: c.Now() + 3000,
@@ -130,7 +130,7 @@
 	go func() {
 		time.Sleep(50 * time.Millisecond)
 		if !otherFull {
-			server.board.RecordLoad("i-other", 0, 4, c.Now()+10000) // much later, so that it replaces the earlier report
+			server.selector.RecordLoad("i-other", 0, 4, c.Now()+10000) // much later, so that it replaces the earlier report
 		}
 	}()
 	is.NoErr(x.run(context.Background()))
@@ -169,7 +169,7 @@
 		slotsOf("i-busy", busy.Address()),
 	})
 	server := serverOn(c, view)
-	server.board.RecordQueueLength("i-busy", 20, c.Now()+1000) // the report stays valid for a while
+	server.selector.RecordQueueLength("i-busy", 20, c.Now()+1000) // the report stays valid for a while
 	x := &exchange{
 		server: server, view: view, w: httptest.NewRecorder(), r: httptest.NewRequest(http.MethodGet, "/x", nil), startedAt: c.Now(), deadline: c.Now() + 5000,
 		req: &Request{ID: "r-1", Method: http.MethodGet, Model: "m", Blocks: []placement.Block{{ID: "own", Tokens: 900}}}, route: route, service: "app",
--- a/relay/server.go
+++ b/relay/server.go
@@ -29,7 +29,7 @@
 	Dialect Dialect
 	// View returns the current view of the site; it never blocks.
 	View func() *site.View
-	// Started is closed once the view knows its site.
+	// Started is closed once the state of the site is loaded.
 	Started <-chan struct{}
 	Pool    *upstream.Pool
 	Zone    string
@@ -54,7 +54,7 @@
 // Server answers requests of callers.
 type Server struct {
 	cfg      Config
-	board    *placement.Selector
+	selector *placement.Selector
 	sessions *sessions
 	counts   *versionCounts
 	meter    *meter.Meter
@@ -66,7 +66,7 @@
 	limitedFirst   *metrics.Counter
 	limitedFurther *metrics.Counter
 	latency        *latencyTracker
-	judge          *cascade.Escalator
+	escalator      *cascade.Escalator
 	leaving        atomic.Bool
 	startedAt      clock.Millis
 	// snapshotRequests holds the addresses of entries that wait for a snapshot; awaitingSnapshot
@@ -84,8 +84,8 @@
 	set := metrics.NewSet()
 	return &Server{
 		cfg: cfg, startedAt: cfg.Clock.Now(), meter: meter.New(set), metrics: set, advertisementChanges: set.NewCounter("parsleydeal_endpoint_statements_total"),
-		limitedFirst: set.NewCounter(`parsleydeal_limited_sends_total{attempt="first"}`), limitedFurther: set.NewCounter(`parsleydeal_limited_sends_total{attempt="further"}`), board: placement.NewSelectorWith(cfg.Strategies), sessions: newSessions(cfg.SessionIdleTimeout), counts: newVersionCounts(),
-		snapshotRequests: make(chan string, maxSnapshotQueue), latency: newLatencyTracker(), judge: cascade.NewEscalator(cfg.Strategies), budgets: make(map[string]*limit.Share),
+		limitedFirst: set.NewCounter(`parsleydeal_limited_sends_total{attempt="first"}`), limitedFurther: set.NewCounter(`parsleydeal_limited_sends_total{attempt="further"}`), selector: placement.NewSelectorWith(cfg.Strategies), sessions: newSessions(cfg.SessionIdleTimeout), counts: newVersionCounts(),
+		snapshotRequests: make(chan string, maxSnapshotQueue), latency: newLatencyTracker(), escalator: cascade.NewEscalator(cfg.Strategies), budgets: make(map[string]*limit.Share),
 	}
 }
 
@@ -108,7 +108,7 @@
 // periodically.
 func (s *Server) Sweep() {
 	s.sessions.sweep(s.cfg.Clock.Now())
-	s.board.Prune(s.cfg.View().Fleet(), s.cfg.Clock.Now())
+	s.selector.Prune(s.cfg.View().Fleet(), s.cfg.Clock.Now())
 	s.cfg.Pool.Sweep()
 }
 
@@ -157,7 +157,7 @@
 	model           string
 	events          int
 	timeToFirstByte clock.Millis
-	// startWait is how long the request was held until the entry knew its site.
+	// startWait is how long the request was held until the state of the site was loaded.
 	startWait clock.Millis
 	// bodyTook is how long it took to read the caller's body, firstAttemptAt when the first
 	// attempt started, and connectTook how long answered attempts waited for a connection.
--- a/relay/share.go
+++ b/relay/share.go
@@ -61,7 +61,7 @@
 			lastFullAt = budget.updatedAt
 		}
 		to := s.cfg.View().Neighbours()
-		r := &wire.EntryReport{Process: name, Work: workToWire(s.board.Report(budget.updatedAt, full)), Partial: !full}
+		r := &wire.EntryReport{Process: name, Work: workToWire(s.selector.Report(budget.updatedAt, full)), Partial: !full}
 		// An empty report follows the last one with work. Without it the receivers would assume
 		// that the work goes on.
 		if len(to) == 0 || len(r.GetWork()) == 0 && (!full || !hadWork) {
@@ -86,7 +86,7 @@
 	timer := time.NewTimer(max(nextFullAt-budget.updatedAt, 0).Duration())
 	defer timer.Stop()
 	select {
-	case <-s.board.Urgent():
+	case <-s.selector.Urgent():
 	case <-timer.C:
 	case <-ctx.Done():
 		return false
@@ -101,7 +101,7 @@
 	if s.receiveSnapshot(r) {
 		return
 	}
-	s.board.Receive(r.GetProcess(), workFromWire(r.GetWork()), !r.GetPartial(), s.cfg.Clock.Now())
+	s.selector.Receive(r.GetProcess(), workFromWire(r.GetWork()), !r.GetPartial(), s.cfg.Clock.Now())
 }
 
 func workFromWire(work []*wire.EndpointWork) (reports []placement.EndpointReport) {
--- a/relay/share_test.go
+++ b/relay/share_test.go
@@ -55,7 +55,7 @@
 	old, started := serverOf("old", "e"), serverOf("e", "old")
 	at := &fleet.Endpoint{ID: "i-1", Service: "app", Version: "v1", Slots: 4}
 	q := placement.Query{Service: "app", Model: "m", Now: c.Now(), Blocks: []placement.Block{{ID: "case", Tokens: 900}, {ID: "own", Tokens: 100}}}
-	old.board.Begin(at, q).FirstByte(c.Now() + 20)
+	old.selector.Begin(at, q).FirstByte(c.Now() + 20)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go old.ServeSnapshots(ctx, "old", func(r *wire.EntryReport, to []string) error {
@@ -70,8 +70,8 @@
 		old.ReceiveReport(r)
 		return nil
 	})
-	_, speeds := started.board.Snapshot(c.Now())
-	_, want := old.board.Snapshot(c.Now())
+	_, speeds := started.selector.Snapshot(c.Now())
+	_, want := old.selector.Snapshot(c.Now())
 	is.Equal(speeds, want)
 }
 
--- a/relay/snapshot.go
+++ b/relay/snapshot.go
@@ -67,7 +67,7 @@
 			if !slices.Contains(s.cfg.View().Neighbours(), address) {
 				continue
 			}
-			work, speeds := s.board.Snapshot(s.cfg.Clock.Now())
+			work, speeds := s.selector.Snapshot(s.cfg.Clock.Now())
 			if len(speeds) == 0 {
 				continue
 			}
@@ -93,7 +93,7 @@
 		return false
 	}
 	if s.awaitingSnapshot.CompareAndSwap(true, false) {
-		s.board.ApplySnapshot(workFromWire(r.GetWork()), speedsFromWire(r.GetSpeeds()), s.cfg.Clock.Now())
+		s.selector.ApplySnapshot(workFromWire(r.GetWork()), speedsFromWire(r.GetSpeeds()), s.cfg.Clock.Now())
 		s.cfg.Log.Info("Snapshot of endpoints was taken over", "from", r.GetProcess(), "endpoints", len(r.GetWork()), "models", len(r.GetSpeeds()))
 	}
 	return true
--- a/relay/stream.go
+++ b/relay/stream.go
@@ -51,7 +51,7 @@
 			a.firstEventAt = a.lastEventAt
 		}
 		a.events++
-		x.server.board.RecordActivity(a.endpoint.ID, a.lastEventAt)
+		x.server.selector.RecordActivity(a.endpoint.ID, a.lastEventAt)
 		if err = x.writeEvent(e); err != nil {
 			return ended, err
 		}
--- a/relay/version_counts.go
+++ b/relay/version_counts.go
@@ -33,41 +33,41 @@
 }
 
 // beginRequest counts a request in flight; the returned function counts its end.
-func (t *versionCounts) beginRequest(service, version string) (end func()) {
-	t.addRunning(service, version, 1)
-	return func() { t.addRunning(service, version, -1) }
+func (v *versionCounts) beginRequest(service, version string) (end func()) {
+	v.addRunning(service, version, 1)
+	return func() { v.addRunning(service, version, -1) }
 }
 
-func (t *versionCounts) addRunning(service, version string, n int) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if t.running[service] == nil {
-		t.running[service] = make(map[string]int)
+func (v *versionCounts) addRunning(service, version string, n int) {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	if v.running[service] == nil {
+		v.running[service] = make(map[string]int)
 	}
-	t.running[service][version] += n
-	if t.running[service][version] == 0 {
-		delete(t.running[service], version)
+	v.running[service][version] += n
+	if v.running[service][version] == 0 {
+		delete(v.running[service], version)
 	}
 }
 
-func (t *versionCounts) record(o outcome) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if t.counts[o.service] == nil {
-		t.counts[o.service] = make(upgrade.Counts)
+func (v *versionCounts) record(o outcome) {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	if v.counts[o.service] == nil {
+		v.counts[o.service] = make(upgrade.Counts)
 	}
 	k := upgrade.Key{Route: o.route, Target: o.target}
-	c := t.counts[o.service][k]
+	c := v.counts[o.service][k]
 	c.Ended++
 	c.Bad += toInt(o.bad)
-	t.counts[o.service][k] = c
+	v.counts[o.service][k] = c
 	k.Delay = o.delay
-	c = t.counts[o.service][k]
+	c = v.counts[o.service][k]
 	c.Timed += toInt(o.timed)
 	for i, slow := range o.slow {
 		c.Slow[i] += toInt(slow)
 	}
-	t.counts[o.service][k] = c
+	v.counts[o.service][k] = c
 }
 
 func toInt(b bool) int64 {
@@ -78,14 +78,14 @@
 }
 
 // snapshot returns a copy of all counts.
-func (t *versionCounts) snapshot() site.TrafficCounts {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	c := site.TrafficCounts{Counts: make(map[string]upgrade.Counts, len(t.counts)), Running: make(map[string]map[string]int, len(t.running))}
-	for service, counts := range t.counts {
+func (v *versionCounts) snapshot() site.TrafficCounts {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	c := site.TrafficCounts{Counts: make(map[string]upgrade.Counts, len(v.counts)), Running: make(map[string]map[string]int, len(v.running))}
+	for service, counts := range v.counts {
 		c.Counts[service] = maps.Clone(counts)
 	}
-	for service, running := range t.running {
+	for service, running := range v.running {
 		c.Running[service] = maps.Clone(running)
 	}
 	return c
