--- a/site/loop.go
+++ b/site/loop.go
@@ -78,13 +78,13 @@
 		l.dropped.Add(1)
 		return
 	}
-	h := ReportReceived{Now: l.cfg.Clock.Now(), Report: r}
+	e := ReportReceived{Now: l.cfg.Clock.Now(), Report: r}
 	if len(r.GetRecords()) > 0 {
-		h.Update = l.cfg.Codec.Operator(recordsOn(r, OperatorStream))
-		h.Changes = l.cfg.Codec.Endpoints(recordsOn(r, EndpointStream), h.Now)
+		e.Update = l.cfg.Codec.Operator(recordsOn(r, OperatorStream))
+		e.Changes = l.cfg.Codec.Endpoints(recordsOn(r, EndpointStream), e.Now)
 	}
 	select {
-	case l.events <- h:
+	case l.events <- e:
 	default:
 		l.dropped.Add(1)
 	}
--- a/site/report_test.go
+++ b/site/report_test.go
@@ -14,7 +14,7 @@
 // delegates every second and broadcast occasionally.
 func TestMostEntriesBroadcastRarely(t *testing.T) {
 	is := is.New(t)
-	const entries, span = 300, 60 * clock.Second
+	const entries, duration = 300, 60 * clock.Second
 	for _, x := range []struct {
 		index              int
 		leaving            bool
@@ -26,7 +26,7 @@
 		{index: 200, broadcasts: 7, direct: 3 * 53}, // independent of the rank
 		{index: 200, leaving: true, broadcasts: 61}, // one more when it leaves
 	} {
-		broadcasts, direct := countReports(span, entries, x.index, x.leaving)
+		broadcasts, direct := countReports(duration, entries, x.index, x.leaving)
 		t.Logf("entry %d: %d broadcasts, %d direct reports", x.index, broadcasts, direct)
 		is.Equal(broadcasts, x.broadcasts)
 		is.Equal(direct, x.direct)
@@ -34,7 +34,7 @@
 }
 
 // countReports counts an entry's broadcasts and its reports to single entries.
-func countReports(span clock.Millis, entries, index int, leaving bool) (broadcasts, direct int) {
+func countReports(duration clock.Millis, entries, index int, leaving bool) (broadcasts, direct int) {
 	name := func(i int) string { return fmt.Sprintf("entry-%03d", i) }
 	s := NewState(Self{Name: name(index), Process: "p"}, 0)
 	addresses := make(map[string]string)
@@ -45,7 +45,7 @@
 	if leaving {
 		effects = append(effects, Reduce(s, Leave{})...)
 	}
-	for now := clock.Second; now <= span; now += clock.Second {
+	for now := clock.Second; now <= duration; now += clock.Second {
 		for i := range judgeCount + 1 {
 			Reduce(s, ReportReceived{Now: now, Report: &wire.EntryReport{Name: name(i), Process: name(i), Address: name(i) + ":1"}})
 		}
--- a/site/share.go
+++ b/site/share.go
@@ -151,16 +151,16 @@
 // entries. A reply to the previous process with this address is ignored: that process had another
 // clock, and the reply would make the state look newer than it is.
 func (s *State) receiveConfirmation(r *wire.EntryReport) (effects []Effect) {
-	asked := clock.Millis(r.GetReplyMillis())
-	if r.GetReplyTo() != s.self.Process || asked > s.now {
+	queriedAt := clock.Millis(r.GetReplyMillis())
+	if r.GetReplyTo() != s.self.Process || queriedAt > s.now {
 		return nil
 	}
 	if r.GetOperatorNext() == s.operatorNext {
-		s.confirmedAt = max(s.confirmedAt, asked-clock.Millis(r.GetConfirmedAgeMillis()))
+		s.confirmedAt = max(s.confirmedAt, queriedAt-clock.Millis(r.GetConfirmedAgeMillis()))
 	}
 	switch {
 	case r.GetFleetDigest() == s.fleet.Snapshot().Digest():
-		s.fleetConfirmedAt, s.divergedAt = max(s.fleetConfirmedAt, asked-clock.Millis(r.GetFleetAgeMillis())), 0
+		s.fleetConfirmedAt, s.divergedAt = max(s.fleetConfirmedAt, queriedAt-clock.Millis(r.GetFleetAgeMillis())), 0
 	case s.divergedAt == 0:
 		s.divergedAt = s.now
 	}
--- a/site/state.go
+++ b/site/state.go
@@ -203,8 +203,8 @@
 
 // applyOperatorUpdate applies what operators published.
 func (s *State) applyOperatorUpdate(e OperatorRead, first bool) (effects []Effect) {
-	for _, f := range e.Update.Invalid {
-		effects = append(effects, LogLine{Message: "Operator's record cannot be used", Fields: []any{"key", f.Key, "offset", f.Offset, "reason", f.Reason}, Warn: true})
+	for _, r := range e.Update.Invalid {
+		effects = append(effects, LogLine{Message: "Operator's record cannot be used", Fields: []any{"key", r.Key, "offset", r.Offset, "reason", r.Reason}, Warn: true})
 	}
 	if c := e.Update.Config; c != nil {
 		effects = append(effects, s.applyConfig(c)...)
@@ -430,15 +430,15 @@
 		v.versions[service] = versionState{rule: upgrade.Rule{Current: version}}
 	}
 	for service, u := range s.upgrades {
-		m := v.versions[service]
+		vs := v.versions[service]
 		switch u.Phase() {
 		case upgrade.Running:
-			m.upgrade, m.startedAt, m.exposure, m.kept = u.Order(), s.now-u.Age(s.now), s.self.Exposure, s.keptByPeers(service, u.Order())
-			m.running = true
+			vs.upgrade, vs.startedAt, vs.exposure, vs.kept = u.Order(), s.now-u.Age(s.now), s.self.Exposure, s.keptByPeers(service, u.Order())
+			vs.running = true
 		case upgrade.RolledBack:
-			m.rule.Banned = u.Order().Target
+			vs.rule.Banned = u.Order().Target
 		}
-		v.versions[service] = m
+		v.versions[service] = vs
 	}
 	return v
 }
--- a/site/state_test.go
+++ b/site/state_test.go
@@ -98,24 +98,24 @@
 }
 
 // parseUpdate parses lines such as "config 4", "zone a out" and "order pool v2 24000 7".
-func parseUpdate(t *testing.T, text string) (n OperatorUpdate) {
+func parseUpdate(t *testing.T, text string) (u OperatorUpdate) {
 	for _, line := range lines(text) {
 		f := strings.Fields(line)
 		switch f[0] {
 		case "config":
 			version, _ := strconv.ParseInt(f[1], 10, 64)
-			n.Config = (&catalog.Config{Version: version, Services: map[string]catalog.Service{"pool": {Name: "pool"}}}).Index()
+			u.Config = (&catalog.Config{Version: version, Services: map[string]catalog.Service{"pool": {Name: "pool"}}}).Index()
 		case "zone":
-			n.Zones = append(n.Zones, ZoneChange{Zone: f[1], Out: f[2] == "out"})
+			u.Zones = append(u.Zones, ZoneChange{Zone: f[1], Out: f[2] == "out"})
 		case "order":
-			span, _ := strconv.ParseInt(f[3], 10, 64)
+			duration, _ := strconv.ParseInt(f[3], 10, 64)
 			number, _ := strconv.ParseInt(f[4], 10, 64)
-			n.Orders = append(n.Orders, upgrade.Order{Service: f[1], Target: f[2], Duration: clock.Millis(span), Number: number})
+			u.Orders = append(u.Orders, upgrade.Order{Service: f[1], Target: f[2], Duration: clock.Millis(duration), Number: number})
 		default:
 			t.Fatalf("unknown update %q", line)
 		}
 	}
-	return n
+	return u
 }
 
 // parseChanges parses lines such as "i-1 v1 a ready born=1 sequence=2" and "i-1 gone".
@@ -181,9 +181,9 @@
 		StoreAgeMillis: a.number("store-age"), AskMillis: a.number("ask"), ReplyMillis: a.number("reply"), ReplyTo: a.text("reply-to"),
 		ConfirmedAgeMillis: a.number("age"), FleetAgeMillis: a.number("age"),
 	}
-	h := ReportReceived{Now: now, Report: r}
+	e := ReportReceived{Now: now, Report: r}
 	if a.d.Input != "" {
-		h.Update = parseUpdate(a.t, a.d.Input)
+		e.Update = parseUpdate(a.t, a.d.Input)
 		r.Records = []*wire.StoreRecord{{Stream: int32(OperatorStream), Key: "x"}}
 	}
 	if a.has("upgrade") {
@@ -191,7 +191,7 @@
 			Service: "pool", Target: "v2", Number: a.number("upgrade"), AgeMillis: a.number("upgrade-age"), Phase: int32(phases[a.text("phase")]), Reason: "theirs", Old: int32(a.number("old")),
 		}}
 	}
-	return h
+	return e
 }
 
 func lines(text string) []string {
--- a/site/upgrade.go
+++ b/site/upgrade.go
@@ -140,7 +140,7 @@
 
 // applyVerdict applies a verdict that is in force for all entries.
 func (s *State) applyVerdict(v Verdict, reason string) (effects []Effect) {
-	if d, ok := s.pendingVerdicts[v.Service]; ok && (d.verdict == v || v.Phase != upgrade.Running && d.verdict.Target == v.Target) {
+	if p, ok := s.pendingVerdicts[v.Service]; ok && (p.verdict == v || v.Phase != upgrade.Running && p.verdict.Target == v.Target) {
 		delete(s.pendingVerdicts, v.Service)
 	}
 	u := s.upgrades[v.Service]
@@ -258,13 +258,13 @@
 			effects = append(effects, s.judge(u)...)
 		}
 	}
-	for service, d := range s.pendingVerdicts {
-		if s.now < d.dueAt || s.statusEnd < 0 || s.rank() >= judgeCount {
+	for service, p := range s.pendingVerdicts {
+		if s.now < p.dueAt || s.statusEnd < 0 || s.rank() >= judgeCount {
 			continue
 		}
-		d.dueAt = s.now + appendRetryDelay
-		s.pendingVerdicts[service] = d
-		effects = append(effects, Write{Verdict: d.verdict, At: s.statusEnd})
+		p.dueAt = s.now + appendRetryDelay
+		s.pendingVerdicts[service] = p
+		effects = append(effects, Write{Verdict: p.verdict, At: s.statusEnd})
 	}
 	effects = append(effects, s.dropLapsed()...)
 	if isJudge := s.rank() < judgeCount; isJudge != s.wasJudge {
--- a/site/view.go
+++ b/site/view.go
@@ -104,17 +104,17 @@
 
 // Rule returns the rule that selects a service's version at the given time.
 func (v *View) Rule(service string, now clock.Millis) upgrade.Rule {
-	m := v.versions[service]
-	if !m.running {
-		return m.rule
+	vs := v.versions[service]
+	if !vs.running {
+		return vs.rule
 	}
-	return upgrade.RuleAt(m.upgrade, m.startedAt, now, m.rule.Current, m.exposure)
+	return upgrade.RuleAt(vs.upgrade, vs.startedAt, now, vs.rule.Current, vs.exposure)
 }
 
 // Upgrade returns the order of a service's upgrade in progress.
 func (v *View) Upgrade(service string) (o upgrade.Order, running bool) {
-	m := v.versions[service]
-	return m.upgrade, m.running
+	vs := v.versions[service]
+	return vs.upgrade, vs.running
 }
 
 // KeptByPeer reports whether another entry keeps a session, given by its hash, on the old version
