--- a/placement/advertisement.go
+++ b/placement/advertisement.go
@@ -5,7 +5,7 @@
 	"github.com/parsleydeal/parsleydeal/fleet"
 )
 
-// Advertisement is what an answer says about the endpoint that sent it.
+// Advertisement is what an endpoint advertises about itself with an answer.
 type Advertisement struct {
 	// Rate is how many requests per second the endpoint accepts from all entries together.
 	// It is valid only if HasRate is set.
@@ -67,8 +67,8 @@
 	// reported it. The report may be wrong; an endpoint that still leaves after this time
 	// advertises it to this entry as well.
 	reportedLeavingTTL = 10 * clock.Second
-	// advertisementTTL is how long an advertisement is kept after the endpoint's registration
-	// has lapsed.
+	// advertisementTTL is how long after its receipt an advertisement is kept while the endpoint
+	// is not registered.
 	advertisementTTL = clock.Minute
 	// repeatReportsFor is how long full reports repeat an advertisement after its arrival.
 	repeatReportsFor = 2 * clock.Second
--- a/placement/load_test.go
+++ b/placement/load_test.go
@@ -20,10 +20,10 @@
 func TestUnevenEntriesUseEndpointCapacity(t *testing.T) {
 	is := is.New(t)
 	const bound = 30
-	p := newLoadSimulation(31, 28, bound)
-	refused, sent := p.simulate(500, 20*clock.Second)
+	sim := newLoadSimulation(31, 28, bound)
+	refused, sent := sim.simulate(500, 20*clock.Second)
 	peak := 0
-	for _, sends := range p.arrivals {
+	for _, sends := range sim.arrivals {
 		peak = max(peak, maxPerSecond(sends))
 	}
 	t.Logf("%d of %d refused, at most %d per second at one endpoint", refused, sent, peak)
@@ -38,38 +38,38 @@
 	entries []*Selector
 	weights []int
 	bounds  float64
-	// freeAt holds when an endpoint will have prefilled all its prompts, held and waiting the
-	// numbers of its requests and of those not prefilled, and arrivals when requests arrived.
-	freeAt   map[string]clock.Millis
-	held     map[string]int
-	waiting  map[string]int
-	arrivals map[string][]clock.Millis
-	events   eventQueue
+	// freeAt holds when an endpoint will have prefilled all its prompts, outstanding and waiting
+	// the numbers of its requests and of those not prefilled, and arrivals when requests arrived.
+	freeAt      map[string]clock.Millis
+	outstanding map[string]int
+	waiting     map[string]int
+	arrivals    map[string][]clock.Millis
+	events      eventQueue
 }
 
 func newLoadSimulation(entries, endpoints int, bounds float64) *loadSimulation {
-	p := &loadSimulation{
+	sim := &loadSimulation{
 		rnd: rand.New(rand.NewPCG(1, 2)), fleet: fleetOf(endpoints, func(i int, e *fleet.Endpoint) { e.Zone = [...]string{"a", "b"}[i%2] }), bounds: bounds,
-		freeAt: make(map[string]clock.Millis), held: make(map[string]int), waiting: make(map[string]int), arrivals: make(map[string][]clock.Millis),
+		freeAt: make(map[string]clock.Millis), outstanding: make(map[string]int), waiting: make(map[string]int), arrivals: make(map[string][]clock.Millis),
 	}
 	for i := range entries {
-		p.entries = append(p.entries, NewSelector())
+		sim.entries = append(sim.entries, NewSelector())
 		for range 2 + i%4 {
-			p.weights = append(p.weights, i)
+			sim.weights = append(sim.weights, i)
 		}
 	}
-	return p
+	return sim
 }
 
 // simulate sends perSecond prompts per second for a duration.
-func (p *loadSimulation) simulate(perSecond int, duration clock.Millis) (refused, sent int) {
+func (sim *loadSimulation) simulate(perSecond int, duration clock.Millis) (refused, sent int) {
 	for now := clock.Millis(0); now < duration; now++ {
-		for len(p.events) > 0 && p.events[0].at <= now {
-			heap.Pop(&p.events).(event).fire(now)
+		for len(sim.events) > 0 && sim.events[0].at <= now {
+			heap.Pop(&sim.events).(event).fire(now)
 		}
-		for p.rnd.Float64() < float64(perSecond)/float64(perSecond+int(clock.Second)) {
+		for sim.rnd.Float64() < float64(perSecond)/float64(perSecond+int(clock.Second)) {
 			sent++
-			if !p.send(now, p.weights[p.rnd.IntN(len(p.weights))]) {
+			if !sim.send(now, sim.weights[sim.rnd.IntN(len(sim.weights))]) {
 				refused++
 			}
 		}
@@ -77,31 +77,31 @@
 	return refused, sent
 }
 
-func (p *loadSimulation) send(now clock.Millis, i int) bool {
-	sel := p.entries[i]
-	subject := p.rnd.IntN(300)
+func (sim *loadSimulation) send(now clock.Millis, i int) bool {
+	sel := sim.entries[i]
+	subject := sim.rnd.IntN(300)
 	q := Query{
 		Service: "s", Version: "v1", Zone: [...]string{"a", "b", "c", "d"}[i%4], Model: "m", Bytes: 8000, Now: now, FirstByteBudget: 2 * clock.Second,
-		Blocks: []Block{{fmt.Sprint("head", subject%4), 500}, {fmt.Sprint("subject", subject), 500}, {fmt.Sprint("own", now, i), 200 + p.rnd.IntN(1500)}},
-		Bounds: Bounds{Cold: p.bounds / 2, Warm: p.bounds, Shares: p.shares(i)},
+		Blocks: []Block{{fmt.Sprint("head", subject%4), 500}, {fmt.Sprint("subject", subject), 500}, {fmt.Sprint("own", now, i), 200 + sim.rnd.IntN(1500)}},
+		Bounds: Bounds{Cold: sim.bounds / 2, Warm: sim.bounds, Shares: sim.shares(i)},
 	}
-	e, reason := sel.Select(p.fleet, q)
+	e, reason := sel.Select(sim.fleet, q)
 	if reason != Selected {
 		return false
 	}
-	p.arrivals[e.ID] = append(p.arrivals[e.ID], now)
-	p.serve(sel, e, q, now)
+	sim.arrivals[e.ID] = append(sim.arrivals[e.ID], now)
+	sim.serve(sel, e, q, now)
 	return true
 }
 
 // shares returns an entry's shares in a site with two of four zones out of service. The entries
 // of a zone share half of its endpoints' bounds, and the entries of the zones out of service
 // count as local in every zone.
-func (p *loadSimulation) shares(i int) map[string]Share {
+func (sim *loadSimulation) shares(i int) map[string]Share {
 	out := make(map[string]Share)
 	for _, zone := range []string{"a", "b"} {
 		local, remote := Share{Fraction: 0.5}, Share{Fraction: 0.5}
-		for j := range p.entries {
+		for j := range sim.entries {
 			share := &local
 			if at := [...]string{"a", "b", zone, zone}[j%4]; at != zone {
 				share = &remote
@@ -127,21 +127,21 @@
 )
 
 // serve simulates the prefill and the answer of a prompt at an endpoint.
-func (p *loadSimulation) serve(sel *Selector, e *fleet.Endpoint, q Query, now clock.Millis) {
+func (sim *loadSimulation) serve(sel *Selector, e *fleet.Endpoint, q Query, now clock.Millis) {
 	w := sel.Begin(e, q)
-	p.held[e.ID]++
-	p.waiting[e.ID]++
-	p.freeAt[e.ID] = max(p.freeAt[e.ID], now) + clock.Millis(w.uncachedTokens/prefillTokensPerMilli)
-	prefilledAt := p.freeAt[e.ID] + 80
-	heap.Push(&p.events, event{prefilledAt, func(now clock.Millis) {
-		p.waiting[e.ID]--
+	sim.outstanding[e.ID]++
+	sim.waiting[e.ID]++
+	sim.freeAt[e.ID] = max(sim.freeAt[e.ID], now) + clock.Millis(w.uncachedTokens/prefillTokensPerMilli)
+	prefilledAt := sim.freeAt[e.ID] + 80
+	heap.Push(&sim.events, event{prefilledAt, func(now clock.Millis) {
+		sim.waiting[e.ID]--
 		w.FirstByte(now)
 		sel.RecordActivity(e.ID, now)
-		sel.RecordLoad(e.ID, p.held[e.ID], e.Slots, now)
-		sel.RecordQueueLength(e.ID, p.waiting[e.ID], now)
+		sel.RecordLoad(e.ID, sim.outstanding[e.ID], e.Slots, now)
+		sel.RecordQueueLength(e.ID, sim.waiting[e.ID], now)
 	}})
-	heap.Push(&p.events, event{prefilledAt + streamDuration, func(clock.Millis) {
-		p.held[e.ID]--
+	heap.Push(&sim.events, event{prefilledAt + streamDuration, func(clock.Millis) {
+		sim.outstanding[e.ID]--
 		w.End()
 	}})
 }
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -21,7 +21,7 @@
 // Query describes a request that needs an endpoint.
 type Query struct {
 	Service string
-	// Version is the preferred version; empty for any. Rule says which others may replace it.
+	// Version is the preferred version; empty for any. Rule defines which others may replace it.
 	Version string
 	Rule    upgrade.Rule
 	Zone    string
@@ -253,7 +253,7 @@
 	return nil, Full
 }
 
-// preferences returns the filters for endpoints in order of preference: the version wanted,
+// preferences returns the filters for endpoints in order of preference: the preferred version,
 // then other versions that the rule allows.
 func (q Query) preferences() []func(e *fleet.Endpoint) bool {
 	return []func(e *fleet.Endpoint) bool{
--- a/placement/selector.go
+++ b/placement/selector.go
@@ -220,9 +220,10 @@
 // of a prompt takes a few hundred milliseconds.
 const queueLengthHalfLife = 500 * clock.Millis(1)
 
-// RecordLoad records the requests held and the slots that an endpoint itself reported.
-func (sel *Selector) RecordLoad(id string, held, slots int, now clock.Millis) {
-	sel.inflight.RecordLoad(&wire.Load{Vm: id, Held: int32(held), Window: int32(slots)}, now)
+// RecordLoad records the numbers of outstanding requests and of slots that an endpoint itself
+// reported.
+func (sel *Selector) RecordLoad(id string, outstanding, slots int, now clock.Millis) {
+	sel.inflight.RecordLoad(&wire.Load{Vm: id, Held: int32(outstanding), Window: int32(slots)}, now)
 }
 
 const (
--- a/placement/zones_test.go
+++ b/placement/zones_test.go
@@ -19,11 +19,11 @@
 // ten must be prefilled within twice the time of their prefill.
 func TestEntriesPreferEndpointsWithReportedWork(t *testing.T) {
 	is := is.New(t)
-	p := newZoneSimulation(6, 11, 12)
-	p.simulate(12 * clock.Second)
-	t.Logf("%d prompts, %d to endpoints of the same zone, %d queued for longer than a long prefill", p.requests, p.sameZone, p.queued)
-	is.True(p.sameZone*10 > p.requests*8)
-	is.True(p.queued*10 < p.requests)
+	sim := newZoneSimulation(6, 11, 12)
+	sim.simulate(12 * clock.Second)
+	t.Logf("%d prompts, %d to endpoints of the same zone, %d queued for longer than a long prefill", sim.requests, sim.sameZone, sim.queued)
+	is.True(sim.sameZone*10 > sim.requests*8)
+	is.True(sim.queued*10 < sim.requests)
 }
 
 // zoneSimulation simulates entries of several zones and endpoints that prefill one prompt after
@@ -42,13 +42,13 @@
 }
 
 func newZoneSimulation(zones, entries, endpoints int) *zoneSimulation {
-	p := &zoneSimulation{rnd: rand.New(rand.NewPCG(5, 6)), zones: zones, freeAt: make(map[string]clock.Millis)}
-	p.fleet = fleetOf(zones*endpoints, func(i int, e *fleet.Endpoint) { e.Zone = fmt.Sprint("z", i%zones) })
+	sim := &zoneSimulation{rnd: rand.New(rand.NewPCG(5, 6)), zones: zones, freeAt: make(map[string]clock.Millis)}
+	sim.fleet = fleetOf(zones*endpoints, func(i int, e *fleet.Endpoint) { e.Zone = fmt.Sprint("z", i%zones) })
 	for range zones * entries {
-		p.entries = append(p.entries, NewSelector())
+		sim.entries = append(sim.entries, NewSelector())
 	}
-	p.reportedAt = make([]clock.Millis, len(p.entries))
-	return p
+	sim.reportedAt = make([]clock.Millis, len(sim.entries))
+	return sim
 }
 
 const (
@@ -64,22 +64,22 @@
 	reportInterval    = 300 * clock.Millis(1)
 )
 
-func (p *zoneSimulation) simulate(duration clock.Millis) {
+func (sim *zoneSimulation) simulate(duration clock.Millis) {
 	for now := clock.Millis(0); now < duration; now++ {
-		for len(p.events) > 0 && p.events[0].at <= now {
-			heap.Pop(&p.events).(event).fire(now)
+		for len(sim.events) > 0 && sim.events[0].at <= now {
+			heap.Pop(&sim.events).(event).fire(now)
 		}
-		p.exchangeReports(now)
-		if p.rnd.Float64() < promptsPerMillis {
-			p.send(now, p.rnd.IntN(len(p.entries)))
+		sim.exchangeReports(now)
+		if sim.rnd.Float64() < promptsPerMillis {
+			sim.send(now, sim.rnd.IntN(len(sim.entries)))
 		}
 	}
 }
 
 // exchangeReports sends the reports that are due or urgent to the other entries of a zone.
-func (p *zoneSimulation) exchangeReports(now clock.Millis) {
-	for i, sel := range p.entries {
-		due := now-p.reportedAt[i] >= reportInterval
+func (sim *zoneSimulation) exchangeReports(now clock.Millis) {
+	for i, sel := range sim.entries {
+		due := now-sim.reportedAt[i] >= reportInterval
 		select {
 		case <-sel.Urgent():
 			due = true
@@ -88,38 +88,38 @@
 		if !due {
 			continue
 		}
-		if now-p.reportedAt[i] < minReportInterval {
+		if now-sim.reportedAt[i] < minReportInterval {
 			sel.signalUrgent()
 			continue
 		}
-		p.reportedAt[i] = now
+		sim.reportedAt[i] = now
 		reports := sel.Report(now, true)
-		for j := i % p.zones; j < len(p.entries); j += p.zones {
+		for j := i % sim.zones; j < len(sim.entries); j += sim.zones {
 			if j != i {
-				p.entries[j].Receive(fmt.Sprint("entry", i), reports, true, now)
+				sim.entries[j].Receive(fmt.Sprint("entry", i), reports, true, now)
 			}
 		}
 	}
 }
 
-func (p *zoneSimulation) send(now clock.Millis, i int) {
-	sel, zone := p.entries[i], fmt.Sprint("z", i%p.zones)
+func (sim *zoneSimulation) send(now clock.Millis, i int) {
+	sel, zone := sim.entries[i], fmt.Sprint("z", i%sim.zones)
 	tokens, prefill := 2000, shortPrefill
-	if p.rnd.IntN(5) == 0 {
+	if sim.rnd.IntN(5) == 0 {
 		tokens, prefill = 10000, longPrefill
 	}
-	q := Query{Service: "s", Version: "v1", Zone: zone, Model: "m", Bytes: tokens, Now: now, Blocks: []Block{{fmt.Sprint("own", p.requests), tokens}}}
-	e, _ := sel.Select(p.fleet, q)
+	q := Query{Service: "s", Version: "v1", Zone: zone, Model: "m", Bytes: tokens, Now: now, Blocks: []Block{{fmt.Sprint("own", sim.requests), tokens}}}
+	e, _ := sel.Select(sim.fleet, q)
 	w := sel.Begin(e, q)
-	p.requests++
+	sim.requests++
 	if e.Zone == zone {
-		p.sameZone++
+		sim.sameZone++
 	}
-	if p.freeAt[e.ID]-now > longPrefill {
-		p.queued++
+	if sim.freeAt[e.ID]-now > longPrefill {
+		sim.queued++
 	}
-	p.freeAt[e.ID] = max(p.freeAt[e.ID], now) + prefill
-	heap.Push(&p.events, event{p.freeAt[e.ID], func(now clock.Millis) {
+	sim.freeAt[e.ID] = max(sim.freeAt[e.ID], now) + prefill
+	heap.Push(&sim.events, event{sim.freeAt[e.ID], func(now clock.Millis) {
 		w.FirstByte(now)
 		sel.RecordActivity(e.ID, now)
 		w.End()
