--- a/decision/decision.go
+++ b/decision/decision.go
@@ -70,10 +70,10 @@
 	// Affinity decides where prompts with shared blocks go if it is not known which endpoint
 	// has these cached.
 	Affinity Name = "affinity"
-	// Start decides what an entry that has just started knows of endpoints.
+	// Start decides what state of endpoints an entry starts with.
 	Start Name = "start"
-	// EarlyRequests decides what happens to requests that arrive before an entry that has just
-	// started knows its site.
+	// EarlyRequests decides what happens to requests that arrive at an entry that has just started
+	// and has not loaded the state of its site yet.
 	EarlyRequests Name = "early-requests"
 	// Connection decides how a request that may run only once gets its connection.
 	Connection Name = "connection"
@@ -83,13 +83,14 @@
 const (
 	// Snapshot gets the cached prompt blocks and the speeds of models from another entry.
 	Snapshot Strategy = "snapshot"
-	// Empty starts without any.
+	// Empty starts without them.
 	Empty Strategy = "blank"
 )
 
 // Strategies of EarlyRequests.
 const (
-	// Hold holds requests for a fraction of their time until the entry knows its site.
+	// Hold holds requests until the state of the site is loaded, for at most a fraction of the
+	// caller timeout.
 	Hold Strategy = "hold"
 	// Refuse refuses requests so that callers retry.
 	Refuse Strategy = "refuse"
