--- a/upstream/pool.go
+++ b/upstream/pool.go
@@ -126,18 +126,18 @@
 	var expired []*conn
 	p.mu.Lock()
 	for address, all := range p.idle {
-		kept := all[:0]
+		remaining := all[:0]
 		for _, c := range all {
 			if now-c.idleSince > c.idleTimeout {
 				expired = append(expired, c)
 			} else {
-				kept = append(kept, c)
+				remaining = append(remaining, c)
 			}
 		}
-		if len(kept) == 0 {
+		if len(remaining) == 0 {
 			delete(p.idle, address)
 		} else {
-			p.idle[address] = kept
+			p.idle[address] = remaining
 		}
 	}
 	p.mu.Unlock()
--- a/upstream/upstream_test.go
+++ b/upstream/upstream_test.go
@@ -46,7 +46,7 @@
 	}
 }
 
-const own = "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 3\r\n\r\nown"
+const matchingAnswer = "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 3\r\n\r\nown"
 
 // An endpoint closes an idle connection just after its answer. The next request must not be sent
 // on it: it would be lost, and may not be retried.
@@ -54,7 +54,7 @@
 	is := is.New(t)
 	address := serveConns(t, func(c net.Conn, r *bufio.Reader) {
 		if _, err := http.ReadRequest(r); err == nil {
-			_, _ = io.WriteString(c, own)
+			_, _ = io.WriteString(c, matchingAnswer)
 		}
 	})
 	p := NewPool(clock.System())
@@ -76,7 +76,7 @@
 	is := is.New(t)
 	address := serveConns(t, func(c net.Conn, r *bufio.Reader) {
 		if _, err := http.ReadRequest(r); err == nil {
-			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nId: 9\r\nContent-Length: 4\r\n\r\nlate"+own)
+			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nId: 9\r\nContent-Length: 4\r\n\r\nlate"+matchingAnswer)
 			time.Sleep(200 * time.Millisecond)
 		}
 	})
@@ -115,7 +115,7 @@
 		if err != nil {
 			return
 		}
-		_, _ = io.WriteString(c, own)
+		_, _ = io.WriteString(c, matchingAnswer)
 		time.Sleep(100 * time.Millisecond)
 		_, _ = io.Copy(io.Discard, req.Body)
 	})
@@ -177,7 +177,7 @@
 			if _, err := http.ReadRequest(r); err != nil {
 				return
 			}
-			_, _ = io.WriteString(c, own)
+			_, _ = io.WriteString(c, matchingAnswer)
 		}
 	})
 	p := NewPool(clock.System())
