--- a/daemon/advertisement_test.go
+++ b/daemon/advertisement_test.go
@@ -18,7 +18,7 @@
 	t.Parallel()
 	const rate = 1.6
 	ts := newTestSite(t)
-	limited := ts.startModified(func(a *standin.Reply) { a.Rate = rate })
+	limited := ts.startModified(func(reply *standin.Reply) { reply.Rate = rate })
 	ts.publish()
 	var entries []*testEntry
 	for _, name := range []string{"entry-a", "entry-b", "entry-c", "entry-d"} {
@@ -48,7 +48,7 @@
 	ts := newTestSite(t)
 	startedAt := time.Now()
 	leaves := func() bool { return time.Since(startedAt) > 2*time.Second }
-	leaving := ts.startModified(func(a *standin.Reply) { a.Leaving = leaves() })
+	leaving := ts.startModified(func(reply *standin.Reply) { reply.Leaving = leaves() })
 	ts.publish()
 	entries := []*testEntry{ts.entry("entry-a"), ts.entry("entry-b")}
 	for _, e := range entries {
@@ -128,18 +128,18 @@
 // startModified starts three endpoints of each service and returns the first of each; change
 // modifies the replies of these. Streams break after an event, so that entries resume them at
 // another endpoint, and answers have low confidence, so that they escalate.
-func (ts *testSite) startModified(change func(a *standin.Reply)) (modified []*standin.Endpoint) {
+func (ts *testSite) startModified(change func(reply *standin.Reply)) (modified []*standin.Endpoint) {
 	for service, base := range map[string]standin.Reply{
 		"app":  {BreakAfter: -1},
 		"pool": {BreakAfter: 1, Events: 3, Confidence: 30},
 	} {
 		for i := range 3 {
 			e := ts.endpoint(fmt.Sprintf("i-%s-%d", service, i), service, "v1", func(*http.Request) standin.Reply {
-				a := base
+				reply := base
 				if i == 0 {
-					change(&a)
+					change(&reply)
 				}
-				return a
+				return reply
 			})
 			if i == 0 {
 				modified = append(modified, e)
--- a/daemon/direct_test.go
+++ b/daemon/direct_test.go
@@ -61,11 +61,11 @@
 	is := is.New(t)
 	ts := newTestSite(t)
 	respond := func(r *http.Request) standin.Reply {
-		a := standin.Reply{Events: 2, BreakAfter: -1, Confidence: 95}
+		reply := standin.Reply{Events: 2, BreakAfter: -1, Confidence: 95}
 		if r.Header.Get("Model") == "small" && strings.HasSuffix(r.URL.Path, "hard") {
-			a.Confidence = 10
+			reply.Confidence = 10
 		}
-		return a
+		return reply
 	}
 	ts.endpoint("i-1", "pool", "v1", respond)
 	ts.endpoint("i-2", "pool", "v1", respond)
@@ -93,12 +93,12 @@
 	respond := func(*http.Request) standin.Reply {
 		mu.Lock()
 		defer mu.Unlock()
-		a := standin.Reply{Events: 6, BreakAfter: -1, Confidence: 95}
+		reply := standin.Reply{Events: 6, BreakAfter: -1, Confidence: 95}
 		if !broken {
 			broken = true
-			a.BreakAfter = 3
+			reply.BreakAfter = 3
 		}
-		return a
+		return reply
 	}
 	ts.endpoint("i-1", "pool", "v1", respond)
 	ts.endpoint("i-2", "pool", "v1", respond)
@@ -129,11 +129,11 @@
 // the answer to another request.
 func TestMisdirectedAnswersAreDiscarded(t *testing.T) {
 	t.Parallel()
-	for name, a := range map[string]standin.Reply{"foreign": {OtherAnswerFirst: true}, "surplus": {ExtraAnswer: true}, "unframed": {NoLength: true}} {
+	for name, reply := range map[string]standin.Reply{"other answer first": {OtherAnswerFirst: true}, "extra answer": {ExtraAnswer: true}, "no length": {NoLength: true}} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			ts := newTestSite(t)
-			ts.endpoint("i-app", "app", "v1", always(a))
+			ts.endpoint("i-app", "app", "v1", always(reply))
 			ts.publish()
 			e := ts.entry("entry-a")
 			for range 4 {
@@ -188,11 +188,11 @@
 // or does not sign it. It must be retried at another endpoint before its timeout.
 func TestIdempotentRequestIsRetriedInTime(t *testing.T) {
 	t.Parallel()
-	for name, a := range map[string]standin.Reply{"silent": {Delay: 5 * time.Second}, "failing": {Status: 500}, "lost": {DropAnswer: true}, "unsigned": {NoSignature: true}} {
+	for name, reply := range map[string]standin.Reply{"silent": {Delay: 5 * time.Second}, "failing": {Status: 500}, "dropped answer": {DropAnswer: true}, "no signature": {NoSignature: true}} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			ts := newTestSite(t)
-			ts.endpoint("i-bad", "app", "v1", always(a))
+			ts.endpoint("i-bad", "app", "v1", always(reply))
 			ts.endpoint("i-good", "app", "v1", nil)
 			ts.publish()
 			e := ts.entry("entry-a")
--- a/daemon/secure.go
+++ b/daemon/secure.go
@@ -21,12 +21,12 @@
 // OpenCertificates loads the certificates that the settings name. It fails if one
 // of them cannot be loaded.
 func OpenCertificates(s settings.TLS) (c Certificates, err error) {
-	open := func(files settings.Certificate) (k *certificate.Reloader) {
+	open := func(files settings.Certificate) (r *certificate.Reloader) {
 		if err != nil || files.Certificate == "" {
 			return nil
 		}
-		k, err = certificate.Open(files)
-		return k
+		r, err = certificate.Open(files)
+		return r
 	}
 	c = Certificates{callers: open(s.Callers), operators: open(s.Operators), peers: open(s.Peers)}
 	return c, err
@@ -42,20 +42,20 @@
 }
 
 // secure wraps a listener in TLS if there is a certificate for it.
-func secure(k *certificate.Reloader, lis net.Listener) net.Listener {
-	if k == nil {
+func secure(r *certificate.Reloader, lis net.Listener) net.Listener {
+	if r == nil {
 		return lis
 	}
-	return k.Listener(lis)
+	return r.Listener(lis)
 }
 
 // byInterface returns the certificates by the name of their interface; interfaces
 // without one are left out.
 func (c Certificates) byInterface() map[string]*certificate.Reloader {
 	out := make(map[string]*certificate.Reloader)
-	for name, k := range map[string]*certificate.Reloader{"callers": c.callers, "operators": c.operators, "peers": c.peers} {
-		if k != nil {
-			out[name] = k
+	for name, r := range map[string]*certificate.Reloader{"callers": c.callers, "operators": c.operators, "peers": c.peers} {
+		if r != nil {
+			out[name] = r
 		}
 	}
 	return out
@@ -63,18 +63,18 @@
 
 // watchCertificates reloads certificates when their files change, until the context ends.
 func (p *process) watchCertificates(ctx context.Context) {
-	for name, k := range p.certificates.byInterface() {
+	for name, r := range p.certificates.byInterface() {
 		p.node.Metrics().GetOrCreateGauge(`parsleydeal_certificate_seconds_left{interface="`+name+`"}`, func() float64 {
-			return time.Until(k.NotAfter()).Seconds()
+			return time.Until(r.NotAfter()).Seconds()
 		})
-		go k.Watch(ctx, p.settings.TLS.ReloadInterval, func(err error) { logReload(p.log, name, k, err) })
+		go r.Watch(ctx, p.settings.TLS.ReloadInterval, func(err error) { logReload(p.log, name, r, err) })
 	}
 }
 
-func logReload(l *log.Logger, name string, k *certificate.Reloader, err error) {
+func logReload(l *log.Logger, name string, r *certificate.Reloader, err error) {
 	if err != nil {
-		l.Error("New certificate is not taken, the old one stays in use", "interface", name, "expires", k.NotAfter(), "error", logbook.Text(err))
+		l.Error("New certificate is not taken, the old one stays in use", "interface", name, "expires", r.NotAfter(), "error", logbook.Text(err))
 		return
 	}
-	l.Info("New certificate is in use", "interface", name, "expires", k.NotAfter())
+	l.Info("New certificate is in use", "interface", name, "expires", r.NotAfter())
 }
--- a/daemon/test_site_test.go
+++ b/daemon/test_site_test.go
@@ -214,11 +214,11 @@
 	return func(r *http.Request) { r.Header.Set("Session", name) }
 }
 
-func always(a standin.Reply) func(*http.Request) standin.Reply {
-	if a.BreakAfter == 0 {
-		a.BreakAfter = -1
+func always(reply standin.Reply) func(*http.Request) standin.Reply {
+	if reply.BreakAfter == 0 {
+		reply.BreakAfter = -1
 	}
-	return func(*http.Request) standin.Reply { return a }
+	return func(*http.Request) standin.Reply { return reply }
 }
 
 // hasEvents reports whether body is a complete stream of n events, each once and in order.
