--- a/emulator/emulator_test.go
+++ b/emulator/emulator_test.go
@@ -72,8 +72,8 @@
 	return s
 }
 
-// Guards against results that differ between runs: the effect of a change could then not be told from
-// noise.
+// Guards against results that differ between runs: the effect of a change could then not be
+// distinguished from noise.
 func TestSameSeedGivesSameResult(t *testing.T) {
 	is := is.New(t)
 	s := readScenario(t, "testdata/six-zones.toml")
--- a/emulator/limit.go
+++ b/emulator/limit.go
@@ -42,11 +42,11 @@
 
 // advertisement returns what the endpoint advertises in an answer to an entry, and records that the entry
 // has received it.
-func (e *endpoint) advertisement(entry string, now clock.Millis) (s placement.Advertisement) {
+func (e *endpoint) advertisement(entry string, now clock.Millis) (ad placement.Advertisement) {
 	x, ok := e.limitAt(now)
 	if !ok {
 		clear(e.limitReceivedAt)
-		return s
+		return ad
 	}
 	if _, received := e.limitReceivedAt[entry]; !received {
 		e.limitReceivedAt[entry] = now
