--- a/cascade/cascade.go
+++ b/cascade/cascade.go
@@ -23,17 +23,17 @@
 	// confidenceDeviation is the standard deviation of the error in a model's confidence, in
 	// points. At a confidence of 50 half of the answers are good.
 	confidenceDeviation = 10.0
-	// lateValueRatio is the ratio of an answer's value that remains when its first byte comes after
+	// lateValueRatio is the fraction of an answer's value that remains when its first byte comes after
 	// the latency target.
 	lateValueRatio = 0.5
-	// maxTimeCharge is the cost to other requests of the largest model's time, as a ratio of an
+	// maxTimeCharge is the cost to other requests of the largest model's time, as a fraction of an
 	// answer's value, when its first byte takes all the remaining time. It is below 1, so that
 	// hopeless answers are still escalated.
 	maxTimeCharge = 0.95
-	// uncontendedRatio is the ratio of the remaining time that the largest model's first byte may
+	// uncontendedRatio is the fraction of the remaining time that the largest model's first byte may
 	// take before its time is charged.
 	uncontendedRatio = 0.1
-	// targetWaitRatio is the target for the wait in the largest model's queue, as a ratio of the
+	// targetWaitRatio is the target for the wait in the largest model's queue, as a fraction of the
 	// remaining time. pressureGain is how fast the pressure follows the deviation from it.
 	targetWaitRatio = 0.12
 	pressureGain    = 0.1
@@ -61,7 +61,7 @@
 type Escalator struct {
 	rule rule
 	mu   sync.Mutex
-	// pressure is the ratio of its time that the largest model is charged for, from 0 to 1. It
+	// pressure is the fraction of its time that the largest model is charged for, from 0 to 1. It
 	// rises while the wait for that model exceeds the target, and falls otherwise.
 	pressure float64
 }
@@ -98,7 +98,7 @@
 	return a.Confidence >= 0 && e.rule(a, m.FirstByte, pressure)
 }
 
-// gain is the value of the largest model's answer beyond that of the answer at hand, as a ratio of
+// gain is the value of the largest model's answer beyond that of the answer at hand, as a fraction of
 // the value of a good answer in time.
 func gain(a Answer, firstByte clock.Millis) float64 {
 	return valueRatio(firstByte, a.Remaining) - probabilityGood(a.Confidence)*valueRatio(0, a.Remaining)
@@ -109,7 +109,7 @@
 	return 0.5 * (1 + math.Erf(float64(confidence-50)/confidenceDeviation/math.Sqrt2))
 }
 
-// valueRatio is the ratio of an answer's value that remains when its first byte takes some time.
+// valueRatio is the fraction of an answer's value that remains when its first byte takes some time.
 func valueRatio(firstByte, remaining clock.Millis) float64 {
 	if firstByte > remaining {
 		return lateValueRatio
@@ -123,7 +123,7 @@
 	return max((ratioOf(firstByte, remaining)-uncontendedRatio)/(1-uncontendedRatio), 0)
 }
 
-// ratioOf is the ratio of the remaining time that a duration takes, at most 1.
+// ratioOf is the fraction of the remaining time that a duration takes, at most 1.
 func ratioOf(duration, remaining clock.Millis) float64 {
 	if duration >= remaining {
 		return 1
