--- a/upgrade/evidence.go
+++ b/upgrade/evidence.go
@@ -41,16 +41,16 @@
 // Counts is what one process has counted since it started.
 type Counts map[Key]Count
 
-// maxFailureRatio is the ratio of a good version's answers that may fail.
+// maxFailureRatio is the fraction of a good version's answers that may fail.
 const maxFailureRatio = 0.05
 
 // SlowThreshold defines a slow answer: one that took longer than Factor times a quantile of
 // the old version's answers.
 type SlowThreshold struct {
-	// Quantile is the ratio of the old version's answers below the quantile, from 0 to 1.
+	// Quantile is the fraction of the old version's answers below the quantile, from 0 to 1.
 	Quantile float64
 	Factor   float64
-	// limit is the ratio of a good version's answers that may exceed the threshold; for
+	// limit is the fraction of a good version's answers that may exceed the threshold; for
 	// the old version itself it is 1-Quantile at a factor of 1.
 	limit float64
 }
--- a/upgrade/order.go
+++ b/upgrade/order.go
@@ -32,13 +32,13 @@
 }
 
 const (
-	// pinnedRatio is the ratio of an order's duration during which sessions keep their
+	// pinnedRatio is the fraction of an order's duration during which sessions keep their
 	// version, so that the new version's share stays at that of new sessions.
 	pinnedRatio = 0.5
-	// fullTrafficRatio is the ratio of an order's duration after which the new version
+	// fullTrafficRatio is the fraction of an order's duration after which the new version
 	// gets all traffic; the rest is for the old version's streams to end.
 	fullTrafficRatio = 0.72
-	// firstExposureRatio is the ratio of the exposure allowed by operators that is used
+	// firstExposureRatio is the fraction of the exposure allowed by operators that is used
 	// while sessions are pinned. The rest is for the later steps, in which a version that
 	// is bad only under load shows it.
 	firstExposureRatio = 0.55
@@ -49,8 +49,8 @@
 // evidence.
 var stepShares = [...]float64{0.2, 0.4, 0.7}
 
-// Share returns the ratio of a service's sessions that go to the new version. Elapsed is the
-// elapsed ratio of the order's duration, exposure the ratio allowed by operators.
+// Share returns the fraction of a service's sessions that go to the new version. Elapsed is the
+// elapsed fraction of the order's duration, exposure the fraction allowed by operators.
 func Share(elapsed, exposure float64) float64 {
 	first := exposure * firstExposureRatio
 	switch {
--- a/upgrade/rule.go
+++ b/upgrade/rule.go
@@ -10,7 +10,7 @@
 	Target string
 	// Banned is a version that was rolled back; empty when there is none.
 	Banned string
-	// Share is the ratio of sessions that go to the target.
+	// Share is the fraction of sessions that go to the target.
 	Share float64
 	// Pinned is true while sessions keep their version.
 	Pinned bool
--- a/upgrade/upgrade.go
+++ b/upgrade/upgrade.go
@@ -56,7 +56,7 @@
 	u.startedAt = min(u.startedAt, at)
 }
 
-// ElapsedRatio returns the elapsed ratio of the order's duration; it exceeds 1 after the end.
+// ElapsedRatio returns the elapsed fraction of the order's duration; it exceeds 1 after the end.
 func (u *Upgrade) ElapsedRatio(now clock.Millis) float64 {
 	return float64(u.Age(now)) / float64(max(u.order.Duration, 1))
 }
