--- a/relay/plan.go
+++ b/relay/plan.go
@@ -42,9 +42,9 @@
 
 // isPoor reports whether to drop an answer for that of the larger model. The first byte of the
 // larger model is predicted for this request, from its prompt length and the queue at the endpoint
-// that would get it. The route's mean would treat a long prompt like an average one, and its
-// answer was dropped for one that arrived too late. The answer is kept if no endpoint has room for
-// the larger model: the caller would get nothing, although there is an answer that may do.
+// that would get it. By the route's mean a long prompt would count as an average one, and its
+// answer would be dropped for one that arrives too late. The answer is kept if no endpoint has room
+// for the larger model: the caller would get nothing, although there is an answer that may do.
 func (a *attempt) isPoor(confidence int) bool {
 	if a.plan.nextModel() == "" {
 		return false
