--- a/site/feed.go
+++ b/site/feed.go
@@ -31,9 +31,9 @@
 	// further failure, up to maxRetryDelay.
 	retryDelay    = 150 * clock.Millis(1)
 	maxRetryDelay = 600 * clock.Millis(1)
-	// peerRetryDelay is the minimum delay when the store fails all entries and peers probe it,
-	// whose next report, at most a second later, shows that the store is back; and when the store
-	// rejects this entry but serves the peers that send it all changes.
+	// peerRetryDelay is the minimum delay in two cases: the store fails all entries and peers
+	// probe it, so that their next report, at most a second later, shows that the store is back;
+	// or the store rejects this entry but serves the peers that send it all changes.
 	peerRetryDelay = 2 * clock.Second
 	// operatorFailingDelay is the minimum delay for the other streams while the operators' stream
 	// fails, whose feed keeps probing on behalf of the whole process. The delay ends as soon as
--- a/site/report.go
+++ b/site/report.go
@@ -55,9 +55,9 @@
 }
 
 // broadcastDue reports whether the next report goes to all entries. Judges and entries that start
-// or leave always broadcast, and so do all entries during an upgrade, when everyone must know
-// which sessions are kept where. Otherwise an entry broadcasts at a longer interval to show that
-// it is alive.
+// or leave always broadcast, and so do all entries during an upgrade, when each of them needs to
+// know which sessions the others keep on the old version. Otherwise an entry broadcasts at a longer
+// interval to show that it is alive.
 func (s *State) broadcastDue() bool {
 	if s.rank() < judgeCount || s.leaving || s.hasActiveUpgrade() || s.startupBroadcastsSent < startupBroadcasts {
 		return true
--- a/site/state.go
+++ b/site/state.go
@@ -13,7 +13,7 @@
 
 // Self identifies this process.
 type Self struct {
-	// Name is the name of the VM. Process is the name with the start of the process.
+	// Name is the name of the VM. Process identifies one incarnation of the process on that VM.
 	Name    string
 	Process string
 	Zone    string
