--- a/relay/plan.go
+++ b/relay/plan.go
@@ -42,9 +42,9 @@
 
 // isPoor reports whether to drop an answer for that of the larger model. The first byte of the
 // larger model is predicted for this request, from its prompt length and the queue at the endpoint
-// that would get it. The route's mean would treat a long prompt like an average one, and its
-// answer was dropped for one that arrived too late. The answer is kept if no endpoint has room for
-// the larger model: the caller would get nothing, although there is an answer that may do.
+// that would get it. By the route's mean a long prompt would count as an average one, and its
+// answer would be dropped for one that arrives too late. The answer is kept if no endpoint has room
+// for the larger model: the caller would get nothing, although there is an answer that may do.
 func (a *attempt) isPoor(confidence int) bool {
 	if a.plan.nextModel() == "" {
 		return false
@@ -52,12 +52,12 @@
 	x := a.exchange
 	q := x.query(a.plan.escalate())
 	q.Avoid = nil
-	expected, room := x.server.board.Expect(x.view.Fleet(), q)
+	expected, room := x.server.selector.Expect(x.view.Fleet(), q)
 	if !room {
 		return false
 	}
 	answer := cascade.Answer{Confidence: confidence, Remaining: x.startedAt + x.route.LatencyTarget - q.Now}
-	return x.server.judge.ShouldEscalate(answer, cascade.LargerModel{FirstByte: expected.FirstByte, QueueWait: expected.Wait})
+	return x.server.escalator.ShouldEscalate(answer, cascade.LargerModel{FirstByte: expected.FirstByte, QueueWait: expected.Wait})
 }
 
 func (p plan) escalate() plan { return plan{models: p.models[1:]} }
