--- a/batch/writer.go
+++ b/batch/writer.go
@@ -31,7 +31,8 @@
 }
 
 // NewWriter returns a writer that makes up to rate appends per second and calls done with the IDs and
-// the offset of logged entries. The prefix is that of NewBatcher. Run must be called for retries.
+// the offset of logged entries. The prefix is that of NewBatcher. Without Run,
+// appends that failed or were delayed by the rate wait for the next Add or SetRate.
 func NewWriter(store provider.Log, stream, prefix string, rate float64, c clock.Clock, done func(ids []string, offset int64)) *Writer {
 	return &Writer{store: store, stream: stream, clock: c, done: done, batcher: NewBatcher(prefix, rate), ctx: context.Background()}
 }
--- a/bill/due.go
+++ b/bill/due.go
@@ -6,7 +6,7 @@
 	"github.com/parsleydeal/parsleydeal/clock"
 )
 
-// due returns the requests whose bills need an action now, sorted by name so that the effects are
+// due returns the requests whose bills need an action now, sorted so that the effects are
 // deterministic.
 func (l *Ledger) due(now clock.Millis) (requests []string) {
 	for request, x := range l.entries {
--- a/bill/event.go
+++ b/bill/event.go
@@ -12,7 +12,7 @@
 // Effect is an action that the caller of Reduce must perform for a Ledger.
 type Effect interface{ isEffect() }
 
-// Finish adds the bill of a finished request. Reserved is true if Reserve took a place for it. An
+// Finish adds the bill of a finished request. Reserved is true if Reserve was called for it. An
 // orphaned step has no reservation and is accepted beyond the bound, as it would otherwise be lost.
 type Finish struct {
 	Now      clock.Millis
@@ -43,10 +43,10 @@
 // Released reports that another process has seen bills on the log.
 type Released struct{ Requests []string }
 
-// MembersChanged replaces the list of members.
+// MembersChanged replaces the assignment of appenders and holders after a change of the members.
 type MembersChanged struct {
-	Now   clock.Millis
-	Place *batch.Assignment
+	Now        clock.Millis
+	Assignment *batch.Assignment
 }
 
 // Tick reports the current time.
--- a/bill/ledger.go
+++ b/bill/ledger.go
@@ -61,10 +61,10 @@
 // availability zone, which appends it. The keeper appends the bill itself if the holder becomes
 // unreachable or exceeds its time limit. A bill is lost only if both fail at once.
 type Ledger struct {
-	zone  string
-	bound int
-	place *batch.Assignment
-	// reserved counts the places taken for requests in progress.
+	zone       string
+	bound      int
+	assignment *batch.Assignment
+	// reserved counts the reservations of requests in progress.
 	reserved int
 	// entries holds bills by request: at most bound less reserved of this process, and at most
 	// bound of others. No bill is evicted: at the bound, new requests and new holds are refused.
@@ -79,8 +79,8 @@
 	return &Ledger{zone: zone, bound: bound, entries: make(map[string]*entry)}
 }
 
-// Reserve takes a place for a request's bill. It must be called before the request is dispatched:
-// during an outage of the log the places run out, and ErrFull must then mean that nothing has run.
+// Reserve reserves room for a request's bill. It must be called before the request is dispatched:
+// during an outage of the log the ledger fills up, and ErrFull must then mean that nothing has run.
 func (l *Ledger) Reserve() (err error) {
 	if l.own+l.reserved >= l.bound {
 		return ErrFull.New("%d bills wait for the log", l.own)
@@ -89,13 +89,13 @@
 	return nil
 }
 
-// Cancel returns the place of a request for which nothing ran.
+// Cancel releases the reservation of a request for which nothing ran.
 func (l *Ledger) Cancel() { l.reserved-- }
 
 // Waiting returns how many bills the ledger keeps: its own, and those held for other processes.
 func (l *Ledger) Waiting() (own, held int) { return l.own, len(l.entries) - l.own }
 
-// Reserved returns the number of places taken for requests in progress.
+// Reserved returns the number of reservations of requests in progress.
 func (l *Ledger) Reserved() int { return l.reserved }
 
 // Replicated reports whether every bill in the ledger is held by two other live processes, so that
@@ -123,10 +123,10 @@
 }
 
 func (l *Ledger) find(vm string) (m batch.Member, ok bool) {
-	if l.place == nil {
+	if l.assignment == nil {
 		return m, false
 	}
-	return l.place.Find(vm)
+	return l.assignment.Find(vm)
 }
 
 func (l *Ledger) live(vm string) bool {
@@ -148,7 +148,7 @@
 	case Released:
 		return l.released(e)
 	case MembersChanged:
-		l.place = e.Place
+		l.assignment = e.Assignment
 		return l.check(e.Now)
 	case Tick:
 		return l.check(e.Now)
@@ -200,13 +200,13 @@
 // processes have been asked. The first process asked is an appender. Later ones are chosen from all
 // processes, since when one appender is full all of them are.
 func (l *Ledger) requestHold(x *entry, maxRequests int, now clock.Millis) (effects []Effect) {
-	if l.place == nil || len(x.requestedFrom) >= maxRequests {
+	if l.assignment == nil || len(x.requestedFrom) >= maxRequests {
 		return l.queue(x)
 	}
 	zones, excludedVMs := l.excluded(x)
-	selectHolder := l.place.Holder
+	selectHolder := l.assignment.Holder
 	if len(x.requestedFrom) > 0 {
-		selectHolder = l.place.FallbackHolder
+		selectHolder = l.assignment.FallbackHolder
 	}
 	m, ok := selectHolder(x.bill.GetRequest(), zones, excludedVMs)
 	if !ok {
--- a/bill/statement.go
+++ b/bill/statement.go
@@ -121,8 +121,8 @@
 // organisation is or was in the tables; if it is nil, organisations are not checked.
 func (s *Statement) Finish(known func(organisation string) bool) {
 	for _, b := range s.Bills() {
-		whole := slices.ContainsFunc(b.GetSteps(), (*wire.Step).GetWhole)
-		if !whole {
+		hasComplete := slices.ContainsFunc(b.GetSteps(), (*wire.Step).GetWhole)
+		if !hasComplete {
 			s.report(Anomaly{Kind: Incomplete, Request: b.GetRequest(), Offset: s.firstOffsets[b.GetRequest()], Detail: fmt.Sprintf("none of its %d steps is whole", len(b.GetSteps()))})
 		}
 		if known != nil && !known(b.GetOrganisation()) {
--- a/node/billing.go
+++ b/node/billing.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	placeInterval = 500 * clock.Millis(1)
+	assignmentInterval = 500 * clock.Millis(1)
 	// fullRetryAfter is the retry delay sent to a caller that is refused because the bills are at
 	// their bound.
 	fullRetryAfter = 5 * clock.Second
@@ -97,20 +97,21 @@
 
 func (b *Billing) run(ctx context.Context) {
 	b.n.run(func() { b.writer.Run(ctx) })
-	b.n.run(func() { b.n.every(ctx, placeInterval, b.refreshPlace) })
+	b.n.run(func() { b.n.every(ctx, assignmentInterval, b.refreshAssignment) })
 }
 
-// refreshPlace updates the ledger with the live processes and the current time.
-func (b *Billing) refreshPlace() {
-	p := b.n.newPlace()
-	b.n.currentPlace.Store(p)
-	b.writer.SetRate(p.AppendRate())
-	b.post(bill.MembersChanged{Now: b.n.cfg.Clock.Now(), Place: p})
+// refreshAssignment recomputes the assignment from the live processes and passes it and the current
+// time to the ledger.
+func (b *Billing) refreshAssignment() {
+	a := b.n.newAssignment()
+	b.n.currentAssignment.Store(a)
+	b.writer.SetRate(a.AppendRate())
+	b.post(bill.MembersChanged{Now: b.n.cfg.Clock.Now(), Assignment: a})
 }
 
-// newPlace returns which processes append and which hold copies of bills, computed from the
-// current members.
-func (n *Node) newPlace() *batch.Assignment {
+// newAssignment computes from the current members which processes append bills and which hold
+// copies.
+func (n *Node) newAssignment() *batch.Assignment {
 	s := n.cfg.Settings
 	self := batch.Member{ID: s.VM, Zone: s.Zone, Region: s.Region}
 	members := n.View().Members()
@@ -194,11 +195,11 @@
 // process. It returns the context's error if that ends first.
 func (b *Billing) WaitSafe(ctx context.Context) (err error) {
 	for {
-		b.refreshPlace()
+		b.refreshAssignment()
 		b.mu.Lock()
-		secure := b.ledger.Replicated() && b.ledger.Reserved() == 0
+		safe := b.ledger.Replicated() && b.ledger.Reserved() == 0
 		b.mu.Unlock()
-		if secure {
+		if safe {
 			return nil
 		}
 		if !clock.Pause(ctx, settlePoll) {
--- a/node/claim.go
+++ b/node/claim.go
@@ -43,7 +43,7 @@
 	ctx, cancel := context.WithTimeout(ctx, maxClaimWait.Duration())
 	defer cancel()
 	stream := claim.Stream(c.GetKey())
-	w, ok := n.lastPlace().Writer(stream)
+	w, ok := n.lastAssignment().Writer(stream)
 	if !ok || w.ID == n.cfg.Settings.VM {
 		return n.claimer(stream).Claim(ctx, c)
 	}
@@ -61,12 +61,12 @@
 	return nil, 0, claim.ErrUnsettled.Wrap(err, "claim through %s", w.ID)
 }
 
-// lastPlace returns the place computed last by billing, or a new one if there is none yet.
-func (n *Node) lastPlace() *batch.Assignment {
-	if p := n.currentPlace.Load(); p != nil {
-		return p
+// lastAssignment returns the assignment computed last by billing, or a new one if there is none yet.
+func (n *Node) lastAssignment() *batch.Assignment {
+	if a := n.currentAssignment.Load(); a != nil {
+		return a
 	}
-	return n.newPlace()
+	return n.newAssignment()
 }
 
 // claimer returns the claimer of a stream and starts it on first use.
--- a/node/node.go
+++ b/node/node.go
@@ -69,11 +69,11 @@
 	// appends is the semaphore of the concurrent appends.
 	appends chan struct{}
 	// metrics is a set of its own, so that several nodes in one OS process keep their metrics apart.
-	metrics      *metrics.Set
-	reports      atomic.Pointer[ReportFunc]
-	billing      *Billing
-	currentPlace atomic.Pointer[batch.Assignment]
-	claims       claims
+	metrics           *metrics.Set
+	reports           atomic.Pointer[ReportFunc]
+	billing           *Billing
+	currentAssignment atomic.Pointer[batch.Assignment]
+	claims            claims
 }
 
 var errAppendsFull = provider.ErrBusy.New("too many appends under way")
