--- a/entry/claim.go
+++ b/entry/claim.go
@@ -25,7 +25,7 @@
 
 // ensureClaim makes sure that a keyed call that must not run twice is dispatched under a claim. Done
 // is true when the retained answer of an earlier attempt was emitted instead. A call without a key
-// needs no claim: it is dispatched once, and run repeats it only if nothing is proven to have run.
+// needs no claim: it is dispatched once, and run repeats it only after proof that nothing ran.
 func (e *Entry) ensureClaim(ctx context.Context, req *requestState, vm provider.VM, emit func(*wire.Piece) error) (done bool, err error) {
 	if req.repeatable || req.key == "" {
 		return false, nil
@@ -111,7 +111,7 @@
 	return false, claimRefusal(verdict)
 }
 
-// claimRefusal returns the refusal for a verdict, or nil for Next.
+// claimRefusal returns the refusal for a verdict, or nil for NextRound.
 func claimRefusal(v claim.Verdict) error {
 	switch v {
 	case claim.NextRound:
@@ -162,7 +162,7 @@
 }
 
 // computeFingerprint hashes a call, so that a key cannot be used for two different calls. Of a body
-// longer than one frame only the first part and the total length are included.
+// longer than one frame only the first frame's bytes and the Content-Length are included.
 func (c *serviceCall) computeFingerprint() (sum []byte, err error) {
 	if c.savedFingerprint != nil {
 		return c.savedFingerprint, nil
--- a/entry/key.go
+++ b/entry/key.go
@@ -24,9 +24,10 @@
 	return uuid.NewSHA1(keyNamespace, []byte(name)).String()
 }
 
-// home returns the preferred endpoint of a request: its session's or, for a keyed request, one that
-// every entry derives in the same way, so that a retry reaches the endpoint of the first attempt.
-func (r *requestState) home() string {
+// preferredEndpoint returns the VM that a request goes to if possible: its session's or, for a keyed
+// request, one that every entry derives in the same way, so that a retry reaches the endpoint of the
+// first attempt. It is empty if there is none.
+func (r *requestState) preferredEndpoint() string {
 	if r.session.SessionVM != "" || r.key == "" || r.service != "" {
 		return r.session.SessionVM
 	}
--- a/entry/key_test.go
+++ b/entry/key_test.go
@@ -16,7 +16,7 @@
 // A caller's entry fails, and its retry reaches an entry whose subset of a large pool holds other
 // endpoints. If the retry went to one of those, the request would run a second time in parallel.
 // Both entries must derive the same endpoint, and different keys must spread over the pool.
-func TestKeyedRequestHasOneHome(t *testing.T) {
+func TestKeyedRequestHasOnePreferredEndpoint(t *testing.T) {
 	is := is.New(t)
 	var vms []provider.VM
 	for i := range 100 {
@@ -31,18 +31,18 @@
 		s.Reduce(event.VMsListed{VMs: vms})
 		v := view.New(tables, 0, 0, s.Members(), false).WithSubsets(map[string][]provider.VM{"p": subset})
 		req := &requestState{id: keyedRequestID("desk", "quick", key, []byte("body")), key: key, version: "m@1", view: v}
-		vm, ok := choice.SelectEndpoint(v, choice.NewInflight(), choice.NewAffinity(), choice.Query{Pools: req.pools(), SessionVM: req.home()})
+		vm, ok := choice.SelectEndpoint(v, choice.NewInflight(), choice.NewAffinity(), choice.Query{Pools: req.pools(), SessionVM: req.preferredEndpoint()})
 		is.True(ok)
 		return vm.ID
 	}
-	homes := map[string]bool{}
+	selected := map[string]bool{}
 	for i := range 40 {
 		key := fmt.Sprint("key-", i)
 		vmID := endpointFor(vms[:24], key)
 		is.Equal(endpointFor(vms[50:74], key), vmID)
-		homes[vmID] = true
+		selected[vmID] = true
 	}
-	is.True(len(homes) > 20)
+	is.True(len(selected) > 20)
 	is.True(keyedRequestID("desk", "quick", "k", []byte("a")) != keyedRequestID("court", "quick", "k", []byte("a"))) // keys are scoped to an organisation
 	is.True(keyedRequestID("desk", "quick", "k", []byte("a")) != keyedRequestID("desk", "quick", "k", []byte("b")))
 }
--- a/entry/request.go
+++ b/entry/request.go
@@ -75,7 +75,7 @@
 	cacheFrom string
 	// pinned is true if the caller sent a session.
 	pinned bool
-	// sessionMoved is why the session lost its version, or empty if it kept it.
+	// sessionMoved is the reason why the session was moved to another version, or empty if it was not.
 	sessionMoved string
 	stream       bool
 	prefix       uint64
--- a/entry/run.go
+++ b/entry/run.go
@@ -111,7 +111,7 @@
 		}
 		avoid[vm.ID] = true
 		delete(saturated, vm.ID)
-		if err := e.setHome(req, vm.ID); err != nil {
+		if err := e.setSessionVM(req, vm.ID); err != nil {
 			return err
 		}
 		obs := e.observe(req, vm.ID)
@@ -175,12 +175,12 @@
 func (e *Entry) endpointQuery(req *requestState, avoid map[string]bool) choice.Query {
 	return choice.Query{
 		Pools: req.pools(), Avoid: avoid, Seed: xxhash.Sum64String(req.id), Now: e.node.Clock().Now(),
-		SessionVM: req.home(), Prefix: req.prefix,
+		SessionVM: req.preferredEndpoint(), Prefix: req.prefix,
 	}
 }
 
-// setHome makes the endpoint that gets the request the home of its session.
-func (e *Entry) setHome(req *requestState, vm string) (err error) {
+// setSessionVM records the endpoint that gets the request as the VM of its session.
+func (e *Entry) setSessionVM(req *requestState, vm string) (err error) {
 	if req.service != "" || req.session.SessionVM == vm {
 		return nil
 	}
--- a/entry/timeout.go
+++ b/entry/timeout.go
@@ -107,8 +107,8 @@
 	return true
 }
 
-// clearDeadline removes the deadline at the body's end. The server keeps reading to detect that the
-// caller disconnects, and an old deadline would cancel the request.
+// clearDeadline removes the deadline after a read that failed or reached the body's end. The server
+// keeps reading to detect that the caller disconnects, and an old deadline would cancel the request.
 func (b *timeoutBody) clearDeadline(ended bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
