--- a/endpoint/admit_test.go
+++ b/endpoint/admit_test.go
@@ -18,15 +18,15 @@
 	head.Revision = 1
 	answer := r.runAsync(t.Context(), head, chatBody)
 	time.AfterFunc(20*time.Millisecond, func() { r.patch("[tables.zones.zone-z]\nstate = \"in\"\n") })
-	g := <-answer
-	if g.refusal != nil {
+	res := <-answer
+	if res.refusal != nil {
 		// On a slow machine the tables may arrive after the wait has ended. The refusal must
 		// then be correct, and the next attempt must succeed.
-		r.expectRefusal(g, refusal.Behind, refusal.NotRun)
-		g = r.run(t.Context(), head, chatBody)
+		r.expectRefusal(res, refusal.Behind, refusal.NotRun)
+		res = r.run(t.Context(), head, chatBody)
 	}
-	r.is.NoErr(g.err)
-	r.is.Equal(g.text, standin.Text(3))
+	r.is.NoErr(res.err)
+	r.is.Equal(res.text, standin.Text(3))
 }
 
 // The tables never arrive. The caller must be told that nothing ran, and when to retry.
@@ -34,9 +34,9 @@
 	r := newRig(t, 3)
 	head := r.head("r1")
 	head.Revision = 9
-	g := r.run(t.Context(), head, chatBody)
-	r.expectRefusal(g, refusal.Behind, refusal.NotRun)
-	r.is.True(g.refusal.RetryAfter() > 0)
+	res := r.run(t.Context(), head, chatBody)
+	r.expectRefusal(res, refusal.Behind, refusal.NotRun)
+	r.is.True(res.refusal.RetryAfter() > 0)
 	r.is.Equal(r.engine.Started(), 0)
 }
 
@@ -58,21 +58,22 @@
 // old tables; it must not run when it gets the slot.
 func TestZoneOutBetweenAdmissionAndDispatch(t *testing.T) {
 	r := newRig(t, 3)
-	g := r.runWhileQueued(func() { r.patch("[tables.zones.zone-a]\nstate = \"out\"\n") })
-	r.expectRefusal(g, refusal.ZoneOut, refusal.NotRun)
+	res := r.runWhileQueued(func() { r.patch("[tables.zones.zone-a]\nstate = \"out\"\n") })
+	r.expectRefusal(res, refusal.ZoneOut, refusal.NotRun)
 	r.is.Equal(r.engine.Started(), 1)
 	r.eventually("slots released", func() bool { return r.e.gate.Load().Held == 0 })
 }
 
-// A version is withdrawn while a request for it waits for a slot.
+// A version is withdrawn while a request for it waits for a slot. The request must not run when
+// it gets the slot.
 func TestWithdrawnBetweenAdmissionAndDispatch(t *testing.T) {
 	r := newRig(t, 3)
-	g := r.runWhileQueued(func() {
+	res := r.runWhileQueued(func() {
 		r.patch("[tables.versions.\"small@2\"]\nquality = 0.9\n[tables.versions.\"small@1\"]\nquality = 0.9\nwithdrawn = true\n" +
 			"[tables.pools.small]\nversions = [\"small@1\", \"small@2\"]\ncold-window = 1\nfull-window = 8\n" +
 			"[tables.routes.quick]\norganisations = [\"desk\"]\nmodels = [{ model = \"small\", shares = { 1 = 0.0, 2 = 1.0 } }]\nquality-target = 0.5\n")
 	})
-	r.expectRefusal(g, refusal.Withdrawn, refusal.NotRun)
+	r.expectRefusal(res, refusal.Withdrawn, refusal.NotRun)
 	r.is.Equal(r.engine.Started(), 1)
 }
 
@@ -81,12 +82,12 @@
 // idle.
 func TestDrainRefusesWaitingRequests(t *testing.T) {
 	r := newRig(t, 3)
-	g := r.runWhileQueued(func() {
+	res := r.runWhileQueued(func() {
 		r.n.Drain(t.Context())
 		r.eventually("draining", func() bool { return r.n.View().Draining() })
 	})
-	r.expectRefusal(g, refusal.Leaving, refusal.NotRun)
-	r.is.True(g.last.GetLoad().GetLeaving())
+	r.expectRefusal(res, refusal.Leaving, refusal.NotRun)
+	r.is.True(res.last.GetLoad().GetLeaving())
 	r.is.Equal(r.engine.Started(), 1)
 	r.is.Equal(r.e.WaitIdle(t.Context()), 0)
 	r.expectRefusal(r.run(t.Context(), r.head("r3"), chatBody), refusal.Leaving, refusal.NotRun)
@@ -103,9 +104,9 @@
 		answers = append(answers, r.runAsync(t.Context(), r.head(id), chatBody))
 	}
 	r.eventually("window full", func() bool { return r.engine.Running() == 2 })
-	g := r.run(t.Context(), r.head("c"), chatBody)
-	r.expectRefusal(g, refusal.Saturated, refusal.NotRun)
-	r.is.True(g.refusal.RetryAfter() > 0)
+	res := r.run(t.Context(), r.head("c"), chatBody)
+	r.expectRefusal(res, refusal.Saturated, refusal.NotRun)
+	r.is.True(res.refusal.RetryAfter() > 0)
 	r.engine.SetFaults(standin.EngineFaults{})
 	for _, a := range answers {
 		r.is.Equal((<-a).text, standin.Text(3))
--- a/endpoint/attempt.go
+++ b/endpoint/attempt.go
@@ -37,9 +37,9 @@
 	// reader of the body receives from the stream.
 	bodyReceived atomic.Bool
 	// number and tokens count the pieces and tokens sent.
-	number uint32
-	tokens int32
-	reason string
+	number       uint32
+	tokens       int32
+	finishReason string
 	// piece is reused by emptyPiece.
 	piece wire.Piece
 	usage wire.Usage
--- a/endpoint/chat.go
+++ b/endpoint/chat.go
@@ -16,15 +16,15 @@
 	if err != nil {
 		return refusal.New(refusal.Malformed, err.Error())
 	}
-	o := engine.ChatRequest{
+	req := engine.ChatRequest{
 		RequestID: a.head.GetRequest(), Body: body, Priority: a.head.GetPriority(),
 		ResumeAfter: a.head.GetResumeAfter(), ResumeText: a.head.GetResumeText(),
 	}
 	if pool, ok := e.pool(); ok && pool.MovesCache {
-		o.Session = a.head.GetSession()
+		req.Session = a.head.GetSession()
 	}
 	e.moveCache(ctx, a.head)
-	if err = e.engine.Chat(ctx, o, a.chunk); err != nil {
+	if err = e.engine.Chat(ctx, req, a.chunk); err != nil {
 		return a.engineRefusal(ctx, err)
 	}
 	return a.sendLastOfChat()
@@ -58,7 +58,7 @@
 		a.usage.CachedTokens = c.Usage.Details.CachedTokens
 	}
 	if c.FinishReason != "" {
-		a.reason = c.FinishReason
+		a.finishReason = c.FinishReason
 	}
 	if c.Text == "" && c.Raw == nil {
 		return nil
@@ -79,5 +79,5 @@
 		Cost:    version.Cost(a.usage.GetInputTokens(), a.usage.GetOutputTokens()),
 		Whole:   true,
 	}
-	return a.sendLast(step, &wire.Piece{FinishReason: a.reason, Usage: &a.usage})
+	return a.sendLast(step, &wire.Piece{FinishReason: a.finishReason, Usage: &a.usage})
 }
--- a/endpoint/drain.go
+++ b/endpoint/drain.go
@@ -11,7 +11,7 @@
 	// idlePoll is how often a draining endpoint checks for remaining work.
 	idlePoll = 50 * clock.Millis(1)
 	// idleLinger is how long a draining endpoint without work keeps accepting calls. Entries
-	// that have not yet been told that it is leaving then get a refusal as not run, rather
+	// that have not yet received its leaving report then get a refusal as not run, rather
 	// than a broken connection that leaves open whether the request ran.
 	idleLinger = 500 * clock.Millis(1)
 )
--- a/endpoint/order.go
+++ b/endpoint/order.go
@@ -18,7 +18,7 @@
 	case event.FetchWeights:
 		go e.fetchWeights(f)
 	case event.SendOrder:
-		go e.giveOrder(f)
+		go e.executeOrder(f)
 	}
 }
 
@@ -32,17 +32,17 @@
 	e.node.Loop().Post(e.aborted, event.WeightsDone{Now: e.node.Clock().Now(), Version: f.Version, Err: err})
 }
 
-func (e *Endpoint) giveOrder(f event.SendOrder) {
-	outcome := e.order(f)
+func (e *Endpoint) executeOrder(f event.SendOrder) {
+	outcome := e.sendOrder(f)
 	e.node.Log().Info("Engine order finished.", "kind", f.Kind, "version", f.Version, "role", f.Role, "fence", f.Fence, "outcome", outcome)
 	e.node.Loop().Post(e.aborted, event.OrderDone{Now: e.node.Clock().Now(), ID: f.ID, Outcome: outcome})
 }
 
-// order sends one order to the engine, unless its lease has expired or a newer one exists.
+// sendOrder sends one order to the engine, unless its lease has expired or a newer one exists.
 // Without these checks a process that was paused after the decision would act on a lease that
 // another process has taken over. Engines that check fencing numbers reject such orders
 // themselves; for all others the lease stream is read first.
-func (e *Endpoint) order(f event.SendOrder) event.OrderOutcome {
+func (e *Endpoint) sendOrder(f event.SendOrder) event.OrderOutcome {
 	if f.CompareFence && !e.hasNewestLease(f.Fence) {
 		return event.OrderFenced
 	}
--- a/endpoint/order_test.go
+++ b/endpoint/order_test.go
@@ -54,13 +54,13 @@
 	_, err = r.store.Append(t.Context(), provider.LeaseStream, other)
 	r.is.NoErr(err)
 	o := event.SendOrder{Kind: event.LoadVersion, Version: "small@1", Fence: -1, Until: r.n.Clock().Now() + clock.Hour, CompareFence: true}
-	r.is.Equal(r.e.order(o), event.OrderFenced)
+	r.is.Equal(r.e.sendOrder(o), event.OrderFenced)
 	o.Fence = 0
 	o.Until = r.n.Clock().Now() - 1 // its lease has expired
-	r.is.Equal(r.e.order(o), event.OrderNotSent)
+	r.is.Equal(r.e.sendOrder(o), event.OrderNotSent)
 	r.is.Equal(len(r.engine.Orders()), 0)
 	o.Until = r.n.Clock().Now() + clock.Hour
-	r.is.Equal(r.e.order(o), event.OrderAccepted)
+	r.is.Equal(r.e.sendOrder(o), event.OrderAccepted)
 }
 
 // An order of a former lease holder arrives late at an engine that checks fencing numbers.
@@ -69,7 +69,7 @@
 	var leases []provider.Record
 	r := newManagedRig(t, true, &leases)
 	o := event.SendOrder{Kind: event.LoadVersion, Version: "small@2", Fence: 5, Until: clock.Hour}
-	r.is.Equal(r.e.order(o), event.OrderAccepted)
+	r.is.Equal(r.e.sendOrder(o), event.OrderAccepted)
 	o.Kind, o.Fence = event.UnloadVersion, 4
-	r.is.Equal(r.e.order(o), event.OrderFenced)
+	r.is.Equal(r.e.sendOrder(o), event.OrderFenced)
 }
--- a/endpoint/retained.go
+++ b/endpoint/retained.go
@@ -37,9 +37,9 @@
 	owner := answer.Owner{Request: in.GetRequest(), Organisation: in.GetOrganisation(), Key: in.GetIdempotencyKey()}
 	h := &heartbeat{send: stream.Send}
 	defer e.heartbeats.add(h)()
-	kept, ok := e.answers.Find(owner)
+	retained, ok := e.answers.Find(owner)
 	if ok {
-		if err = kept.Replay(stream.Context(), in.GetAfter(), h.sendPiece); err == nil || stream.Context().Err() != nil {
+		if err = retained.Replay(stream.Context(), in.GetAfter(), h.sendPiece); err == nil || stream.Context().Err() != nil {
 			return err
 		}
 	}
--- a/endpoint/rig_test.go
+++ b/endpoint/rig_test.go
@@ -204,7 +204,7 @@
 const chatBody = `{"model":"quick","messages":[{"role":"user","content":"when"}]}`
 
 // run sends an attempt and collects all its pieces.
-func (r *rig) run(ctx context.Context, head *wire.RunHead, body string) (g result) {
+func (r *rig) run(ctx context.Context, head *wire.RunHead, body string) (res result) {
 	stream, err := r.gate().Run(ctx)
 	if err != nil {
 		return result{err: err}
@@ -216,27 +216,27 @@
 	return collect(stream.Recv)
 }
 
-func collect(recv func() (*wire.Piece, error)) (g result) {
+func collect(recv func() (*wire.Piece, error)) (res result) {
 	var text, data strings.Builder
 	for {
 		p, err := recv()
 		if err != nil {
-			g.err = err
+			res.err = err
 			break
 		}
-		g.pieces++
+		res.pieces++
 		text.WriteString(p.GetText())
 		data.Write(p.GetData())
 		if p.GetRefusal() != nil {
-			g.refusal = refusal.FromWire(p.GetRefusal())
+			res.refusal = refusal.FromWire(p.GetRefusal())
 		}
 		if p.GetLast() {
-			g.last = p
+			res.last = p
 			break
 		}
 	}
-	g.text, g.data = text.String(), data.String()
-	return g
+	res.text, res.data = text.String(), data.String()
+	return res
 }
 
 // runAsync runs an attempt in a goroutine.
@@ -246,10 +246,10 @@
 	return out
 }
 
-func (r *rig) expectRefusal(g result, code refusal.Code, run refusal.Run) {
+func (r *rig) expectRefusal(res result, code refusal.Code, run refusal.Run) {
 	r.t.Helper()
-	r.is.NoErr(g.err)
-	r.is.True(g.refusal != nil)
-	r.is.Equal(g.refusal.Code(), code)
-	r.is.Equal(g.refusal.Run(), run)
+	r.is.NoErr(res.err)
+	r.is.True(res.refusal != nil)
+	r.is.Equal(res.refusal.Code(), code)
+	r.is.Equal(res.refusal.Run(), run)
 }
--- a/endpoint/run_test.go
+++ b/endpoint/run_test.go
@@ -42,9 +42,9 @@
 	head.IdempotencyKey = "k"
 	r.runAndDisconnect(head, chatBody, func() bool { return r.engine.Running() == 1 })
 	r.engine.SetFaults(standin.EngineFaults{})
-	kept, err := r.gate().Kept(t.Context(), &wire.KeptRequest{IdempotencyKey: "k", Organisation: "desk"})
+	retained, err := r.gate().Kept(t.Context(), &wire.KeptRequest{IdempotencyKey: "k", Organisation: "desk"})
 	r.is.NoErr(err)
-	r.is.Equal(collect(kept.Recv).text, standin.Text(5))
+	r.is.Equal(collect(retained.Recv).text, standin.Text(5))
 	r.is.Equal(r.engine.Cancelled(), 0)
 	r.waitUntilIdle()
 }
@@ -75,9 +75,9 @@
 	r.is.Equal(b.GetRequest(), "r1")
 	r.is.Equal(b.GetRoute(), "services/records")
 	r.is.Equal(b.GetSteps()[0].GetCost(), int64(5))
-	kept, err := r.gate().Kept(t.Context(), &wire.KeptRequest{Request: "r1", Organisation: "desk"})
+	retained, err := r.gate().Kept(t.Context(), &wire.KeptRequest{Request: "r1", Organisation: "desk"})
 	r.is.NoErr(err)
-	r.is.Equal(collect(kept.Recv).data, "POST /fees\nfee")
+	r.is.Equal(collect(retained.Recv).data, "POST /fees\nfee")
 	r.waitUntilIdle()
 }
 
@@ -162,11 +162,11 @@
 func TestInterruptedPlainAnswerIsBilled(t *testing.T) {
 	r := newPlainRig(t)
 	r.plain.SetFaults(standin.PlainFaults{BreakAfter: 4})
-	g := r.run(t.Context(), r.serviceHead("r1", "PUT", "fees"), "long body")
-	r.expectRefusal(g, refusal.EngineFailed, refusal.Ran)
-	r.is.True(strings.HasPrefix(g.data, "PUT /fees\nlong"))
-	r.is.Equal(g.last.GetStep().GetCost(), int64(5))
-	r.is.True(!g.last.GetStep().GetWhole())
+	res := r.run(t.Context(), r.serviceHead("r1", "PUT", "fees"), "long body")
+	r.expectRefusal(res, refusal.EngineFailed, refusal.Ran)
+	r.is.True(strings.HasPrefix(res.data, "PUT /fees\nlong"))
+	r.is.Equal(res.last.GetStep().GetCost(), int64(5))
+	r.is.True(!res.last.GetStep().GetWhole())
 }
 
 // No process listens at the service's address. No byte of the call was sent, so it is
@@ -206,11 +206,11 @@
 func TestToolCallPassesThrough(t *testing.T) {
 	r := newRig(t, 3)
 	r.engine.SetFaults(standin.EngineFaults{ToolCall: true})
-	g := r.run(t.Context(), r.head("r1"), chatBody)
-	r.is.NoErr(g.err)
-	r.is.Equal(g.text, standin.Token(0)+standin.Token(2))
-	r.is.True(strings.Contains(g.data, `"tool_calls":[{"index":0,"id":"call-1"`))
-	r.is.Equal(g.last.GetTotalPieces(), uint32(g.pieces))
+	res := r.run(t.Context(), r.head("r1"), chatBody)
+	r.is.NoErr(res.err)
+	r.is.Equal(res.text, standin.Token(0)+standin.Token(2))
+	r.is.True(strings.Contains(res.data, `"tool_calls":[{"index":0,"id":"call-1"`))
+	r.is.Equal(res.last.GetTotalPieces(), uint32(res.pieces))
 }
 
 // An engine resumes after the tokens that an earlier attempt delivered. The bill must count
@@ -219,10 +219,10 @@
 	r := newRig(t, 5)
 	head := r.head("r1")
 	head.ResumeAfter, head.ResumeText = 2, standin.Text(2)
-	g := r.run(t.Context(), head, chatBody)
-	r.is.NoErr(g.err)
-	r.is.Equal(standin.Text(2)+g.text, standin.Text(5))
-	r.is.Equal(g.last.GetStep().GetUsage().GetOutputTokens(), int64(5))
+	res := r.run(t.Context(), head, chatBody)
+	r.is.NoErr(res.err)
+	r.is.Equal(standin.Text(2)+res.text, standin.Text(5))
+	r.is.Equal(res.last.GetStep().GetUsage().GetOutputTokens(), int64(5))
 }
 
 // An engine rejects a request for its content. Other engines would reject it as well, so the
@@ -230,9 +230,9 @@
 func TestEngineRejectsRequest(t *testing.T) {
 	r := newRig(t, 5)
 	r.engine.SetFaults(standin.EngineFaults{Reject: true})
-	g := r.run(t.Context(), r.head("r1"), chatBody)
-	r.expectRefusal(g, refusal.Malformed, refusal.NotRun)
-	r.is.True(strings.Contains(g.refusal.Message(), "takes no such request"))
+	res := r.run(t.Context(), r.head("r1"), chatBody)
+	r.expectRefusal(res, refusal.Malformed, refusal.NotRun)
+	r.is.True(strings.Contains(res.refusal.Message(), "takes no such request"))
 }
 
 // A chat with an idempotency key is refused while the endpoint is full, and its engine fails
@@ -256,9 +256,9 @@
 	retained, err := r.gate().Kept(r.t.Context(), &wire.KeptRequest{Request: "keyed", Organisation: "desk"})
 	r.is.NoErr(err)
 	r.is.Equal(collect(retained.Recv).refusal.Code(), refusal.NotKept) // an incomplete answer is not retained
-	g := r.run(r.t.Context(), head, chatBody)
-	r.is.True(g.refusal == nil)
-	r.is.Equal(g.text, standin.Text(3))
+	res := r.run(r.t.Context(), head, chatBody)
+	r.is.True(res.refusal == nil)
+	r.is.Equal(res.text, standin.Text(3))
 	again := r.run(r.t.Context(), head, chatBody)
 	r.expectRefusal(again, refusal.AlreadyRan, refusal.Ran) // now complete and retained
 }
