--- a/answer/attempt_tracker.go
+++ b/answer/attempt_tracker.go
@@ -153,8 +153,8 @@
 	return t.tooManyStreams || found && c.Offset <= last
 }
 
-func (t *AttemptTracker) add(a Attempt, c Claim, f attemptState) {
-	t.states[a] = f
+func (t *AttemptTracker) add(a Attempt, c Claim, state attemptState) {
+	t.states[a] = state
 	t.claims[a] = c
 	t.order = append(t.order, a)
 	if len(t.order) > t.maxAttempts {
@@ -165,7 +165,7 @@
 // evictOldest drops the oldest attempt that is neither waiting nor dispatched, if there is one.
 func (t *AttemptTracker) evictOldest() {
 	for i, a := range t.order {
-		if f := t.states[a]; f == waiting || f == dispatched {
+		if s := t.states[a]; s == waiting || s == dispatched {
 			continue
 		}
 		c := t.claims[a]
--- a/answer/pack.go
+++ b/answer/pack.go
@@ -38,9 +38,9 @@
 		pp.request, pp.attempt = p.GetRequest(), p.GetAttempt()
 		pp.unpacked = make(map[uint32]*wire.Piece)
 	}
-	plain := pp.packable(p, number)
+	packed := pp.packable(p, number)
 	tokens := uint8(0)
-	if plain {
+	if packed {
 		pp.text = append(pp.text, p.GetText()...)
 		tokens = uint8(p.GetTokens())
 	} else {
@@ -51,7 +51,7 @@
 	pp.ends = append(pp.ends, uint32(len(pp.text)))
 	pp.tokens = append(pp.tokens, tokens)
 	size = len(p.GetText()) + len(p.GetData()) + pieceOverheadBytes
-	if plain {
+	if packed {
 		size = len(p.GetText()) + packedOverheadBytes
 	}
 	if number == 0 {
--- a/answer/progress.go
+++ b/answer/progress.go
@@ -24,7 +24,7 @@
 type RetryRules struct {
 	// Repeatable requests may run more than once.
 	Repeatable bool
-	// CanResume is true if the engines of the request's version can resume.
+	// CanResume is true if some engines of the request's version can resume.
 	CanResume bool
 	// PartSent is true once a part of the answer was sent to the caller.
 	PartSent bool
--- a/answer/store.go
+++ b/answer/store.go
@@ -200,7 +200,7 @@
 // piece. It fails with ErrNotKept if the answer is dropped before, or ended without a last piece.
 func (a *Retained) Replay(ctx context.Context, number uint32, emit func(*wire.Piece) error) (err error) {
 	for {
-		p, grown, err := a.piece(number)
+		p, changed, err := a.piece(number)
 		if err != nil {
 			return err
 		}
@@ -214,12 +214,12 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-grown:
+		case <-changed:
 		}
 	}
 }
 
-func (a *Retained) piece(number uint32) (p *wire.Piece, grown chan struct{}, err error) {
+func (a *Retained) piece(number uint32) (p *wire.Piece, changed chan struct{}, err error) {
 	a.store.mu.Lock()
 	defer a.store.mu.Unlock()
 	if a.evicted {
