--- a/claim/claim.go
+++ b/claim/claim.go
@@ -57,7 +57,8 @@
 	return fmt.Sprintf("claims-%d", xxhash.Sum64(key)%Streams)
 }
 
-// Same reports whether both are the same claim: one attempt of one request, made by one VM.
+// Same reports whether both are the same claim: of the same round and the same attempt of a
+// request, for the same VM.
 func Same(a, b *wire.Claim) bool {
 	return a.GetRequest() == b.GetRequest() && a.GetAttempt() == b.GetAttempt() && a.GetRound() == b.GetRound() && a.GetVm() == b.GetVm()
 }
--- a/claim/claimer.go
+++ b/claim/claimer.go
@@ -34,8 +34,9 @@
 	state   *State
 }
 
-// NewClaimer returns a claimer for a stream. It appends only while Run is running.
-// The prefix of its batch IDs must be unique to this start of the process.
+// NewClaimer returns a claimer for a stream. Run must be running for appends that fail or
+// are delayed by the rate limit to be made later. The prefix of its batch IDs must be unique
+// to this incarnation of the process.
 func NewClaimer(store provider.Log, stream, prefix string, c clock.Clock) *Claimer {
 	k := &Claimer{store: store, stream: stream, waiters: make(map[string]chan int64)}
 	k.writer = batch.NewWriter(store, stream, prefix, batch.ClaimAppendsPerSecond/Streams, c, k.appended)
--- a/claim/verdict.go
+++ b/claim/verdict.go
@@ -22,9 +22,9 @@
 	// TakenOver means that another request had this one's attempt refused and claimed the
 	// next round.
 	TakenOver
-	// Replay means that the holder's attempt ran and its answer is still buffered.
+	// Replay means that the holder's attempt ran and its answer is still retained.
 	Replay
-	// Ran means that the holder's attempt ran and its answer is no longer buffered.
+	// Ran means that the holder's attempt ran and its answer is no longer retained.
 	Ran
 	// Undecided means that the holder's attempt may be running, or may still run.
 	Undecided
--- a/control/cluster_test.go
+++ b/control/cluster_test.go
@@ -21,7 +21,7 @@
 	callOverhead = 160
 )
 
-// cluster runs many real reducers in virtual time with fakes of the log, the VM list and the
+// cluster runs many production reducers in virtual time with fakes of the log, the VM list and the
 // network.
 type cluster struct {
 	now   clock.Millis
--- a/control/failure_test.go
+++ b/control/failure_test.go
@@ -117,9 +117,9 @@
 	is.Equal(p.state.tables.Offset(), int64(1))
 }
 
-// A process is paused for minutes, its VM ID gets a new process, and the old one resumes. Its
-// reports are outdated. Peers that accepted them would treat a live VM as leaving or the
-// reverse, or take its load for that of the new process.
+// A process is paused for minutes, its VM ID gets a new process, and the old one resumes. The
+// old process's reports are outdated. Peers that accepted them would treat a live VM as
+// leaving or the reverse, or take the old process's load for that of the new one.
 func TestTwoProcessesOneVM(t *testing.T) {
 	is := is.New(t)
 	c := newSettledCluster(t, 12, 3)
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -51,8 +51,8 @@
 // for concurrent use.
 type State struct {
 	now clock.Millis
-	// startedAt is the start of this process, by the first Tick or EngineSeen; hasStart is true once
-	// it is set.
+	// startedAt is the start of this process, by the first Tick or EngineReported; hasStart is true
+	// once it is set.
 	startedAt clock.Millis
 	hasStart  bool
 	engine    *event.EngineReported
--- a/limit/admission.go
+++ b/limit/admission.go
@@ -40,9 +40,9 @@
 	return &Admission{window: window{size: initialWindow}, fair: newFairQueue()}
 }
 
-// Arrive admits a request. A request that could not start before its deadline or within maxWait
-// is refused at once, with the delay after which to retry. Dropped lists waiting requests that
-// were evicted to make room, which must be refused as well.
+// Arrive decides whether a request starts, waits or is refused. A request that could not start
+// before its deadline or within maxWait is refused at once, with the delay after which to retry.
+// Dropped lists waiting requests that were evicted to make room, which must be refused as well.
 func (a *Admission) Arrive(now clock.Millis, it Item) (v Verdict, retry clock.Millis, dropped []Item) {
 	if a.fair.size == 0 && a.window.hasRoom() {
 		a.takeSlot(now)
--- a/limit/admission_test.go
+++ b/limit/admission_test.go
@@ -235,7 +235,7 @@
 
 // An entry has just started in front of a cold pool that runs four requests at a time, 100 ms
 // each, and twenty arrive at once. After the first completion the others must wait their half
-// second. When idle time counted towards the completion rate, they were refused with a retry
+// second. If idle time counted towards the completion rate, they would be refused with a retry
 // delay of 18 s.
 func TestFirstCompletionsDoNotLookLikeSlowPool(t *testing.T) {
 	is := is.New(t)
