--- a/entry/entry.go
+++ b/entry/entry.go
@@ -116,8 +116,8 @@
 	return v, nil
 }
 
-// checkStaleness refuses a request if its route must not run on tables that have been unconfirmed
-// for too long.
+// checkStaleness refuses a request if its route or service must not run on tables that have been
+// unconfirmed for too long. After is that time in milliseconds; 0 means no limit.
 func (e *Entry) checkStaleness(v *view.View, rule table.StaleRule, after int64) error {
 	staleness := int64(e.node.Clock().Since(v.ConfirmedAt()))
 	if rule == table.RefuseWhenStale && after > 0 && staleness > after {
--- a/entry/request.go
+++ b/entry/request.go
@@ -55,7 +55,8 @@
 	// bodySpent is true once a body that cannot be read again has been read.
 	bodySpent bool
 
-	// The fields from routeName to prefix are only used for chat completions.
+	// The fields from routeName to prefix are only used for chat completions, except that body also
+	// holds the body of a service's call if it fits into one frame.
 	routeName string
 	route     table.Route
 	chat      *chat.Request
