--- a/rollout/judge.go
+++ b/rollout/judge.go
@@ -75,10 +75,10 @@
 
 // samplesOf splits stats by signal. Errors are compared with started answers instead of ended ones:
 // errors end sooner, so that the first seconds of a good version would show only its errors.
-func samplesOf(t evidence.Stats) (out [signalCount]Sample) {
-	out[signalErrors] = Sample{N: float64(t.Started + t.Errors), Bad: float64(t.Errors)}
-	out[signalSlow] = Sample{N: float64(t.Good), Bad: float64(t.Slow)}
-	out[signalRatings] = Sample{N: float64(t.Ratings), Bad: float64(t.Ratings) - t.RatingSum}
+func samplesOf(stats evidence.Stats) (out [signalCount]Sample) {
+	out[signalErrors] = Sample{N: float64(stats.Started + stats.Errors), Bad: float64(stats.Errors)}
+	out[signalSlow] = Sample{N: float64(stats.Good), Bad: float64(stats.Slow)}
+	out[signalRatings] = Sample{N: float64(stats.Ratings), Bad: float64(stats.Ratings) - stats.RatingSum}
 	return out
 }
 
@@ -153,8 +153,8 @@
 	return ""
 }
 
-// minOtherOutcomes is how many outcomes of other organisations must be within the limit before a
-// version is held for one organisation only.
+// minOtherOutcomes is how many outcomes the other organisations must have, with a bad rate within
+// the limit, before a version is held for one organisation only.
 const minOtherOutcomes = 30
 
 // hold makes a hold pending. The last version that can serve a route is not held, since that would
@@ -169,7 +169,7 @@
 			clear(s.alerted)
 		}
 		s.alerted[scope] = h.GetReleased()
-		return []event.Effect{holdReport("Version is bad but the last one of a route", h)}, false
+		return []event.Effect{holdLogLine("Version is bad but the last one of a route", h)}, false
 	}
 	if len(s.pending) >= maxHolds {
 		return nil, false
--- a/rollout/state.go
+++ b/rollout/state.go
@@ -21,7 +21,8 @@
 	maxHolds = 4096
 	// takeoverDelay is how much later each next judge appends a hold that is not yet on the log.
 	takeoverDelay = 2 * clock.Second
-	// retryInterval is the delay before the same judge appends again.
+	// retryInterval is the delay before the first judge appends again. Each next judge waits this
+	// much longer.
 	retryInterval = 2 * clock.Second
 	// renewInterval is the age at which a hold is appended to the log again, well within any
 	// retention period.
@@ -163,7 +164,7 @@
 		isNew := s.addLogged(h, env)
 		changed = changed || isNew
 		if isNew {
-			effects = append(effects, holdReport("Version held", h))
+			effects = append(effects, holdLogLine("Version held", h))
 		}
 	}
 	return effects, changed
--- a/rollout/state_test.go
+++ b/rollout/state_test.go
@@ -127,7 +127,7 @@
 	is.True(!s.Holds(tables(0)).Held("m@2", "good"))
 }
 
-// Engines of both versions fail together, for example because of a network switch. Holding
+// Engines of both versions fail together, for example because a network switch failed. Holding
 // whichever version happens to be new would stop a good roll-out.
 func TestCommonCauseHoldsNothing(t *testing.T) {
 	is := is.New(t)
@@ -171,7 +171,8 @@
 }
 
 // A rating counts as bad by its difference from 1. The configured quality is 0.9: a mean rating of
-// 0.85 is tolerated, but when it falls the version must be held although no request fails.
+// 0.85 is tolerated, but when ratings fall to 0.6 the version must be held although no request
+// fails.
 func TestPoorRatingsHoldVersion(t *testing.T) {
 	is := is.New(t)
 	s := NewState()
--- a/rollout/test.go
+++ b/rollout/test.go
@@ -80,11 +80,12 @@
 }
 
 // Crossed reports whether the version is to be held: the statistic has reached the threshold, and
-// over the same time the version did worse than the control, which had enough requests to show a
-// difference. The second condition prevents a common cause, such as an overload or a faulty rater,
-// from holding whichever version is new. Compared reports whether versions to compare with are in
-// use at all. A relative test requires them, since lateness, for example, may equally be caused by
-// load.
+// over the same time the version did worse than the control. The second condition prevents a common
+// cause, such as an overload or a faulty rater, from holding whichever version is new. While the
+// control has too few requests to show a difference, the statistic must reach unconfirmedFactor
+// times the threshold instead. Compared reports whether versions to compare with are in use at all;
+// if not, the threshold alone decides. A relative test requires them, since slowness, for example,
+// may equally be caused by load.
 func (t *Test) Crossed(control Sample, compared, relative bool) bool {
 	if t.statistic() < threshold {
 		return false
--- a/rollout/tick.go
+++ b/rollout/tick.go
@@ -71,12 +71,12 @@
 func appendEffect(scope Scope, h *wire.Hold) event.Effect {
 	data, err := Encode(h)
 	if err != nil {
-		return event.WriteLog{Message: "Hold not encoded", Fields: []any{"reason", err}}
+		return event.WriteLog{Message: "Could not encode hold", Fields: []any{"reason", err}}
 	}
 	return event.Append{Stream: provider.HoldStream, ID: scope.ID(h.GetReleased()), Data: data}
 }
 
-func holdReport(message string, h *wire.Hold) event.WriteLog {
+func holdLogLine(message string, h *wire.Hold) event.WriteLog {
 	return event.WriteLog{Message: message, Fields: []any{
 		"version", h.GetVersion(), "organisation", h.GetOrganisation(), "released", h.GetReleased(),
 		"signal", h.GetSignal(), "route", h.GetRoute(), "seen", h.GetSeen(), "bad", h.GetBad(), "limit", h.GetLimit(), "judge", h.GetJudge(),
