--- a/evidence/state.go
+++ b/evidence/state.go
@@ -98,11 +98,11 @@
 	case event.AnswerStarted:
 		return s.record(Key{e.Route, e.Version, e.Organisation}, Stats{Started: 1}), false
 	case event.AttemptEnded:
-		return s.record(Key{e.Route, e.Version, e.Organisation}, observed(e)), false
+		return s.record(Key{e.Route, e.Version, e.Organisation}, attemptStats(e)), false
 	case event.Rated:
 		return s.record(Key{e.Route, e.Version, e.Organisation}, Stats{Ratings: 1, RatingSum: e.Score}), false
 	case event.CascadeRated:
-		return s.record(Key{e.Route, e.Version, e.Organisation}, judged(e)), false
+		return s.record(Key{e.Route, e.Version, e.Organisation}, cascadeStats(e)), false
 	case event.DigestReceived:
 		for _, c := range e.Digest.GetCounts() {
 			if d, ok := s.Merge(c); ok {
@@ -113,35 +113,35 @@
 	return deltas, false
 }
 
-func observed(e event.AttemptEnded) Stats {
+func attemptStats(e event.AttemptEnded) Stats {
 	if e.Failed {
 		return Stats{Errors: 1}
 	}
-	t := Stats{Good: 1}
+	stats := Stats{Good: 1}
 	if e.Slow {
-		t.Slow = 1
+		stats.Slow = 1
 	}
-	return t
+	return stats
 }
 
-func judged(e event.CascadeRated) Stats {
-	t := Stats{Judged: 1, Ratings: 1, RatingSum: e.Score}
+func cascadeStats(e event.CascadeRated) Stats {
+	stats := Stats{Judged: 1, Ratings: 1, RatingSum: e.Score}
 	if e.Passed {
-		t.Passed = 1
-		t.PassedSum = e.Score
+		stats.Passed = 1
+		stats.PassedSum = e.Score
 	}
-	return t
+	return stats
 }
 
-func (s *State) record(k Key, t Stats) []Delta {
-	if !t.valid() || k.Version == "" {
+func (s *State) record(k Key, stats Stats) []Delta {
+	if !stats.valid() || k.Version == "" {
 		return nil
 	}
 	if _, known := s.local[k]; !known && len(s.local) >= maxLocalKeys {
 		s.evictLocal()
 	}
-	s.local[k] = localStats{stats: s.local[k].stats.Plus(t), changedAt: s.now}
-	return []Delta{{Key: k, Stats: t}}
+	s.local[k] = localStats{stats: s.local[k].stats.Plus(stats), changedAt: s.now}
+	return []Delta{{Key: k, Stats: stats}}
 }
 
 func (s *State) evictLocal() {
@@ -152,9 +152,9 @@
 // Merge applies a count from another process. Ok is false when it adds nothing: it is a repeat, is
 // outdated, is this process's own count echoed by a peer, or is invalid.
 func (s *State) Merge(c *wire.Count) (d Delta, ok bool) {
-	k, t := fromWire(c)
+	k, stats := fromWire(c)
 	src := source{vm: c.GetVm(), epoch: c.GetEpoch()}
-	if src == s.self || s.evicted[src] || !t.valid() || k.Version == "" {
+	if src == s.self || s.evicted[src] || !stats.valid() || k.Version == "" {
 		return d, false
 	}
 	peer := s.peers[src]
@@ -163,7 +163,7 @@
 		s.peers[src] = peer
 	}
 	old, known := peer.stats[k]
-	d = Delta{Key: k, Stats: t.since(old)}
+	d = Delta{Key: k, Stats: stats.since(old)}
 	if d.Stats == (Stats{}) {
 		return d, false
 	}
@@ -258,8 +258,8 @@
 		sums[k] = sums[k].Plus(c.stats)
 	}
 	for _, p := range s.peers {
-		for k, t := range p.stats {
-			sums[k] = sums[k].Plus(t)
+		for k, stats := range p.stats {
+			sums[k] = sums[k].Plus(stats)
 		}
 	}
 	return sums
--- a/evidence/stats.go
+++ b/evidence/stats.go
@@ -36,43 +36,43 @@
 }
 
 // Plus returns the sum of both.
-func (t Stats) Plus(o Stats) Stats {
-	t.Started += o.Started
-	t.Good += o.Good
-	t.Errors += o.Errors
-	t.Slow += o.Slow
-	t.Ratings += o.Ratings
-	t.RatingSum += o.RatingSum
-	t.Judged += o.Judged
-	t.Passed += o.Passed
-	t.PassedSum += o.PassedSum
-	return t
+func (s Stats) Plus(o Stats) Stats {
+	s.Started += o.Started
+	s.Good += o.Good
+	s.Errors += o.Errors
+	s.Slow += o.Slow
+	s.Ratings += o.Ratings
+	s.RatingSum += o.RatingSum
+	s.Judged += o.Judged
+	s.Passed += o.Passed
+	s.PassedSum += o.PassedSum
+	return s
 }
 
-// since returns what t counts beyond older stats of the same process; fields in which the older
+// since returns what s counts beyond older stats of the same process; fields in which the older
 // ones are ahead are 0.
-func (t Stats) since(o Stats) Stats {
+func (s Stats) since(o Stats) Stats {
 	return Stats{
-		Started:   max(t.Started-o.Started, 0),
-		Good:      max(t.Good-o.Good, 0),
-		Errors:    max(t.Errors-o.Errors, 0),
-		Slow:      max(t.Slow-o.Slow, 0),
-		Ratings:   max(t.Ratings-o.Ratings, 0),
-		RatingSum: max(t.RatingSum-o.RatingSum, 0),
-		Judged:    max(t.Judged-o.Judged, 0),
-		Passed:    max(t.Passed-o.Passed, 0),
-		PassedSum: max(t.PassedSum-o.PassedSum, 0),
+		Started:   max(s.Started-o.Started, 0),
+		Good:      max(s.Good-o.Good, 0),
+		Errors:    max(s.Errors-o.Errors, 0),
+		Slow:      max(s.Slow-o.Slow, 0),
+		Ratings:   max(s.Ratings-o.Ratings, 0),
+		RatingSum: max(s.RatingSum-o.RatingSum, 0),
+		Judged:    max(s.Judged-o.Judged, 0),
+		Passed:    max(s.Passed-o.Passed, 0),
+		PassedSum: max(s.PassedSum-o.PassedSum, 0),
 	}
 }
 
 // valid reports whether stats from a peer are possible.
-func (t Stats) valid() bool {
-	for _, n := range []int64{t.Started, t.Good, t.Errors, t.Slow, t.Ratings, t.Judged, t.Passed} {
+func (s Stats) valid() bool {
+	for _, n := range []int64{s.Started, s.Good, s.Errors, s.Slow, s.Ratings, s.Judged, s.Passed} {
 		if n < 0 {
 			return false
 		}
 	}
-	return validSum(t.RatingSum, t.Ratings) && validSum(t.PassedSum, t.Passed)
+	return validSum(s.RatingSum, s.Ratings) && validSum(s.PassedSum, s.Passed)
 }
 
 // validSum reports whether sum can be the sum of n scores between 0 and 1.
@@ -80,21 +80,21 @@
 	return !math.IsNaN(sum) && sum >= 0 && sum <= float64(n)
 }
 
-func fromWire(c *wire.Count) (k Key, t Stats) {
+func fromWire(c *wire.Count) (k Key, stats Stats) {
 	k = Key{Route: c.GetRoute(), Version: c.GetVersion(), Organisation: c.GetOrganisation()}
-	t = Stats{
+	stats = Stats{
 		Started: c.GetStarted(), Good: c.GetGood(), Errors: c.GetErrors(), Slow: c.GetSlow(),
 		Ratings: c.GetRatings(), RatingSum: c.GetRatingSum(),
 		Judged: c.GetJudged(), Passed: c.GetPassed(), PassedSum: c.GetPassedSum(),
 	}
-	return k, t
+	return k, stats
 }
 
-func toWire(vm string, epoch uint64, k Key, t Stats) *wire.Count {
+func toWire(vm string, epoch uint64, k Key, stats Stats) *wire.Count {
 	return &wire.Count{
 		Vm: vm, Epoch: epoch, Route: k.Route, Version: k.Version, Organisation: k.Organisation,
-		Started: t.Started, Good: t.Good, Errors: t.Errors, Slow: t.Slow,
-		Ratings: t.Ratings, RatingSum: t.RatingSum,
-		Judged: t.Judged, Passed: t.Passed, PassedSum: t.PassedSum,
+		Started: stats.Started, Good: stats.Good, Errors: stats.Errors, Slow: stats.Slow,
+		Ratings: stats.Ratings, RatingSum: stats.RatingSum,
+		Judged: stats.Judged, Passed: stats.Passed, PassedSum: stats.PassedSum,
 	}
 }
