--- a/quality/estimate.go
+++ b/quality/estimate.go
@@ -69,16 +69,16 @@
 	}
 }
 
-func (s *State) add(k Key, t evidence.Stats) {
+func (s *State) add(k Key, stats evidence.Stats) {
 	old, known := s.own[k]
-	if t.Ratings == 0 && t.Judged == 0 || !known && len(s.own) >= maxEstimates {
+	if stats.Ratings == 0 && stats.Judged == 0 || !known && len(s.own) >= maxEstimates {
 		return
 	}
-	old.Ratings += t.Ratings
-	old.RatingSum += t.RatingSum
-	old.Judged += t.Judged
-	old.Passed += t.Passed
-	old.PassedSum += t.PassedSum
+	old.Ratings += stats.Ratings
+	old.RatingSum += stats.RatingSum
+	old.Judged += stats.Judged
+	old.Passed += stats.Passed
+	old.PassedSum += stats.PassedSum
 	s.own[k] = old
 	s.snapshot = nil
 }
