--- a/choice/endpoint.go
+++ b/choice/endpoint.go
@@ -47,10 +47,11 @@
 }
 
 // SelectEndpoint selects the endpoint of a request; ok is false if there is none. It draws two
-// endpoints at random by the seed and takes the less loaded one. The endpoint that ran the session,
-// or else the one that ran the prefix last, is preferred to it unless it is full or its load is
-// higher by more than affinitySlack. It compares two endpoints rather than all because loads are
-// known with a delay: otherwise all entries would send to the same least loaded endpoint at once.
+// endpoints at random by the seed and takes the less loaded one. If that one is full, it takes the
+// least loaded endpoint of all, including those of ramping zones. The endpoint that ran the session,
+// or else the one that ran the prefix last, is preferred unless it is full or its load is higher by
+// more than affinitySlack. Two endpoints are compared rather than all because loads are known with a
+// delay: otherwise all entries would send to the same least loaded endpoint at once.
 func SelectEndpoint(v *view.View, f *Inflight, a *Affinity, q Query) (vm provider.VM, ok bool) {
 	all := candidates(v, q)
 	if len(all) == 0 {
--- a/choice/endpoint_test.go
+++ b/choice/endpoint_test.go
@@ -125,16 +125,16 @@
 		again := Subsets(rapid.Permutation(entries).Draw(t, "order"), rapid.Permutation(pool).Draw(t, "order"))
 		counts := map[string]int{}
 		for _, e := range entries {
-			near := 0
+			sameZone := 0
 			is.Equal(len(out[e.ID]), min(len(pool), subsetSize))
 			for i, vm := range out[e.ID] {
 				counts[vm.ID]++
 				is.True(len(pool) <= subsetSize || again[e.ID][i] == vm)
 				if vm.Zone == e.Zone {
-					near++
+					sameZone++
 				}
 			}
-			is.True(zones == 1 || len(pool) < 40 || near < subsetSize)
+			is.True(zones == 1 || len(pool) < 40 || sameZone < subsetSize)
 		}
 		mean := float64(len(entries)*min(subsetSize, len(pool))) / float64(len(pool))
 		for _, n := range counts {
