--- a/spread/counts.go
+++ b/spread/counts.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	// minReportInterval is how often an entry of a small site reports to a judge.
+	// minReportInterval is the interval at which an entry of a small site reports to a judge.
 	minReportInterval = clock.Second
 	// judgeBytesPerSecond bounds the traffic of a judge with all entries, where bytesPerMessage is the
 	// size of one message and its reply.
--- a/spread/spread.go
+++ b/spread/spread.go
@@ -131,7 +131,7 @@
 		s.digestReceived(e, m)
 		return s.fetch()
 	case event.PeerAhead:
-		s.behind(e, m)
+		s.peerIsAhead(e, m)
 		return s.fetch()
 	case event.RecordsReceived:
 		s.recordsReceived(e)
@@ -185,7 +185,7 @@
 	}
 }
 
-func (s *State) behind(e event.PeerAhead, m *membership.Members) {
+func (s *State) peerIsAhead(e event.PeerAhead, m *membership.Members) {
 	if e.Revision >= s.offset {
 		s.addAhead(e.VM, e.Address, e.Revision+1, m)
 	}
@@ -303,11 +303,11 @@
 	if s.now < s.exchangeAt {
 		return effects
 	}
-	every := exchangeInterval
+	interval := exchangeInterval
 	if !s.started {
-		every = startingExchangeInterval
+		interval = startingExchangeInterval
 	}
-	s.exchangeAt = s.now + every
+	s.exchangeAt = s.now + interval
 	if s.exchanges == 0 {
 		s.exchangeAt += clock.Millis(xxhash.Sum64String(s.self) % uint64(exchangeInterval))
 	}
