--- a/zone/zone_test.go
+++ b/zone/zone_test.go
@@ -33,7 +33,7 @@
 	return f.state.Reduce(now, f.tables, f.members.Members())
 }
 
-func (f *fixture) setPlacement(zone string, p table.AdminState, now clock.Millis) {
+func (f *fixture) setAdminState(zone string, p table.AdminState, now clock.Millis) {
 	f.tables = &table.Tables{Zones: map[string]table.Location{zone: {State: p}}}
 	f.reduceAt(now)
 }
@@ -44,8 +44,8 @@
 	is := is.New(t)
 	f := newFixture()
 	is.Equal(f.state.Ramps().Fraction("b", 0), 1.0) // up when first seen
-	f.setPlacement("b", table.Out, 1000)
-	f.setPlacement("b", table.In, 5000)
+	f.setAdminState("b", table.Out, 1000)
+	f.setAdminState("b", table.In, 5000)
 	is.Equal(f.state.Ramps().Fraction("b", 5000), rampStartFraction)
 	is.True(f.state.Ramps().Fraction("b", 5000+minRampDuration/2) < 0.6)
 	is.Equal(f.state.Ramps().Fraction("b", 5000+minRampDuration), 1.0)
@@ -83,14 +83,14 @@
 	now := clock.Millis(0)
 	last := clock.Millis(0)
 	for range 4 {
-		f.setPlacement("b", table.Out, now+1000)
-		f.setPlacement("b", table.In, now+2000)
+		f.setAdminState("b", table.Out, now+1000)
+		f.setAdminState("b", table.In, now+2000)
 		now += 2000
 		is.True(f.state.zones["b"].rampDuration > last)
 		last = f.state.zones["b"].rampDuration
 	}
 	now += stableDuration + 1
-	f.setPlacement("b", table.Out, now)
-	f.setPlacement("b", table.In, now+1)
+	f.setAdminState("b", table.Out, now)
+	f.setAdminState("b", table.In, now+1)
 	is.Equal(f.state.zones["b"].rampDuration, minRampDuration)
 }
