--- a/table/state_test.go
+++ b/table/state_test.go
@@ -48,7 +48,7 @@
 }
 
 // Guards against NaN and infinity, which TOML allows: comparisons with NaN are false, so a quality of NaN
-// once passed each check and then no version could be chosen.
+// would pass each check and then no version could be chosen.
 func TestNaNAndInfinityAreRejected(t *testing.T) {
 	is := is.New(t)
 	for _, body := range []string{
