--- a/cli/burn.go
+++ b/cli/burn.go
@@ -44,13 +44,13 @@
 	if err != nil {
 		return err
 	}
-	v, err := Burn(ctx, op.VMs, op.Peers)
+	evaluation, err := Burn(ctx, op.VMs, op.Peers)
 	if err != nil {
 		return err
 	}
 	if c.HTML != "" {
 		var page bytes.Buffer
-		if err = v.WriteHTML(&page); err != nil {
+		if err = evaluation.WriteHTML(&page); err != nil {
 			return err
 		}
 		return os.WriteFile(c.HTML, page.Bytes(), 0o644)
@@ -58,15 +58,15 @@
 	if c.JSON {
 		enc := json.NewEncoder(w)
 		enc.SetIndent("", "  ")
-		return enc.Encode(v)
+		return enc.Encode(evaluation)
 	}
-	return v.WriteText(w)
+	return evaluation.WriteText(w)
 }
 
-// Burn queries all entries of a VM list for their burn reports and returns the verdict on the
-// merged report. Entries that do not reply are listed in Verdict.Missing; it is an error if none
+// Burn queries all entries of a VM list for their burn reports and returns the evaluation of the
+// merged report. Entries that do not reply are listed in Evaluation.Missing; it is an error if none
 // replies.
-func Burn(ctx context.Context, list provider.VMList, peers *peer.Pool) (v *burn.Evaluation, err error) {
+func Burn(ctx context.Context, list provider.VMList, peers *peer.Pool) (evaluation *burn.Evaluation, err error) {
 	vms, err := list.List(ctx)
 	if err != nil {
 		return nil, err
@@ -100,9 +100,9 @@
 	if err != nil {
 		return nil, err
 	}
-	v = m.Evaluate()
-	v.Missing = missing
-	return v, nil
+	evaluation = m.Evaluate()
+	evaluation.Missing = missing
+	return evaluation, nil
 }
 
 func queryBurn(ctx context.Context, peers *peer.Pool, vm provider.VM) (r *burn.Report, err error) {
--- a/cli/burn_test.go
+++ b/cli/burn_test.go
@@ -21,15 +21,15 @@
 	}
 	unreachable := provider.VM{ID: "entry-gone", Role: provider.EntryRole, Zone: "zone-a", Address: "127.0.0.1:1"}
 	d.platform.SetVMs(append(d.vms, unreachable))
-	v, err := Burn(t.Context(), provider.NewHTTP(d.base, http.DefaultClient).VMList(), peer.NewPool())
+	evaluation, err := Burn(t.Context(), provider.NewHTTP(d.base, http.DefaultClient).VMList(), peer.NewPool())
 	is.NoErr(err)
-	is.Equal(v.Missing, []string{"entry-gone"})
-	is.Equal(v.Processes, 2)
-	for _, l := range v.Lines {
+	is.Equal(evaluation.Missing, []string{"entry-gone"})
+	is.Equal(evaluation.Processes, 2)
+	for _, l := range evaluation.Lines {
 		if l.Route == "dossier" && (l.Objective == "availability" || l.Objective == "first-token") {
 			is.Equal(l.Events, int64(3))
 			is.Equal(l.BudgetRemaining, 1.0)
 		}
 	}
-	is.Equal(len(v.Latencies), 1)
+	is.Equal(len(evaluation.Latencies), 1)
 }
--- a/cli/decision_test.go
+++ b/cli/decision_test.go
@@ -27,33 +27,33 @@
 // startDemoWithSlowLog is startDemo with a log that delays its replies to endpoints.
 func startDemoWithSlowLog(t *testing.T, logDelay time.Duration, replacements ...string) *local {
 	is := is.New(t)
-	d := newLocal()
-	d.log = log.New(io.Discard)
+	l := newLocal()
+	l.log = log.New(io.Discard)
 	log := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if strings.HasPrefix(r.URL.Path, "/streams/") {
 			time.Sleep(logDelay)
 		}
-		d.platform.Handler().ServeHTTP(w, r)
+		l.platform.Handler().ServeHTTP(w, r)
 	}))
-	d.adjust = func(s *settings.Settings) {
+	l.adjust = func(s *settings.Settings) {
 		if s.Endpoint.Pool != "" {
 			s.Platform = log.URL
 		}
 	}
-	is.NoErr(d.start(context.WithoutCancel(t.Context()), engineParams{firstToken: 20, tokenGap: 5, tokens: 12}))
-	t.Cleanup(func() { d.stop(); log.CloseClientConnections(); log.Close() })
+	is.NoErr(l.start(context.WithoutCancel(t.Context()), engineParams{firstToken: 20, tokenGap: 5, tokens: 12}))
+	t.Cleanup(func() { l.stop(); log.CloseClientConnections(); log.Close() })
 	tables := strings.NewReplacer(replacements...).Replace(string(demoTables))
-	_, err := provider.NewHTTP(d.base, http.DefaultClient).Log().Append(t.Context(), provider.ConfigStream, []byte(tables))
+	_, err := provider.NewHTTP(l.base, http.DefaultClient).Log().Append(t.Context(), provider.ConfigStream, []byte(tables))
 	is.NoErr(err)
-	is.NoErr(d.waitReady(t.Context(), demoKey))
-	return d
+	is.NoErr(l.waitReady(t.Context(), demoKey))
+	return l
 }
 
 // sendChat sends a chat completion to the first entry and returns the response's headers and
 // status. An empty session starts a new one.
-func (d *local) sendChat(ctx context.Context, route, session string) (h http.Header, status int, err error) {
+func (l *local) sendChat(ctx context.Context, route, session string) (h http.Header, status int, err error) {
 	body := strings.NewReader(`{"model":"` + route + `","messages":[{"role":"user","content":"Is it due?"}]}`)
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+d.callers[0]+"/v1/chat/completions", body)
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+l.callers[0]+"/v1/chat/completions", body)
 	if err != nil {
 		return nil, 0, err
 	}
@@ -75,16 +75,16 @@
 // refuse it.
 func TestDemoWaitsForEndpoints(t *testing.T) {
 	is := is.New(t)
-	d := startDemoWithSlowLog(t, 400*time.Millisecond)
-	_, status, err := d.sendChat(t.Context(), "dossier", "")
+	l := startDemoWithSlowLog(t, 400*time.Millisecond)
+	_, status, err := l.sendChat(t.Context(), "dossier", "")
 	is.NoErr(err)
 	is.Equal(status, http.StatusOK)
 }
 
-func waitForBill(t *testing.T, d *local, request string) (b *wire.Bill) {
+func waitForBill(t *testing.T, l *local, request string) (b *wire.Bill) {
 	const timeout = 30 * time.Second
 	for deadline := time.Now().Add(timeout); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
-		for _, data := range d.platform.Records(provider.BillStream) {
+		for _, data := range l.platform.Records(provider.BillStream) {
 			bills, err := bill.Decode(data)
 			if err != nil {
 				t.Fatal(err)
@@ -106,19 +106,19 @@
 // one bill for both runs.
 func TestPoorFirstAnswerEscalatesUnderOneBill(t *testing.T) {
 	is := is.New(t)
-	d := startDemo(t, "quality-target = 0.9", cascadeRoute)
-	d.platform.SetQuality("large@1", 1)
-	h, status, err := d.sendChat(t.Context(), "dossier", "")
+	l := startDemo(t, "quality-target = 0.9", cascadeRoute)
+	l.platform.SetQuality("large@1", 1)
+	h, status, err := l.sendChat(t.Context(), "dossier", "")
 	is.NoErr(err)
 	is.Equal(status, http.StatusOK)
 	is.Equal(h.Get("Parsleydeal-Version"), "large@1")
-	steps := waitForBill(t, d, h.Get("Parsleydeal-Request")).GetSteps()
+	steps := waitForBill(t, l, h.Get("Parsleydeal-Request")).GetSteps()
 	is.Equal(len(steps), 2)
 	is.Equal(steps[0].GetVersion()+" "+steps[1].GetVersion(), "small@1 large@1")
-	h, _, err = d.sendChat(t.Context(), "dossier", h.Get("Parsleydeal-Session"))
+	h, _, err = l.sendChat(t.Context(), "dossier", h.Get("Parsleydeal-Session"))
 	is.NoErr(err)
 	is.Equal(h.Get("Parsleydeal-Version"), "large@1") // the session keeps the version
-	is.Equal(len(waitForBill(t, d, h.Get("Parsleydeal-Request")).GetSteps()), 1)
+	is.Equal(len(waitForBill(t, l, h.Get("Parsleydeal-Request")).GetSteps()), 1)
 }
 
 // The cheap version's answer is poor, and the engines of the expensive version refuse every
@@ -126,18 +126,18 @@
 // not report "not-run": the caller would not expect a bill.
 func TestFailedEscalationReportsRan(t *testing.T) {
 	is := is.New(t)
-	d := startDemo(t, "quality-target = 0.9", cascadeRoute)
-	d.platform.SetQuality("small@1", 0)
-	for name, e := range d.engines {
+	l := startDemo(t, "quality-target = 0.9", cascadeRoute)
+	l.platform.SetQuality("small@1", 0)
+	for name, e := range l.engines {
 		if strings.HasSuffix(name, "-1") {
 			e.SetFaults(standin.EngineFaults{Refuse: true})
 		}
 	}
-	h, status, err := d.sendChat(t.Context(), "dossier", "")
+	h, status, err := l.sendChat(t.Context(), "dossier", "")
 	is.NoErr(err)
 	is.True(status != http.StatusOK)
 	is.Equal(h.Get("Parsleydeal-Run"), "ran")
-	b := waitForBill(t, d, h.Get("Parsleydeal-Request"))
+	b := waitForBill(t, l, h.Get("Parsleydeal-Request"))
 	is.Equal(len(b.GetSteps()), 1)
 	is.Equal(b.GetSteps()[0].GetVersion(), "small@1")
 }
@@ -145,13 +145,13 @@
 // The cheap version's answer is good: the caller gets it and pays for nothing else.
 func TestGoodFirstAnswerIsDelivered(t *testing.T) {
 	is := is.New(t)
-	d := startDemo(t, "quality-target = 0.9", cascadeRoute)
-	d.platform.SetQuality("small@1", 1)
-	h, status, err := d.sendChat(t.Context(), "dossier", "")
+	l := startDemo(t, "quality-target = 0.9", cascadeRoute)
+	l.platform.SetQuality("small@1", 1)
+	h, status, err := l.sendChat(t.Context(), "dossier", "")
 	is.NoErr(err)
 	is.Equal(status, http.StatusOK)
 	is.Equal(h.Get("Parsleydeal-Version"), "small@1")
-	is.Equal(len(waitForBill(t, d, h.Get("Parsleydeal-Request")).GetSteps()), 1)
+	is.Equal(len(waitForBill(t, l, h.Get("Parsleydeal-Request")).GetSteps()), 1)
 }
 
 // The streams of a new version break in every engine. Callers get errors until a hold for it is on
@@ -159,37 +159,37 @@
 // the response reports the move.
 func TestFailingVersionIsHeldEverywhere(t *testing.T) {
 	is := is.New(t)
-	d := startDemo(t, `[tables.versions."large@1"]`, `[tables.versions."small@2"]
+	l := startDemo(t, `[tables.versions."large@1"]`, `[tables.versions."small@2"]
 input-cost = 100
 output-cost = 300
 quality = 0.72
 
 [tables.versions."large@1"]`, `versions = ["small@1"]`, `versions = ["small@1", "small@2"]`,
 		`model = "small", shares = { 1 = 1.0 }`, `model = "small", shares = { 1 = 0.5, 2 = 0.5 }`)
-	d.platform.SetQuality("small@1", 1)
-	d.platform.SetQuality("small@2", 1)
+	l.platform.SetQuality("small@1", 1)
+	l.platform.SetQuality("small@2", 1)
 	session := ""
 	for session == "" {
-		h, _, err := d.sendChat(t.Context(), "quick", "")
+		h, _, err := l.sendChat(t.Context(), "quick", "")
 		is.NoErr(err)
 		if h.Get("Parsleydeal-Version") == "small@2" {
 			session = h.Get("Parsleydeal-Session")
 		}
 	}
-	for _, e := range d.engines {
+	for _, e := range l.engines {
 		e.SetFaults(standin.EngineFaults{BreakVersion: "small@2"})
 	}
 	const maxRequests = 400
 	for range maxRequests {
-		_, _, err := d.sendChat(t.Context(), "quick", "")
+		_, _, err := l.sendChat(t.Context(), "quick", "")
 		is.NoErr(err)
-		if len(d.platform.Records(provider.HoldStream)) > 0 {
+		if len(l.platform.Records(provider.HoldStream)) > 0 {
 			break
 		}
 	}
-	is.True(len(d.platform.Records(provider.HoldStream)) > 0)
+	is.True(len(l.platform.Records(provider.HoldStream)) > 0)
 	for range 20 {
-		h, status, err := d.sendChat(t.Context(), "quick", session)
+		h, status, err := l.sendChat(t.Context(), "quick", session)
 		is.NoErr(err)
 		if status == http.StatusOK {
 			is.Equal(h.Get("Parsleydeal-Version"), "small@1")
@@ -205,20 +205,20 @@
 // told at once that nothing ran and when to retry.
 func TestRefusingPoolGetsNoRetryStorm(t *testing.T) {
 	is := is.New(t)
-	d := startDemo(t)
-	for _, e := range d.engines {
+	l := startDemo(t)
+	for _, e := range l.engines {
 		e.SetFaults(standin.EngineFaults{Refuse: true})
 	}
 	const requests, burst = 60, 10
 	for range requests {
-		h, status, err := d.sendChat(t.Context(), "dossier", "")
+		h, status, err := l.sendChat(t.Context(), "dossier", "")
 		is.NoErr(err)
 		is.True(status >= http.StatusInternalServerError || status == http.StatusTooManyRequests)
 		is.Equal(h.Get("Parsleydeal-Run"), "not-run")
 		is.True(h.Get("Retry-After") != "")
 	}
 	attempts := 0
-	for _, e := range d.engines {
+	for _, e := range l.engines {
 		attempts += e.Refused()
 	}
 	is.True(attempts > 0)
--- a/cli/explain.go
+++ b/cli/explain.go
@@ -53,8 +53,8 @@
 	if err = explain.WriteTimeline(out, lines); err != nil {
 		return err
 	}
-	if verdict := explain.Outcome(lines); verdict != "" {
-		_, err = fmt.Fprintln(out, verdict)
+	if outcome := explain.Outcome(lines); outcome != "" {
+		_, err = fmt.Fprintln(out, outcome)
 	}
 	return err
 }
--- a/cli/page_test.go
+++ b/cli/page_test.go
@@ -46,16 +46,16 @@
 }
 
 // compareRows reports an error for each name that is only in rows or only in names.
-func compareRows(t *testing.T, what string, rows map[string][]string, names []string) {
+func compareRows(t *testing.T, kind string, rows map[string][]string, names []string) {
 	t.Helper()
 	for _, n := range names {
 		if _, ok := rows[n]; !ok {
-			t.Errorf("%s %q is not in OPERATORS.md", what, n)
+			t.Errorf("%s %q is not in OPERATORS.md", kind, n)
 		}
 	}
 	for n := range rows {
 		if !slices.Contains(names, n) {
-			t.Errorf("%s %q is only in OPERATORS.md", what, n)
+			t.Errorf("%s %q is only in OPERATORS.md", kind, n)
 		}
 	}
 }
