--- a/burn/burn_test.go
+++ b/burn/burn_test.go
@@ -40,8 +40,8 @@
 	return out
 }
 
-func (v *Evaluation) find(is *is.I, objective string) Line {
-	for _, l := range v.Lines {
+func (e *Evaluation) find(is *is.I, objective string) Line {
+	for _, l := range e.Lines {
 		if l.Objective == objective {
 			return l
 		}
@@ -75,21 +75,21 @@
 		reports = rapid.Permutation(reports).Draw(rt, "order")
 		m, err := Merge(reports)
 		is.NoErr(err)
-		v := m.Evaluate()
-		l := v.find(is, "availability")
+		evaluation := m.Evaluate()
+		l := evaluation.find(is, "availability")
 		is.Equal(l.Events, want)
 		is.Equal(l.Bad, float64(bad))
-		is.Equal(v.Latencies[0].Attempts, int64(3))
+		is.Equal(evaluation.Latencies[0].Attempts, int64(3))
 	})
 }
 
-// A version fails in one zone for 30 minutes. The alert must be raised during the failure and end
-// soon after it, while the budget remains spent.
+// A version fails in one zone for 30 minutes. The page alert must be raised during the failure and
+// end soon after it, while the budget remains spent.
 func TestAlertsBeginAndEnd(t *testing.T) {
 	is := is.New(t)
 	x := newTestRecorder()
-	serve := func(span clock.Millis, unanswered int64) Line {
-		for end := x.now + span; x.now < end; x.now += 10 * clock.Second {
+	serve := func(duration clock.Millis, unanswered int64) Line {
+		for end := x.now + duration; x.now < end; x.now += 10 * clock.Second {
 			x.recorder.Add(Key{Route: "dossier", Version: "a@1", Zone: "z1"}, Counts{Requests: 10})
 			x.recorder.Add(Key{Route: "dossier", Version: "a@2", Zone: "z2"}, Counts{Requests: 10, Unanswered: unanswered})
 		}
@@ -118,13 +118,13 @@
 	x.recorder.RecordLatency("dossier", 350, 20)
 	m, err := Merge([]*Report{x.report(is, "e", 1)})
 	is.NoErr(err)
-	v := m.Evaluate()
-	v.Missing = []string{"entry-2"}
+	evaluation := m.Evaluate()
+	evaluation.Missing = []string{"entry-2"}
 	var b, text bytes.Buffer
-	is.NoErr(v.WriteHTML(&b))
-	is.NoErr(v.WriteText(&text))
+	is.NoErr(evaluation.WriteHTML(&b))
+	is.NoErr(evaluation.WriteText(&text))
 	page := b.String()
-	is.Equal(strings.Count(page, "<svg"), len(v.Lines))
+	is.Equal(strings.Count(page, "<svg"), len(evaluation.Lines))
 	is.True(!strings.Contains(page, "<z1>")) // names are escaped
 	for _, outside := range []string{"<link", "<script", "src=", "@import", "url("} {
 		is.True(!strings.Contains(page, outside))
--- a/burn/counts.go
+++ b/burn/counts.go
@@ -21,12 +21,12 @@
 	// complete answer.
 	Requests   int64 `json:"requests,omitempty"`
 	Unanswered int64 `json:"unanswered,omitempty"`
-	// FirstTokens counts attempts with a first token, LateFirstTokens those that exceeded the
-	// limit.
+	// FirstTokens counts attempts with a first token, LateFirstTokens those whose first token
+	// exceeded the objective's limit.
 	FirstTokens     int64 `json:"firsts,omitempty"`
 	LateFirstTokens int64 `json:"late,omitempty"`
 	// TokenGaps counts attempts with more than one token, SlowGaps those whose mean time between
-	// tokens exceeded the limit.
+	// tokens exceeded the objective's limit.
 	TokenGaps int64 `json:"gaps,omitempty"`
 	SlowGaps  int64 `json:"slow,omitempty"`
 	// Ratings counts ratings, RatingSum is the sum of their scores.
--- a/burn/judge.go
+++ b/burn/judge.go
@@ -12,7 +12,7 @@
 // The alerts, by increasing urgency.
 const (
 	NoAlert Alert = ""
-	// Ticket means that the budget of the three-day window is being spent in full.
+	// Ticket means that the bad events of three days use up the budget of those days.
 	Ticket Alert = "ticket"
 	// Page means that a month's budget would be spent within about two days.
 	Page Alert = "page"
--- a/burn/page.go
+++ b/burn/page.go
@@ -44,14 +44,14 @@
 type cell struct{ Name, Value string }
 
 // WriteHTML writes the evaluation as one HTML page that loads nothing else.
-func (v *Evaluation) WriteHTML(w io.Writer) (err error) {
+func (e *Evaluation) WriteHTML(w io.Writer) (err error) {
 	defer func() {
 		if err != nil {
 			err = ErrMalformed.Wrap(err, "write page")
 		}
 	}()
-	p := page{Evaluation: v, Covered: durationText(v.CoveredMillis)}
-	for _, l := range v.Lines {
+	p := page{Evaluation: e, Covered: durationText(e.CoveredMillis)}
+	for _, l := range e.Lines {
 		c, err := cardOf(l)
 		if err != nil {
 			return err
--- a/burn/text.go
+++ b/burn/text.go
@@ -10,20 +10,20 @@
 )
 
 // WriteText writes the evaluation as text for a terminal.
-func (v *Evaluation) WriteText(w io.Writer) (err error) {
-	fmt.Fprintf(w, "%d processes, counting for up to %s\n", v.Processes, clock.Millis(v.CoveredMillis))
-	if len(v.Missing) > 0 {
-		fmt.Fprintf(w, "NO ANSWER from %s: what they served is not in here\n", strings.Join(v.Missing, ", "))
+func (e *Evaluation) WriteText(w io.Writer) (err error) {
+	fmt.Fprintf(w, "%d processes, counting for up to %s\n", e.Processes, clock.Millis(e.CoveredMillis))
+	if len(e.Missing) > 0 {
+		fmt.Fprintf(w, "NO ANSWER from %s: what they served is not in here\n", strings.Join(e.Missing, ", "))
 	}
 	fmt.Fprintln(w)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "ROUTE\tOBJECTIVE\tTARGET\t5m\t1h\t6h\t3d\tBUDGET LEFT\tALERT\tTOP CAUSES")
-	for _, l := range v.Lines {
+	for _, l := range e.Lines {
 		fmt.Fprintf(t, "%s\t%s\t%.4g\t%s\t%s\t%s\t%s\n", l.Route, l.Objective, l.Target, l.ratesText(), l.budgetText(), l.Alert, l.causesText())
 	}
 	fmt.Fprintln(t)
 	fmt.Fprintln(t, "ROUTE, LAST HOUR\tATTEMPTS\tFIRST p50\tp95\tp99\tGAP p50\tp95")
-	for _, p := range v.Latencies {
+	for _, p := range e.Latencies {
 		fmt.Fprintf(t, "%s\t%d\t%d ms\t%d ms\t%d ms\t%d ms\t%d ms\n", p.Route, p.Attempts, p.FirstP50, p.FirstP95, p.FirstP99, p.GapP50, p.GapP95)
 	}
 	return t.Flush()
