--- a/load/plan.go
+++ b/load/plan.go
@@ -130,26 +130,26 @@
 // Check returns an ErrInvalid that lists every fault of the plan, or nil.
 func (p *Plan) Check() error {
 	var faults []string
-	need := func(ok bool, format string, a ...any) {
+	require := func(ok bool, format string, a ...any) {
 		if !ok {
 			faults = append(faults, fmt.Sprintf(format, a...))
 		}
 	}
-	need(p.Rate > 0 && p.Rate <= maxRate, "rate: is %v, above 0 and at most %d is allowed", p.Rate, maxRate)
-	need(p.Duration > 0 && p.Rate*float64(p.Duration)/float64(clock.Second) <= maxRequests, "duration: is %s, above 0 and at most %d requests in all is allowed", p.Duration, maxRequests)
-	need(p.Arrival == Poisson || p.Arrival == Even || p.Arrival == Bursts, "arrival: is %q, %q, %q or %q is allowed", p.Arrival, Poisson, Even, Bursts)
-	need(p.Burst >= 1, "burst: is %d, at least 1 is allowed", p.Burst)
-	need(p.MaxOpen >= 1 && p.MaxOpen <= maxOpen, "max-open: is %d, 1 to %d is allowed", p.MaxOpen, maxOpen)
-	need(p.Timeout > 0, "timeout: is %s, above 0 is allowed", p.Timeout)
-	need(p.Retries >= 0 && p.Retries <= 10, "retries: is %d, 0 to 10 is allowed", p.Retries)
-	need(p.Words >= 1 && p.Spread >= 0 && p.Spread <= 3, "words and spread: are %v and %v, at least 1 and 0 to 3 are allowed", p.Words, p.Spread)
+	require(p.Rate > 0 && p.Rate <= maxRate, "rate: is %v, above 0 and at most %d is allowed", p.Rate, maxRate)
+	require(p.Duration > 0 && p.Rate*float64(p.Duration)/float64(clock.Second) <= maxRequests, "duration: is %s, above 0 and at most %d requests in all is allowed", p.Duration, maxRequests)
+	require(p.Arrival == Poisson || p.Arrival == Even || p.Arrival == Bursts, "arrival: is %q, %q, %q or %q is allowed", p.Arrival, Poisson, Even, Bursts)
+	require(p.Burst >= 1, "burst: is %d, at least 1 is allowed", p.Burst)
+	require(p.MaxOpen >= 1 && p.MaxOpen <= maxOpen, "max-open: is %d, 1 to %d is allowed", p.MaxOpen, maxOpen)
+	require(p.Timeout > 0, "timeout: is %s, above 0 is allowed", p.Timeout)
+	require(p.Retries >= 0 && p.Retries <= 10, "retries: is %d, 0 to 10 is allowed", p.Retries)
+	require(p.Words >= 1 && p.Spread >= 0 && p.Spread <= 3, "words and spread: are %v and %v, at least 1 and 0 to 3 are allowed", p.Words, p.Spread)
 	for name, fraction := range map[string]float64{"keyed": p.Keyed, "doubled": p.Doubled, "in-session": p.InSession} {
-		need(fraction >= 0 && fraction <= 1, "%s: is %v, 0 to 1 is allowed", name, fraction)
+		require(fraction >= 0 && fraction <= 1, "%s: is %v, 0 to 1 is allowed", name, fraction)
 	}
-	need(len(p.Entries) > 0, "entries: at least one is needed")
-	need(sumWeights(p.Organisations, func(o Organisation) float64 { return o.Weight }) > 0, "organisations: at least one with a weight is needed")
-	need(p.totalWeight() > 0, "routes or services: at least one with a weight is needed")
-	need(p.Direct == "" || p.DirectModel != "", "direct-model: is needed beside direct")
+	require(len(p.Entries) > 0, "entries: at least one is needed")
+	require(sumWeights(p.Organisations, func(o Organisation) float64 { return o.Weight }) > 0, "organisations: at least one with a weight is needed")
+	require(p.totalWeight() > 0, "routes or services: at least one with a weight is needed")
+	require(p.Direct == "" || p.DirectModel != "", "direct-model: is needed beside direct")
 	if len(faults) == 0 {
 		return nil
 	}
