--- a/provider/http_test.go
+++ b/provider/http_test.go
@@ -10,7 +10,7 @@
 )
 
 // Guards against treating a lost reply to an append as a refusal, which would write the record twice: after
-// a refusal the journal appends the record again at once, after an unknown result it reads the log first.
+// a refusal the batcher appends the record again at once, after an unknown result it reads the log first.
 func TestAppendErrorsDistinguishRefusedFromUnknown(t *testing.T) {
 	is := is.New(t)
 	cases := map[string]struct {
