--- a/bench/choice.go
+++ b/bench/choice.go
@@ -37,7 +37,7 @@
 type choicePolicy int
 
 const (
-	oursPolicy choicePolicy = iota
+	productionPolicy choicePolicy = iota
 	randomPolicy
 	roundRobinPolicy
 	leastReportedPolicy
@@ -47,7 +47,7 @@
 	return [...]string{"ours", "random", "round-robin", "least-reported"}[p]
 }
 
-func (p choicePolicy) usesReports() bool { return p == oursPolicy || p == leastReportedPolicy }
+func (p choicePolicy) usesReports() bool { return p == productionPolicy || p == leastReportedPolicy }
 
 // replica is one engine with its batch and its prefix cache.
 type replica struct {
@@ -295,8 +295,8 @@
 	}{{3, 20, 20 * clock.Second}, {30, 100, 10 * clock.Second}, {380, 1000, 5 * clock.Second}}
 	for _, size := range sizes {
 		for _, loadDelay := range []clock.Millis{100, 1000, 5000} {
-			for p := oursPolicy; p <= leastReportedPolicy; p++ {
-				if !p.usesReports() && loadDelay != 1000 || size.entries == 380 && (loadDelay == 100 || loadDelay == 5000 && p != oursPolicy || p == roundRobinPolicy) {
+			for p := productionPolicy; p <= leastReportedPolicy; p++ {
+				if !p.usesReports() && loadDelay != 1000 || size.entries == 380 && (loadDelay == 100 || loadDelay == 5000 && p != productionPolicy || p == roundRobinPolicy) {
 					continue
 				}
 				r := newChoiceRun(p, size.entries, size.replicas, loadDelay)
--- a/bench/figure.go
+++ b/bench/figure.go
@@ -48,8 +48,8 @@
 	return base, err
 }
 
-func writeBaselines(path string, base map[string]Baseline, figures []Figure, only string) (err error) {
-	dropUnmeasured(base, figures, only)
+func writeBaselines(path string, base map[string]Baseline, figures []Figure, prefix string) (err error) {
+	dropUnmeasured(base, figures, prefix)
 	for _, f := range figures {
 		b := base[f.Name]
 		b.Value, err = strconv.ParseFloat(format(f.Value), 64)
@@ -73,15 +73,15 @@
 	return os.WriteFile(path, []byte(out.String()), 0o644)
 }
 
-// dropUnmeasured deletes the baselines of figures that are no longer measured. The prefix only
-// limits it to some benchmarks.
-func dropUnmeasured(base map[string]Baseline, figures []Figure, only string) {
+// dropUnmeasured deletes the baselines of figures that are no longer measured, among those whose
+// names start with prefix.
+func dropUnmeasured(base map[string]Baseline, figures []Figure, prefix string) {
 	measured := make(map[string]bool)
 	for _, f := range figures {
 		measured[f.Name] = true
 	}
 	for name := range base {
-		if strings.HasPrefix(name, only) && !measured[name] {
+		if strings.HasPrefix(name, prefix) && !measured[name] {
 			delete(base, name)
 		}
 	}
@@ -97,8 +97,8 @@
 }
 
 // compare reports every figure that is outside its bounds, is not a number, has no baseline or is no
-// longer measured. The prefix only limits the baselines that must be measured.
-func compare(base map[string]Baseline, figures []Figure, only string) (failures []string) {
+// longer measured. Only baselines whose names start with prefix must be measured.
+func compare(base map[string]Baseline, figures []Figure, prefix string) (failures []string) {
 	measured := make(map[string]bool)
 	for _, f := range figures {
 		measured[f.Name] = true
@@ -113,7 +113,7 @@
 		}
 	}
 	for _, name := range sortedNames(base) {
-		if strings.HasPrefix(name, only) && !measured[name] {
+		if strings.HasPrefix(name, prefix) && !measured[name] {
 			failures = append(failures, name+": is no longer measured")
 		}
 	}
--- a/bench/quality.go
+++ b/bench/quality.go
@@ -209,8 +209,8 @@
 			prefix := "quality/" + name + "/" + c.name + "/"
 			out = append(out, Figure{prefix + "cost", cost}, Figure{prefix + "quality", meanQuality}, Figure{prefix + "quality-short", max(c.target-meanQuality, 0)})
 		}
-		ours := newQualityRun(c)
-		measure("ours", ours, ours.entryPlan)
+		production := newQualityRun(c)
+		measure("ours", production, production.entryPlan)
 		measure("always-dear", newQualityRun(c), fixedPlan(quality.Plan{First: "large@1"}))
 		measure("always-cheap", newQualityRun(c), fixedPlan(quality.Plan{First: "small@1"}))
 		measure("fixed-cascade", newQualityRun(c), fixedPlan(quality.Plan{First: "small@1", Second: "large@1"}))
--- a/bench/rollout.go
+++ b/bench/rollout.go
@@ -395,9 +395,9 @@
 	return []Figure{{prefix + "false-holds", float64(len(r.log))}, {prefix + "false-holds-per-node-threshold", float64(baseline)}}
 }
 
-func wireCount(vm string, t evidence.Stats) *wire.Count {
+func wireCount(vm string, stats evidence.Stats) *wire.Count {
 	return &wire.Count{
 		Vm: vm, Epoch: 1, Route: "dossier", Version: newVersion, Organisation: "org-0",
-		Started: t.Started, Errors: t.Errors, Ratings: t.Ratings, RatingSum: t.RatingSum,
+		Started: stats.Started, Errors: stats.Errors, Ratings: stats.Ratings, RatingSum: stats.RatingSum,
 	}
 }
