--- a/system/cluster_test.go
+++ b/system/cluster_test.go
@@ -27,8 +27,8 @@
 	"github.com/parsleydeal/parsleydeal/table"
 )
 
-// waitTimeout limits the wait for a condition that a healthy system reaches within
-// a second or two. It is long so that a busy machine gives the same result.
+// waitTimeout limits the wait for a condition that a healthy system reaches much
+// sooner. It is long so that a busy machine gives the same result.
 const waitTimeout = 60 * time.Second
 
 const callerKey = "system-key"
@@ -311,14 +311,14 @@
 	}
 }
 
-func (c *cluster) eventually(what string, ok func() bool) {
+func (c *cluster) eventually(condition string, ok func() bool) {
 	c.t.Helper()
 	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		if ok() {
 			return
 		}
 	}
-	c.t.Fatalf("%s: not reached", what)
+	c.t.Fatalf("%s: not reached", condition)
 }
 
 // call sends one request to an entry. If the connection fails, status is 0 and text
--- a/system/durability_test.go
+++ b/system/durability_test.go
@@ -106,10 +106,10 @@
 	c.eventually("a checkpoint", func() bool { return len(c.platform.Records(provider.ConfigStream)) > 0 })
 	c.addEntry(len(c.entries), s)
 	c.setVMList()
-	late := c.entries[len(c.entries)-1]
-	c.start(late)
-	c.waitModels(late)
-	is.True(c.streamChat(late, nil).complete)
+	added := c.entries[len(c.entries)-1]
+	c.start(added)
+	c.waitModels(added)
+	is.True(c.streamChat(added, nil).complete)
 }
 
 // Kills an entry while the service handles keyed fees posted through it. The caller
--- a/system/outage_test.go
+++ b/system/outage_test.go
@@ -20,9 +20,9 @@
 	c := newCluster(t, s)
 	is.True(c.streamChat(c.entries[0], nil).complete)
 	c.platform.SetFaults(standin.Faults{Down: true})
-	const during = 20
+	const requestCount = 20
 	requests := map[string]bool{}
-	for i := range during {
+	for i := range requestCount {
 		r := c.streamChat(c.entries[i%2], nil)
 		is.Equal(r.status, http.StatusOK)
 		is.True(r.complete)
--- a/system/relay_test.go
+++ b/system/relay_test.go
@@ -72,10 +72,10 @@
 	for {
 		n, err := from.Read(buf)
 		r.mu.Lock()
-		healed := r.unblocked
+		unblocked := r.unblocked
 		r.mu.Unlock()
 		select {
-		case <-healed:
+		case <-unblocked:
 		case <-r.done:
 			return
 		}
