--- a/soak/proxy_test.go
+++ b/soak/proxy_test.go
@@ -118,11 +118,11 @@
 // slowDelay is the delay of each read in mode slow.
 const slowDelay = 150 * time.Millisecond
 
-func (p *proxy) copy(to, from net.Conn, back bool) {
+func (p *proxy) copy(to, from net.Conn, toOpener bool) {
 	buf := make([]byte, 16<<10)
 	for {
 		n, err := from.Read(buf)
-		for m := p.currentMode(); n > 0 && (m == silent || m == oneWay && back); m = p.currentMode() {
+		for m := p.currentMode(); n > 0 && (m == silent || m == oneWay && toOpener); m = p.currentMode() {
 			time.Sleep(5 * time.Millisecond)
 		}
 		if n > 0 && p.currentMode() == slow {
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -99,9 +99,9 @@
 	startedAt time.Time
 }
 
-// hangMargin is how long a seed may take after the last fault was started: it covers
-// the end of that fault, two planned stops in a row, the recovery and the shutdown of
-// the stand-ins.
+// hangMargin is how long a seed may take in addition to the time in which faults are
+// injected: it covers the end of the last fault, two planned stops in a row, the
+// recovery and the shutdown of the stand-ins.
 const hangMargin = 60 * time.Second
 
 func runSeed(t *testing.T, seed uint64, program string) {
