--- a/logbook/logbook_test.go
+++ b/logbook/logbook_test.go
@@ -26,16 +26,16 @@
 func TestStuckOutputDoesNotBlockWrite(t *testing.T) {
 	is := is.New(t)
 	out := stuckWriter{make(chan struct{})}
-	b := New(clock.System(), out)
+	w := New(clock.System(), out)
 	ctx, cancel := context.WithCancel(context.Background())
-	go b.Run(ctx)
+	go w.Run(ctx)
 	startedAt := time.Now()
 	for range 10 * queueLength {
-		_, err := b.Write([]byte("line\n"))
+		_, err := w.Write([]byte("line\n"))
 		is.NoErr(err)
 	}
 	is.True(time.Since(startedAt) < time.Second)
-	is.True(b.Lost() >= 8*queueLength)
+	is.True(w.Lost() >= 8*queueLength)
 	cancel()
 	close(out.unblock)
 }
@@ -66,17 +66,17 @@
 	now := clock.Millis(0)
 	c := clock.New(func() clock.Millis { mu.Lock(); defer mu.Unlock(); return now })
 	out := &lockedBuffer{}
-	b := New(c, out)
+	w := New(c, out)
 	for range 2 {
 		for i := range burst {
-			b.write([]byte(fmt.Sprintf("line %d\n", i)))
+			w.write([]byte(fmt.Sprintf("line %d\n", i)))
 		}
 	}
-	is.Equal(b.Lost(), int64(burst))
+	is.Equal(w.Lost(), int64(burst))
 	is.Equal(strings.Count(out.String(), "\n"), burst)
 	mu.Lock()
 	now += clock.Second
 	mu.Unlock()
-	b.write([]byte("later\n"))
+	w.write([]byte("later\n"))
 	is.True(strings.HasSuffix(out.String(), fmt.Sprintf("Log lines were left out lost=%d in-all=%d\nlater\n", burst, burst)))
 }
