--- a/bench/billing.go
+++ b/bench/billing.go
@@ -63,7 +63,7 @@
 		n.batcher = batch.NewBatcher(m.ID, n.assignment.AppendRate())
 		r.nodes = append(r.nodes, n)
 		r.byID[m.ID] = n
-		r.updateLedger(n, bill.MembersChanged{Place: n.assignment})
+		r.updateLedger(n, bill.MembersChanged{Assignment: n.assignment})
 	}
 	return r
 }
--- a/bill/event.go
+++ b/bill/event.go
@@ -45,8 +45,8 @@
 
 // MembersChanged replaces the list of members.
 type MembersChanged struct {
-	Now   clock.Millis
-	Place *batch.Assignment
+	Now        clock.Millis
+	Assignment *batch.Assignment
 }
 
 // Tick reports the current time.
--- a/bill/fuzz_test.go
+++ b/bill/fuzz_test.go
@@ -58,7 +58,7 @@
 		}
 		const bound = 3
 		l := NewLedger("zone-a", bound)
-		l.Reduce(MembersChanged{Place: newPlace("vm-b zone-b\nvm-c zone-c")})
+		l.Reduce(MembersChanged{Assignment: newPlace("vm-b zone-b\nvm-c zone-c")})
 		for now := range 3 {
 			l.Reduce(HoldRequested{Zone: in.GetZone(), Keeper: in.GetFrom(), Bills: in.GetBills()})
 			for _, b := range in.GetBills() {
--- a/bill/ledger.go
+++ b/bill/ledger.go
@@ -148,7 +148,7 @@
 	case Released:
 		return l.released(e)
 	case MembersChanged:
-		l.place = e.Place
+		l.place = e.Assignment
 		return l.check(e.Now)
 	case Tick:
 		return l.check(e.Now)
--- a/bill/ledger_test.go
+++ b/bill/ledger_test.go
@@ -37,7 +37,7 @@
 	b := &wire.Bill{Request: request, Steps: []*wire.Step{{Attempt: 1, Cost: 5, Whole: true}}}
 	switch d.Cmd {
 	case "place":
-		return MembersChanged{Now: now, Place: newPlace(d.Input)}
+		return MembersChanged{Now: now, Assignment: newPlace(d.Input)}
 	case "finish":
 		return Finish{Now: now, Bill: b, Reserved: true}
 	case "orphan":
@@ -91,7 +91,7 @@
 // does not include the bill's entry in the journal.
 func BenchmarkWaitingBill(b *testing.B) {
 	l := NewLedger("zone-a", b.N)
-	l.Reduce(MembersChanged{Place: newPlace("vm-b zone-b")})
+	l.Reduce(MembersChanged{Assignment: newPlace("vm-b zone-b")})
 	b.ReportAllocs()
 	for i := range b.N {
 		if err := l.Reserve(); err != nil {
--- a/entry/key_test.go
+++ b/entry/key_test.go
@@ -16,7 +16,7 @@
 // A caller's entry fails, and its retry reaches an entry whose subset of a large pool holds other
 // endpoints. If the retry went to one of those, the request would run a second time in parallel.
 // Both entries must derive the same endpoint, and different keys must spread over the pool.
-func TestKeyedRequestHasOneHome(t *testing.T) {
+func TestKeyedRequestHasOnePreferredEndpoint(t *testing.T) {
 	is := is.New(t)
 	var vms []provider.VM
 	for i := range 100 {
--- a/node/billing.go
+++ b/node/billing.go
@@ -105,7 +105,7 @@
 	p := b.n.newPlace()
 	b.n.currentPlace.Store(p)
 	b.writer.SetRate(p.AppendRate())
-	b.post(bill.MembersChanged{Now: b.n.cfg.Clock.Now(), Place: p})
+	b.post(bill.MembersChanged{Now: b.n.cfg.Clock.Now(), Assignment: p})
 }
 
 // newPlace returns which processes append and which hold copies of bills, computed from the
--- a/proof/fleet_test.go
+++ b/proof/fleet_test.go
@@ -187,7 +187,7 @@
 	p.do(func() {
 		assignment := batch.NewAssignment(p.member, p.fleet.listedMembers())
 		p.updateBatcher(batch.SetRate{Now: p.fleet.now, Rate: assignment.AppendRate()})
-		p.updateLedger(bill.MembersChanged{Now: p.fleet.now, Place: assignment})
+		p.updateLedger(bill.MembersChanged{Now: p.fleet.now, Assignment: assignment})
 	})
 	p.fleet.after(assignInterval, p.updateAssignment)
 }
