--- a/relay/admit.go
+++ b/relay/admit.go
@@ -18,7 +18,7 @@
 	// loaded: about the time that the first reads of the store take.
 	startRetryAfter = 500 * clock.Millis(1)
 	// staleRetryAfter is the retry delay for a caller whose key cannot be confirmed. By then
-	// another entry gets the request, or the store has answered this one.
+	// another entry may get the request, or the store may have answered this one.
 	staleRetryAfter = clock.Second
 	// defaultTimeout applies to routes without a timeout.
 	defaultTimeout = 30 * clock.Second
@@ -54,13 +54,13 @@
 	// startWaitRatio is the fraction of the caller timeout for which a request waits until the
 	// state of the site is loaded. The rest is left for the answer, from this entry or another one.
 	startWaitRatio = 0.5
-	// maxStartWait is how long after an entry's start requests are held. A start takes less time
-	// unless the store is unavailable, and how long that lasts is unknown.
+	// maxStartWait is the time since the entry's start after which it no longer holds requests.
+	// The state is loaded earlier unless the store is unavailable, and an outage may last long.
 	maxStartWait = 1500 * clock.Millis(1)
 )
 
-// awaitStart holds a request that arrives before the state of the site is loaded. After a stop of
-// all entries no other entry could serve it.
+// awaitStart holds a request that arrives before the state of the site is loaded. When all entries
+// start at the same time, no other entry could serve it if it were refused.
 func (x *exchange) awaitStart() {
 	s := x.server
 	if x.view.Started() || s.cfg.Strategies.For(decision.EarlyRequests) != decision.Hold {
@@ -84,7 +84,7 @@
 	x.view = s.cfg.View()
 }
 
-// checkSizes refuses a request whose headers or announced body are too large.
+// checkSizes refuses a request whose headers or Content-Length are too large.
 func (x *exchange) checkSizes(l catalog.Limits) error {
 	size := len(x.r.RequestURI) + len(x.r.Method)
 	for name, values := range x.r.Header {
@@ -209,6 +209,7 @@
 		x.w.Header().Set("Connection", "close")
 		return refusal.New(refusal.Malformed, "body cannot be read: "+err.Error())
 	}
-	// A remaining deadline would end the connection the next time it is idle.
+	// Without this reset, the deadline would close the connection while it waits for the next
+	// request.
 	return control.SetReadDeadline(time.Time{})
 }
--- a/relay/attempt.go
+++ b/relay/attempt.go
@@ -99,8 +99,8 @@
 	params := AttemptParams{
 		Endpoint: a.endpoint.ID, Address: a.endpoint.Address, Organisation: x.organisation, Model: a.plan.model(),
 		Remaining: max(x.remaining(), 1), Priority: x.priority, LastEventID: x.req.LastEventID, Resumes: x.req.Resumes,
-		// A reused connection may be dead, which shows only after the request was sent on it. A
-		// request that must not be repeated would be lost.
+		// A reused connection may be dead, and only a request sent on it reveals that. A request
+		// that must not be repeated would be lost.
 		NewConnection: !x.route.Repeatable(),
 	}
 	c := x.server.cfg.Dialect.Call(x.req, params, x.req.body)
@@ -114,8 +114,9 @@
 }
 
 const (
-	// settleDuration is how long a new connection is watched before a request that may run only
-	// once is sent on it: a round trip to the endpoint and its handshake.
+	// settleDuration is how long a new connection is watched for a reset before a request that may
+	// run only once is sent on it: an endpoint at its connection limit accepts a connection and
+	// then resets it. The duration is that of a round trip to the endpoint and its handshake.
 	settleDuration = 3 * clock.Millis(1)
 	// idleConnectionRatio is the fraction of an endpoint's connection limit that all entries
 	// together may keep idle. The rest is for requests in flight.
@@ -134,12 +135,13 @@
 	return int(math.Round(idleConnectionRatio * float64(c.MaxConnections) / float64(v.Entries())))
 }
 
-// busyTimeoutFactor extends the first-byte timeout at an endpoint that meanwhile answers other
-// requests. The request is queued there, and would be at the end of a queue elsewhere.
+// busyTimeoutFactor multiplies the first-byte timeout at an endpoint that answers other requests
+// while this one waits. This request is then queued there, and would be at the end of the queue at
+// another endpoint.
 const busyTimeoutFactor = 2.5
 
 // firstByteWait returns how much longer to wait for the first byte. A request that may be repeated
-// leaves an endpoint that sends nothing on any connection.
+// is moved to another endpoint earlier if its endpoint sends nothing on any connection.
 func (a *attempt) firstByteWait(waited clock.Millis) clock.Millis {
 	x := a.exchange
 	remaining := x.remaining()
@@ -160,8 +162,8 @@
 	return min(timeout-waited, remaining)
 }
 
-// recheckInterval is how long a request that no other endpoint has room for waits before it checks
-// again.
+// recheckInterval is how long a request stays at its slow endpoint before it checks again whether
+// another endpoint has room for it.
 const recheckInterval = 100 * clock.Millis(1)
 
 // otherEndpointHasRoom reports whether another endpoint would answer in time. Without this check a
@@ -227,7 +229,8 @@
 	return !x.written && x.mayRepeat() && x.remaining() > minEscalationTime && x.budget().CanRetry(x.server.cfg.Clock.Now())
 }
 
-// minEscalationTime is the least remaining time in which a larger model is of use.
+// minEscalationTime is the remaining time below which a larger model is not tried, because its
+// answer would be too late.
 const minEscalationTime = 400 * clock.Millis(1)
 
 // maxAnswerBytes bounds the body of an answer that is buffered.
@@ -249,7 +252,7 @@
 	return done, x.deliver(&bufferedAnswer{head: h, body: body})
 }
 
-// readFailure buffers a failure that the endpoint reports. It is sent to the caller if no other
+// readFailure buffers the failure response of an endpoint. It is sent to the caller if no other
 // attempt is made or succeeds.
 func (a *attempt) readFailure(h Head, answer *upstream.Answer) (r result, err error) {
 	x := a.exchange
--- a/relay/backoff.go
+++ b/relay/backoff.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// minRetryAfter and maxRetryAfter bound the retry delay of a refused caller. What it waits
-	// for, room at an endpoint or the end of a cold start, changes within about a second.
+	// minRetryAfter and maxRetryAfter bound the retry delay of a refused caller. The usual reasons
+	// for a refusal, full endpoints and cold starts, end within about a second.
 	minRetryAfter = 250 * clock.Millis(1)
 	maxRetryAfter = clock.Second
 	// maxWaitRatio is the largest fraction of the remaining time that a caller may be asked to
--- a/relay/evidence.go
+++ b/relay/evidence.go
@@ -11,8 +11,8 @@
 func (s *Server) recordOutcome(x *exchange, a *attempt, r result) {
 	o, running := x.view.Upgrade(x.service)
 	bad := r == failed || r == broken
-	// An attempt that the deadline cut short had only the remaining time, and is no evidence on
-	// its version.
+	// An attempt that was cancelled at the request's deadline is not counted: it may have had
+	// little time left, whatever its version.
 	if errors.Is(a.cause, context.DeadlineExceeded) {
 		return
 	}
@@ -24,8 +24,9 @@
 	s.counts.record(c)
 }
 
-// gradeLatency grades the latency of an answer. Endpoints in a cold start are left out: they are
-// slow whatever their version, and new versions start cold.
+// gradeLatency compares the latency of an answer with the latencies of the old version. Answers of
+// endpoints in a cold start are left out: these are slow whatever their version, and new versions
+// start cold.
 func (s *Server) gradeLatency(x *exchange, a *attempt, c *outcome) {
 	if x.view.Fleet().Cold(a.endpoint, a.startedAt) {
 		return
@@ -46,9 +47,10 @@
 }
 
 // latencySample returns the latency in milliseconds that is compared between versions. For a
-// stream it is the mean gap between events or, if the answer was dropped before them, how much
-// later than expected its first byte arrived. For other kinds it is the time to the first byte,
-// which depends less on the request there.
+// stream it is the mean gap between events. If there are fewer than minGapEvents events, as in a
+// dropped answer, it is the first-byte delay: how much later than predicted the first byte
+// arrived. For routes of other kinds it is the time to the first byte, which depends less on the
+// request than for streams.
 func (a *attempt) latencySample() (k latencyKey, sample float64, ok bool) {
 	x := a.exchange
 	switch {
--- a/relay/latency.go
+++ b/relay/latency.go
@@ -16,29 +16,29 @@
 	mu sync.Mutex
 	// means holds the mean time to the first byte in milliseconds, by route and model.
 	means map[latencyKey]float64
-	// baseline holds the latency samples of the old version, with which a new version is compared,
-	// by load of the endpoint. For streams a sample is the mean gap between events, by model
-	// alone: a model's speed does not depend on the prompt. For all others it is the time to the
-	// first byte, by route.
+	// baseline holds the latency samples of the old version, by load class of the endpoint.
+	// Answers of a new version are compared with them; latencySample defines a sample. Samples of
+	// streams are grouped by model alone, because a model's speed does not depend on the prompt,
+	// all others also by route.
 	baseline map[latencyKey]*[loadClasses]sampleWindow
-	// errors holds the prediction errors of first bytes in milliseconds, by route for plain
-	// requests and by model for prompts.
+	// errors holds the prediction errors of the time to the first byte in milliseconds, by model,
+	// or by route for requests without a model.
 	errors map[latencyKey]*sampleWindow
 }
 
 type latencyKey struct {
 	route, model string
-	// delay is true for samples of how much later than expected first bytes arrive.
+	// delay is true for first-byte delays: how much later than predicted the first byte arrived.
 	delay bool
 }
 
-// loadClasses is the number of load classes within which latencies are compared. A new version has
-// the least load while its share is small, so that a slow one is then as fast as the old version's
-// endpoints under load.
+// loadClasses is the number of load classes. Latencies are compared within a class, because the
+// endpoints of a new version have little load while its share is small: even a slow version would
+// look as fast as the old version's endpoints under load.
 const loadClasses = 6
 
-// loadClass returns the load class for a number of requests at an endpoint: 0 or 1, 2 or 3, 4 to 7
-// and so on.
+// loadClass returns the load class for a number of requests at an endpoint: class 0 for 0 or 1,
+// class 1 for 2 or 3, class 2 for 4 to 7 and so on. The last class has no upper bound.
 func loadClass(outstanding int) int { return min(bits.Len(uint(max(outstanding, 0)/2)), loadClasses-1) }
 
 // sampleWindow holds the most recent samples, in milliseconds.
@@ -49,14 +49,15 @@
 }
 
 const (
-	// maxSamples is the size of a window: about ten seconds at an entry with ten streams per
-	// second.
+	// maxSamples is the number of samples in a full window: about ten seconds at an entry with ten
+	// streams per second.
 	maxSamples = 100
 	// minSamples is the number of samples below which a window is not used.
 	minSamples = 10
-	// minSlowdown is the least excess of a slow sample over the median, as a fraction of the
-	// median; minExtraDelayMillis is the least excess for delays. Without them tiny differences
-	// would distinguish two versions where all samples are alike, as at idle endpoints.
+	// minSlowdown is by how much a slow sample must exceed the median, as a fraction of the
+	// median; minExtraDelayMillis is the same for first-byte delays, in milliseconds. Without
+	// these margins tiny differences would count as slow where all samples are alike, as at idle
+	// endpoints.
 	minSlowdown         = 0.25
 	minExtraDelayMillis = 50.0
 )
@@ -72,9 +73,9 @@
 	s.next = (s.next + 1) % maxSamples
 }
 
-// grade compares a sample with the window and reports for each grade whether it is slow; factor
-// scales the grades. A slow sample exceeds the median at least by the margin. known is false while
-// the window has too few samples.
+// grade compares a sample with the window and reports for each of upgrade.SlowThresholds whether
+// the sample is slow; factor multiplies the factor of each threshold. A slow sample exceeds the
+// median at least by the margin. known is false while the window has too few samples.
 func (s *sampleWindow) grade(sample, factor float64, margin func(median float64) float64) (slow [len(upgrade.SlowThresholds)]bool, known bool) {
 	if !s.sufficient() {
 		return slow, false
@@ -83,13 +84,13 @@
 	median := quantileOf(sorted, 0.5)
 	for i, g := range upgrade.SlowThresholds {
 		limit := max(quantileOf(sorted, g.Quantile), median+margin(median))
-		// Delays may be negative, and a multiple of a negative delay is not a longer one.
+		// First-byte delays may be negative, and multiplying a negative limit would make it lower.
 		slow[i] = sample > limit+(g.Factor*factor-1)*math.Abs(limit)
 	}
 	return slow, true
 }
 
-// margin returns the least excess of a slow sample over the median, in milliseconds.
+// margin returns by how many milliseconds a slow sample must exceed the median.
 func (k latencyKey) margin(median float64) float64 {
 	if k.delay {
 		return minExtraDelayMillis
@@ -120,8 +121,9 @@
 	// minGapEvents is the least number of events from which a stream's mean gap is computed.
 	minGapEvents = 2
 	// timeoutFactor and targetRatio set the first-byte timeout after which a request goes to
-	// another endpoint: a multiple of the mean time to the first byte, or a fraction of the
-	// route's latency target if that is more, so that a second attempt can still be in time.
+	// another endpoint: timeoutFactor times the mean time to the first byte or, if that is longer,
+	// targetRatio times the route's latency target. The rest of the target is left for a second
+	// attempt.
 	timeoutFactor = 4.0
 	targetRatio   = 0.6
 	// minFirstByteTimeout prevents a second attempt after a brief delay.
@@ -129,12 +131,12 @@
 )
 
 const (
-	// earlyShare is the share of requests up to which a new version has no reason to be slower
-	// than the old one. Above it the new version has more of the load, and processes prompts again
-	// that the old one has in its prefix cache.
+	// earlyShare is the share of requests up to which a good new version is as fast as the old
+	// one. Above it the new version has more load than the old one, and must process prompts whose
+	// prefixes only the old version has cached.
 	earlyShare = 0.5
-	// loadedFactor is how much slower a new version may be above earlyShare, or in comparison with
-	// answers of endpoints that had less load.
+	// loadedFactor is how much slower a new version may be above earlyShare, or when its answers
+	// are compared with those of endpoints that had less load.
 	loadedFactor = 2.0
 )
 
@@ -160,9 +162,10 @@
 	l.baseline[k][loadClass(outstanding)].add(sample)
 }
 
-// grade reports for each grade whether a sample is slow for the load of its endpoint. Where there
-// are too few samples at that load, it is compared with the next higher load class, or else with
-// the next lower one and a larger factor. known is false while there are too few samples.
+// grade reports for each of upgrade.SlowThresholds whether a sample is slow for the load of its
+// endpoint. If the load class of the endpoint has too few samples, the sample is compared with the
+// next higher class that has enough, or else with the next lower one and a larger factor. known is
+// false if no class has enough samples.
 func (l *latencyTracker) grade(k latencyKey, outstanding int, sample, factor float64) (slow [len(upgrade.SlowThresholds)]bool, known bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -185,13 +188,14 @@
 }
 
 const (
-	// errorQuantile is the quantile of the prediction errors that, multiplied by errorFactor, is
-	// added to a prediction to get the first-byte timeout.
+	// errorQuantile and errorFactor set the margin of first-byte timeouts: this quantile of the
+	// prediction errors, multiplied by errorFactor, is added to the predicted time.
 	errorQuantile = 0.95
 	errorFactor   = 2.0
 )
 
-// addError adds a prediction error of a first byte; it is negative for one that arrived early.
+// addError adds the prediction error of a time to the first byte; it is negative if the first byte
+// arrived earlier than predicted.
 func (l *latencyTracker) addError(r *catalog.Route, model string, excess clock.Millis) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/relay/latency_test.go
+++ b/relay/latency_test.go
@@ -8,8 +8,9 @@
 	"github.com/parsleydeal/parsleydeal/catalog"
 )
 
-// gapAt draws a gap between events at an endpoint with the given number of requests: the base, a
-// bit more for each request, and in one of four cases a prompt that is processed in between.
+// gapAt draws a gap between events at an endpoint with the given number of requests: base, plus
+// 15% for each request. One gap in four is up to four times as long, because another prompt is
+// processed in between.
 func gapAt(r *rand.Rand, base float64, outstanding int) float64 {
 	gap := base * (1 + 0.15*float64(outstanding))
 	if r.IntN(4) == 0 {
@@ -20,8 +21,8 @@
 
 // A new version is four times as slow as the old one. It gets a twentieth of the requests, at
 // endpoints with one or two requests each, while endpoints of the old version have up to forty.
-// Compared with all samples of the old version hardly any answer was slow, and the upgrade was
-// completed.
+// The failure was that its answers were compared with the samples of all endpoints of the old
+// version, so that hardly any counted as slow and the upgrade was completed.
 func TestSlowVersionIsDetectedOnIdleEndpoints(t *testing.T) {
 	for name, x := range map[string]struct {
 		base             float64
@@ -55,7 +56,7 @@
 }
 
 // The endpoints of a new version have more load than any of the old version had so far. Its
-// answers are not slow because of that alone.
+// answers must not count as slow for that reason alone.
 func TestVersionUnderMoreLoadIsComparedWithMargin(t *testing.T) {
 	is := is.New(t)
 	l, k := newLatencyTracker(), latencyKey{route: "r"}
@@ -71,8 +72,9 @@
 	is.True(grades[0])
 }
 
-// Answers of a small model are dropped for those of a larger one before their events arrive. A
-// slow version whose answers were mostly dropped was completed on the few that had been timed.
+// An entry drops answers of a small model before their events arrive, to use a larger model
+// instead. The failure was that most answers of a slow version were dropped, and its upgrade was
+// completed on the evidence of the few whose gaps had been measured.
 func TestDroppedAnswersAreGradedByFirstByteDelay(t *testing.T) {
 	is := is.New(t)
 	route := &catalog.Route{Name: "r", Kind: catalog.Streaming}
--- a/relay/plan.go
+++ b/relay/plan.go
@@ -4,8 +4,8 @@
 	"github.com/parsleydeal/parsleydeal/cascade"
 )
 
-// plan lists the models that answer a request: one model, or a small one and a larger one that is
-// used if the small one's answer has low confidence.
+// plan lists the models that may answer a request: one model, or a small one and a larger one. The
+// larger one is tried if the answer of the small one has low confidence.
 type plan struct {
 	// models holds the models in the order in which they are tried; empty when the caller named
 	// the model.
@@ -23,7 +23,7 @@
 	return plan{models: []string{models[0], models[len(models)-1]}}
 }
 
-// model returns the model to use now; empty when the caller named it.
+// model returns the model of the next attempt; empty when the caller named it.
 func (p plan) model() string {
 	if len(p.models) == 0 {
 		return ""
@@ -40,11 +40,12 @@
 	return p.models[1]
 }
 
-// isPoor reports whether to drop an answer for that of the larger model. The first byte of the
-// larger model is predicted for this request, from its prompt length and the queue at the endpoint
-// that would get it. By the route's mean a long prompt would count as an average one, and its
-// answer would be dropped for one that arrives too late. The answer is kept if no endpoint has room
-// for the larger model: the caller would get nothing, although there is an answer that may do.
+// isPoor reports whether to drop an answer and try the larger model instead. The time to the
+// larger model's first byte is predicted from this request's prompt length and the queue at the
+// endpoint that would get it. The route's mean would be too short for a long prompt, and the
+// answer would be dropped although the larger model's answer arrives too late. The answer is also
+// kept if no endpoint has room for the larger model: otherwise the caller would get no answer at
+// all.
 func (a *attempt) isPoor(confidence int) bool {
 	if a.plan.nextModel() == "" {
 		return false
--- a/relay/plan_test.go
+++ b/relay/plan_test.go
@@ -14,11 +14,11 @@
 	"github.com/parsleydeal/parsleydeal/upstream"
 )
 
-// Under load the smallest model's answer to a long prompt has low confidence. The larger model's
-// mean time to the first byte was short, because of the route's other prompts, but this prompt
-// takes most of the remaining time to process, or other prompts are queued at the endpoint. The
-// answer was dropped, and the better one arrived too late to be of full use. For a short prompt at
-// an idle endpoint the same answer is dropped.
+// Under load the smallest model's answer to a long prompt has low confidence. The failure was that
+// this answer was dropped, because the larger model's mean time to the first byte was short for
+// the other prompts of the route. This prompt takes most of the remaining time to process, or
+// other prompts are queued at the endpoint, so the larger model's answer arrived too late to be of
+// full use. For a short prompt at an idle endpoint the same answer must be dropped.
 func TestAnswersAreKeptWhenLargerModelWouldBeLate(t *testing.T) {
 	for _, x := range []struct {
 		name    string
@@ -55,8 +55,9 @@
 	}}
 }
 
-// An endpoint loses an answer that was expected at once. With the timeout of the route alone, its
-// request waited for as long as the route's longest prompts take.
+// An endpoint loses an answer that was expected at once. The failure was that its request waited
+// for as long as the route's longest prompts take, because the timeout depended on the route
+// alone.
 func TestFirstByteTimeoutFollowsPredictionError(t *testing.T) {
 	is := is.New(t)
 	l := newLatencyTracker()
--- a/relay/request.go
+++ b/relay/request.go
@@ -66,7 +66,8 @@
 	NotRun bool
 	// WrongEndpoint is true if the address now belongs to another endpoint.
 	WrongEndpoint bool
-	// Encoded is true if the body has a content encoding, which endpoints do not use.
+	// Encoded is true if the body has a content encoding. Endpoints never set one, so such an
+	// answer comes from an intermediary.
 	Encoded bool
 	// Outstanding is the number of requests running or queued at the endpoint, Slots how many it
 	// runs at once. HasLoad is true if both are known.
@@ -83,7 +84,8 @@
 	Header http.Header
 }
 
-// Dialect translates between the protocol of callers and endpoints and this package.
+// Dialect translates between the types of this package and the headers that callers and endpoints
+// use.
 type Dialect struct {
 	// Read reads the head of a request. The error is a refusal that states what is wrong.
 	Read func(r *http.Request) (req *Request, err error)
--- a/relay/run.go
+++ b/relay/run.go
@@ -14,8 +14,8 @@
 	"github.com/parsleydeal/parsleydeal/site"
 )
 
-// maxRefusals is how many endpoints may refuse a request without running it, in addition to the
-// attempts that ran, before the request fails.
+// maxRefusals is how many attempts a request may make in addition to the route's maximum, if
+// endpoints refuse it without running it.
 const maxRefusals = 2
 
 // minRemaining is the remaining time below which no attempt is made; it is less than a round trip
@@ -37,9 +37,9 @@
 	notRun
 	// failed means that the attempt may have run and nothing was sent to the caller.
 	failed
-	// broken means that part of a stream was sent to the caller.
+	// broken means that the attempt failed after its stream to the caller had started.
 	broken
-	// ended means that no other attempt can help.
+	// ended means that the caller takes no more of the answer, so that no other attempt can help.
 	ended
 )
 
@@ -101,15 +101,15 @@
 // abandoned.
 func (x *exchange) mayRepeat() bool { return x.mayRepeatAfter(0) }
 
-// mayRepeatAfter reports the same once the given number of further attempts has run.
+// mayRepeatAfter is like mayRepeat, but also counts the given number of further attempts as run.
 func (x *exchange) mayRepeatAfter(more int) bool {
 	return x.route.Repeatable() && x.runs+more < x.route.MaxAttempts
 }
 
-// selectEndpoint selects an endpoint for the next attempt. An endpoint that was tried may have
-// refused for a moment only, and is selected again if no other one has room. One that was silent
-// is selected again only if there is nothing else: it seems to have no load, since no request got
-// an answer there.
+// selectEndpoint selects an endpoint for the next attempt. An endpoint that was tried is selected
+// again if no other one has room, because its refusal may have been temporary. An endpoint that
+// was silent is selected again only as the last resort: it seems to have no load only because it
+// answers no requests.
 func (x *exchange) selectEndpoint(p plan) (e *fleet.Endpoint, reason placement.Reason) {
 	e, reason = x.server.selector.Select(x.view.Fleet(), x.query(p))
 	if len(x.tried) == 0 {
@@ -127,8 +127,8 @@
 }
 
 // retryQuery returns the query for a further attempt. It accepts any endpoint that can answer
-// before the deadline: a late answer is still of use to a caller that has waited, and there
-// is nowhere else to send it.
+// before the deadline: a late answer is still of use to a caller that has waited, and no faster
+// endpoint is available.
 func (x *exchange) retryQuery(p plan) placement.Query {
 	q := x.query(p)
 	if q.FirstByteBudget > 0 {
@@ -150,7 +150,7 @@
 }
 
 // firstByteBudget returns the longest predicted time to the first byte that is acceptable at an
-// endpoint; 0 for no limit, as once part of the answer was sent to the caller.
+// endpoint; 0 means no limit. There is none once part of the answer was sent to the caller.
 func (x *exchange) firstByteBudget(now clock.Millis) clock.Millis {
 	if x.written || x.route.LatencyTarget <= 0 || x.server.cfg.Strategies.Disabled(decision.LatePrompts) {
 		return 0
@@ -200,8 +200,8 @@
 	body []byte
 }
 
-// giveUp ends a request with the failure that an endpoint reported, if there is one, or with an
-// error.
+// giveUp ends a request with the failure response that an endpoint sent, if there is one, or else
+// with err.
 func (x *exchange) giveUp(failure *bufferedAnswer, err error) error {
 	if failure == nil || x.written || x.r.Context().Err() != nil {
 		return err
@@ -212,8 +212,8 @@
 // budget returns the retry budget of the request's service.
 func (x *exchange) budget() *limit.Share { return x.server.budget(x.service, x.view.Entries()) }
 
-// Fractions of the retry limits that this process uses. Other entries may have a larger part of
-// the traffic in one window than in the next.
+// Fractions of the retry limits that this process uses. The rest is a reserve, because an entry's
+// part of the traffic differs from one retry window to the next.
 const (
 	retryRatioFraction = 0.8
 	retrySlackFraction = 0.5
@@ -230,10 +230,11 @@
 	return b
 }
 
-// bounds returns how many requests per second one endpoint of a service takes. In a cold start
-// that is the overage that operators allow without the slack, which is left for requests delayed
-// on their way. All entries seldom use their shares in the same second, so shares that add up to
-// the rate itself would leave half of it unused.
+// bounds returns how many requests per second all entries may send to one endpoint of a service.
+// For an endpoint in a cold start this is the configured rate times ColdOverage; ColdSlack is left
+// for requests that are delayed in transit. The bound exceeds the rate because all entries seldom
+// use their shares in the same second: shares that add up to the rate itself would leave half of
+// it unused.
 func (s *Server) bounds(v *site.View, service string) placement.Bounds {
 	b := placement.Bounds{Shares: v.Shares()}
 	if c, ok := v.Config().Services[service]; ok && c.ColdPerSecond > 0 {
@@ -243,7 +244,7 @@
 }
 
 // recordAttempt updates the state of the endpoint and the counts of its version, and logs an
-// attempt that did not bring the answer.
+// attempt that did not produce the answer.
 func (x *exchange) recordAttempt(a *attempt, r result, err error) {
 	s := x.server
 	now := s.cfg.Clock.Now()
--- a/relay/run_test.go
+++ b/relay/run_test.go
@@ -54,8 +54,9 @@
 	return fleet.Change{ID: id, Endpoint: &fleet.Endpoint{ID: id, Service: "app", Address: address, Version: "v1", Slots: 4}}
 }
 
-// By the process's clock a request's time is up a moment before its timer fires, and its endpoint
-// has just failed it. A further attempt would open a connection or start the request in vain.
+// A request's endpoint fails just after the request's deadline by the process's clock, but before
+// the deadline timer fires. There must be no further attempt: it would open a connection or start
+// the request in vain.
 func TestNoAttemptWithoutTimeRemaining(t *testing.T) {
 	for _, kind := range []catalog.Kind{catalog.Idempotent, catalog.NonIdempotent} {
 		t.Run(fmt.Sprint(kind), func(t *testing.T) { runOutOfTime(t, kind) })
@@ -96,9 +97,9 @@
 	is.Equal(x.sends, 1)
 }
 
-// One endpoint is slow and the other one full. The request left the slow one after the typical
-// time, found no room, and failed at once, a moment before the answer would have arrived. It waits
-// at its endpoint until another one would answer in time.
+// One endpoint is slow and the other one full. The failure was that the request left the slow one
+// after the typical timeout, found no room, and failed at once, a moment before the answer would
+// have arrived. It must stay at its endpoint until another one would answer in time.
 func TestRequestStaysWhenNoOtherEndpointHasRoom(t *testing.T) {
 	for _, full := range []bool{true, false} {
 		t.Run(fmt.Sprintf("other full %t", full), func(t *testing.T) { leaveSlowEndpoint(t, full) })
@@ -138,9 +139,9 @@
 	is.Equal(x.sends, map[bool]int{true: 1, false: 2}[otherFull])
 }
 
-// A plain request took half a second at its entry and a few milliseconds at its endpoint. The log
-// line shows which phase took the rest: the caller's body, the start of the first attempt or a
-// connection.
+// A request took half a second at its entry, but only a few milliseconds at its endpoint. The log
+// line must show which phase took the rest: reading the caller's body, the wait until the first
+// attempt, or getting a connection.
 func TestRequestLogHasPhaseDurations(t *testing.T) {
 	is := is.New(t)
 	out := &bytes.Buffer{}
@@ -151,9 +152,9 @@
 	is.True(strings.Contains(out.String(), "took=500ms body=120ms placed=130ms connect=240ms"))
 }
 
-// An endpoint lost an answer while the others were busy. Because it seemed to have no load, the
-// request was sent there again until the caller's time was up, although another endpoint would
-// have answered late.
+// An endpoint lost an answer while the others were busy. The failure was that the request was sent
+// there again until the caller's time was up, because the endpoint seemed to have no load. A late
+// answer of another endpoint would have been better.
 func TestSilentEndpointIsNotRetried(t *testing.T) {
 	is := is.New(t)
 	c := clock.Boot()
--- a/relay/server.go
+++ b/relay/server.go
@@ -37,13 +37,13 @@
 	// than KeyLease.
 	Strict   bool
 	KeyLease clock.Millis
-	// RetryRatio and RetrySlack bound the attempts beyond the first that a service gets from all
-	// entries in each RetryWindow: a ratio to its requests, and a fixed number.
+	// RetryRatio and RetrySlack bound the retries of a service's requests by all entries together
+	// in each RetryWindow: RetryRatio times the number of requests, plus RetrySlack.
 	RetryRatio  float64
 	RetrySlack  float64
 	RetryWindow clock.Millis
-	// ColdOverage and ColdSlack widen the rate limit of an endpoint in a cold start: a factor of
-	// the rate, and requests per second in addition.
+	// ColdOverage and ColdSlack raise the rate limit of an endpoint in a cold start: the limit is
+	// multiplied by ColdOverage, and ColdSlack requests per second are added.
 	ColdOverage        float64
 	ColdSlack          float64
 	SessionIdleTimeout clock.Millis
@@ -141,9 +141,9 @@
 	organisation string
 	priority     int
 	session      uint64
-	// tried holds the endpoints that got the request since the last answer that was dropped,
+	// tried holds the endpoints that got the request since the last time an answer was dropped,
 	// silentEndpoints those that timed out without sending anything. runs counts the attempts that
-	// may have run, sends all attempts.
+	// may have run, sends counts all attempts.
 	tried           map[string]bool
 	silentEndpoints map[string]bool
 	runs            int
@@ -231,8 +231,8 @@
 	return x.firstAttemptAt - x.startedAt
 }
 
-// late returns the latency target that the answer missed, first-byte or pause; empty if it was in
-// time.
+// late returns the name of the latency target that the answer missed, first-byte or pause; empty
+// if it was in time.
 func (x *exchange) late(took clock.Millis) string {
 	first := x.timeToFirstByte
 	if x.events == 0 {
--- a/relay/share.go
+++ b/relay/share.go
@@ -16,14 +16,14 @@
 	// reportBytesPerSecond bounds the traffic for reports of this entry's work to other entries:
 	// half of what control messages may use.
 	reportBytesPerSecond = 8192
-	// reportBurstRatio is the fraction of a second's bytes that may be sent at once, when several
-	// long prompts arrive together.
+	// reportBurstRatio is the fraction of reportBytesPerSecond that may be sent at once, as when
+	// several long prompts arrive together.
 	reportBurstRatio = 0.3
 	// fullReportInterval is the time between two full reports: half of the time for which a report
 	// stays valid.
 	fullReportInterval = 500 * clock.Millis(1)
-	// minReportInterval is the least time between two reports. The smallest model processes a long
-	// prompt in that time.
+	// minReportInterval is the minimum time between two reports: the time in which the smallest
+	// model processes a long prompt.
 	minReportInterval = 30 * clock.Millis(1)
 	// packetOverheadBytes is the size of a datagram without its report: the IP, UDP and link
 	// headers.
@@ -47,11 +47,11 @@
 	return clock.Millis(math.Ceil(max(-b.available, 0) * float64(clock.Second) / reportBytesPerSecond))
 }
 
-// SendReports reports this entry's work at endpoints to its neighbours until the context ends: a
-// long prompt at once, all else periodically. An entry that knew only its own work would send a
-// prompt to an endpoint where prompts of other entries are queued, and would have its blocks
-// processed again that another endpoint has cached. send is called with the addresses of the
-// neighbours.
+// SendReports reports this entry's work, its requests in progress at endpoints, to its neighbours
+// until the context ends: a long prompt at once, everything else periodically. Without reports, an
+// entry would send prompts to endpoints where prompts of other entries are queued, and would have
+// prompt blocks processed again that another endpoint has cached. send is called with the
+// addresses of the neighbours.
 func (s *Server) SendReports(ctx context.Context, name string, send func(r *wire.EntryReport, to []string) error) {
 	budget := byteBudget{updatedAt: s.cfg.Clock.Now()}
 	lastFullAt, hadWork := budget.updatedAt, false
@@ -62,8 +62,8 @@
 		}
 		to := s.cfg.View().Neighbours()
 		r := &wire.EntryReport{Process: name, Work: workToWire(s.selector.Report(budget.updatedAt, full)), Partial: !full}
-		// An empty report follows the last one with work. Without it the receivers would assume
-		// that the work goes on.
+		// After the last report with work, one empty report is sent. Without it the receivers
+		// would assume that the work continues.
 		if len(to) == 0 || len(r.GetWork()) == 0 && (!full || !hadWork) {
 			continue
 		}
--- a/relay/share_test.go
+++ b/relay/share_test.go
@@ -19,7 +19,7 @@
 
 // A site grows, and with it the size of reports and the number of entries that receive them; long
 // prompts arrive all the time, and each is reported as soon as possible. The bytes that an entry
-// sends per second for reports stay bounded; its reports become older instead.
+// sends per second for reports must stay bounded; instead, reports are sent later.
 func TestReportsStayWithinByteBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		size, to := rapid.IntRange(60, 60000).Draw(t, "size"), rapid.IntRange(1, 400).Draw(t, "to")
--- a/relay/snapshot.go
+++ b/relay/snapshot.go
@@ -14,7 +14,7 @@
 
 const (
 	// snapshotRequestInterval is the time between two requests of an entry that has just started,
-	// and maxSnapshotRequests their number. After a stop of all entries no neighbour has a
+	// and maxSnapshotRequests their maximum number: after a stop of all entries no neighbour has a
 	// snapshot.
 	snapshotRequestInterval = 250 * clock.Millis(1)
 	maxSnapshotRequests     = 6
@@ -29,9 +29,9 @@
 )
 
 // RequestSnapshot requests a snapshot of the cached blocks of endpoints and the speeds of models
-// from one neighbour after another, until one has replied. Without a snapshot prompts would be
-// processed again whose blocks the neighbours know to be cached. address is where this entry
-// receives reports.
+// from one neighbour after another, until one has replied. Without a snapshot, this entry would
+// send prompts to endpoints that do not have their blocks cached, although the neighbours know
+// endpoints that do. address is where this entry receives reports.
 func (s *Server) RequestSnapshot(ctx context.Context, name, address string, send func(r *wire.EntryReport, to []string) error) {
 	if s.cfg.Strategies.For(decision.Start) != decision.Snapshot {
 		return
@@ -119,8 +119,9 @@
 }
 
 const (
-	// maxTokenMillis is the time within which any model processes a prompt token.
+	// maxTokenMillis is the largest plausible time to process one prompt token, in milliseconds.
 	maxTokenMillis = 10.0
-	// maxBeyondMillis is the largest plausible prediction error of first bytes, in milliseconds.
+	// maxBeyondMillis is the largest plausible prediction error of the time to the first byte, in
+	// milliseconds.
 	maxBeyondMillis = 10000.0
 )
--- a/relay/stream.go
+++ b/relay/stream.go
@@ -14,9 +14,10 @@
 )
 
 const (
-	// eventTimeoutFactor and minEventTimeout bound the wait for the next event of a stream that
-	// can be resumed elsewhere. An endpoint that pre-empts a request pauses its stream for up to a
-	// second and then continues.
+	// eventTimeoutFactor and minEventTimeout set the timeout for the next event of a stream that
+	// can be resumed at another endpoint: eventTimeoutFactor times the route's TargetGap, but at
+	// least minEventTimeout. An endpoint that pre-empts a request pauses its stream for up to a
+	// second and then continues; such a pause must not count as a timeout.
 	eventTimeoutFactor = 2
 	minEventTimeout    = 1500 * clock.Millis(1)
 	// writeTimeout bounds a write to the caller. A caller that stops reading would otherwise hold
--- a/relay/version_counts.go
+++ b/relay/version_counts.go
@@ -8,16 +8,17 @@
 	"github.com/parsleydeal/parsleydeal/upgrade"
 )
 
-// outcome is the outcome of one attempt, as evidence on its version.
+// outcome is the outcome of one attempt, counted for the comparison of versions.
 type outcome struct {
 	service string
 	route   string
 	target  bool
 	bad     bool
-	// timed is true if the latency could be graded, and slow has the result for each grade.
+	// timed is true if the latency could be compared with that of the old version; slow reports
+	// for each of upgrade.SlowThresholds whether it was slow.
 	timed bool
 	slow  [len(upgrade.SlowThresholds)]bool
-	// delay is true if the latency is the first-byte delay of a dropped answer.
+	// delay is true if the latency is a first-byte delay; see latencySample.
 	delay bool
 }
 
