--- a/site/delegate_test.go
+++ b/site/delegate_test.go
@@ -35,8 +35,7 @@
 	}
 }
 
-// All entries compute the same list of delegates, and the first ones are in as many zones as
-// there are.
+// All entries compute the same list of delegates, and it begins with one entry of each zone.
 func TestEntriesAgreeOnDelegates(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		zones, perZone := rapid.IntRange(1, 8).Draw(t, "zones"), rapid.IntRange(1, 9).Draw(t, "each")
@@ -55,16 +54,16 @@
 	})
 }
 
-// delegatesOf returns the delegates as seen by the first entry of zone at, two seconds after the
-// last report from the entries of zone silent.
-func delegatesOf(zones, perZone int, at, silent string) []string {
+// delegatesOf returns the delegates as computed by the first entry of ownZone, two seconds after
+// the last report from the entries of silentZone. No zone is silent if silentZone is empty.
+func delegatesOf(zones, perZone int, ownZone, silentZone string) []string {
 	name := func(z, i int) string { return fmt.Sprintf("entry-zone-%d-%02d", z, i) }
-	s := NewState(Self{Name: "entry-" + at + "-00", Process: "p", Zone: at}, 0)
+	s := NewState(Self{Name: "entry-" + ownZone + "-00", Process: "p", Zone: ownZone}, 0)
 	for _, now := range []clock.Millis{1000, 3000} {
 		for z := range zones {
 			for i := range perZone {
 				zone := fmt.Sprint("zone-", z)
-				if zone == silent && now > 1000 {
+				if zone == silentZone && now > 1000 {
 					continue
 				}
 				Reduce(s, ReportReceived{Now: now, Report: &wire.EntryReport{Process: name(z, i), Name: name(z, i), Zone: zone, Address: name(z, i)}})
--- a/site/feed.go
+++ b/site/feed.go
@@ -16,8 +16,8 @@
 	// configuration as of the time the read was sent, so a confirmation is at most twice this
 	// old, less than a third of the 5 s for which a revoked key may still be used.
 	operatorWait = 800 * clock.Millis(1)
-	// endpointPause is the pause between two reads of the endpoints' stream, which changes all
-	// the time. An endpoint that leaves is noticed within this pause, less than half of the 2 s
+	// endpointPause is the pause between two reads of the endpoints' stream, which changes all the
+	// time. An endpoint that is leaving is noticed within this pause, less than half of the 2 s
 	// after which it must get no new work.
 	endpointPause = 800 * clock.Millis(1)
 	// statusWait is the long-poll timeout of the status stream while an upgrade is in progress.
@@ -31,13 +31,15 @@
 	// further failure, up to maxRetryDelay.
 	retryDelay    = 150 * clock.Millis(1)
 	maxRetryDelay = 600 * clock.Millis(1)
-	// peerRetryDelay is the minimum delay in two cases: the store fails all entries and peers
-	// probe it, so that their next report, at most a second later, shows that the store is back;
-	// or the store rejects this entry but serves the peers that send it all changes.
+	// peerRetryDelay is the minimum delay after a failed read in two cases: the store fails all
+	// entries and peers probe it, so that their next report, at most a second later, shows that
+	// the store is back; or the store rejects this entry but serves the peers that send it all
+	// changes.
 	peerRetryDelay = 2 * clock.Second
-	// operatorFailingDelay is the minimum delay for the other streams while the operators' stream
-	// fails, whose feed keeps probing on behalf of the whole process. The delay ends as soon as
-	// that stream is read; it is limited in case only some streams fail.
+	// operatorFailingDelay is the minimum delay after a failed read of another stream while reads
+	// of the operators' stream fail too. Only the feed of the operators' stream then keeps probing
+	// the store, on behalf of the whole process. The delay ends as soon as one of its reads
+	// succeeds; it is limited in case only some streams fail.
 	operatorFailingDelay = 4 * clock.Second
 	// registerInterval is the interval between two reads of the registered entries. Entries that
 	// start send reports, so these reads only find entries whose datagrams do not arrive.
@@ -206,7 +208,7 @@
 }
 
 // waitToRegister waits until the registered entries have to be read again. Only readers of the
-// store read them; their reports reach entries that no other entry has received a report from.
+// store read them; they then send reports also to entries from which no report has arrived.
 func (l *Loop) waitToRegister(ctx context.Context) {
 	for clock.Pause(ctx, registerInterval) {
 		if l.View().reader {
--- a/site/loop.go
+++ b/site/loop.go
@@ -13,7 +13,8 @@
 const (
 	// eventQueueSize limits the events that wait for the control goroutine.
 	eventQueueSize = 1024
-	// tickInterval is a third of countInterval, so that a report is late by at most that much.
+	// tickInterval is a third of countInterval. Reports are sent on ticks, so each is late by at
+	// most this much.
 	tickInterval = 100 * clock.Millis(1)
 	// appendTimeout limits an append. The slowest useful responses of the store take a quarter of
 	// a second.
--- a/site/pack.go
+++ b/site/pack.go
@@ -35,7 +35,8 @@
 	for records := r.GetRecords(); len(records) > 0; {
 		n := len(records)
 		if Stream(records[0].GetStream()) == EndpointStream {
-			// Records of the operators' stream are only usable together.
+			// Records of the operators' stream can be applied only together, so they are not
+			// split.
 			n = min(n, maxRecordsPerReport)
 		}
 		packed, err := deflate(records[:n])
--- a/site/report.go
+++ b/site/report.go
@@ -12,9 +12,9 @@
 	reportInterval = clock.Second
 	countInterval  = 300 * clock.Millis(1)
 	// broadcastIntervalPerEntry is multiplied by the number of entries to get the interval of
-	// broadcasts. maxBroadcastInterval limits it to a third of the time after which a silent
-	// entry counts as gone. With a broadcast every second, a hundred entries' reports were most
-	// of what an entry sent.
+	// broadcasts. maxBroadcastInterval limits it to a third of the time after which a silent entry
+	// counts as gone. With a broadcast every second on a site of a hundred entries, reports were
+	// most of the traffic that an entry sent.
 	broadcastIntervalPerEntry = 100 * clock.Millis(1)
 	maxBroadcastInterval      = 10 * clock.Second
 	// startupBroadcasts is the number of consecutive broadcasts of an entry that has started and
@@ -54,10 +54,10 @@
 	return s.sendToJudges(s.newQuery())
 }
 
-// broadcastDue reports whether the next report goes to all entries. Judges and entries that start
-// or leave always broadcast, and so do all entries during an upgrade, when each of them needs to
-// know which sessions the others keep on the old version. Otherwise an entry broadcasts at a longer
-// interval to show that it is alive.
+// broadcastDue reports whether the next report goes to all entries. Judges and entries that are
+// starting or leaving always broadcast, and so do all entries during an upgrade, when each of them
+// needs to know which sessions the others keep on the old version. Otherwise an entry broadcasts
+// at a longer interval to show that it is alive.
 func (s *State) broadcastDue() bool {
 	if s.rank() < judgeCount || s.leaving || s.hasActiveUpgrade() || s.startupBroadcastsSent < startupBroadcasts {
 		return true
@@ -66,9 +66,9 @@
 	return s.now-s.lastBroadcastAt >= interval
 }
 
-// replyToNewEntry sends a report to an entry of the same zone after its first report. That entry
-// may have started after this one's last broadcast, and entries of a zone report their work to
-// each other.
+// replyToNewEntry sends a report to another entry of the same zone when its first report has
+// arrived. That entry may have started after this one's last broadcast, and it needs this entry's
+// address: entries of a zone report their work to each other.
 func (s *State) replyToNewEntry(r *wire.EntryReport) []Effect {
 	if r.GetZone() == "" || r.GetZone() != s.self.Zone || r.GetAddress() == "" {
 		return nil
@@ -105,7 +105,8 @@
 	return out
 }
 
-// upgradeReportTTL is how long after its duration an upgrade is still reported to others.
+// upgradeReportTTL is how long an upgrade is still reported to other entries after its ordered
+// duration has passed.
 const upgradeReportTTL = 10 * clock.Second
 
 func (s *State) newUpgradeReport(service string, u *upgrade.Upgrade, counts bool) *wire.UpgradeReport {
--- a/site/report_test.go
+++ b/site/report_test.go
@@ -9,9 +9,9 @@
 	"github.com/parsleydeal/parsleydeal/peer/wire"
 )
 
-// Guards against broadcasts dominating the traffic of a site of 300 entries, as they did when
-// each entry sent one every second. Only delegates do so; the others send to the three first
-// delegates every second and broadcast occasionally.
+// Guards against broadcasts dominating the traffic of a site of 300 entries, as they did when each
+// entry sent one every second. Only the judges broadcast every second; the others send a report to
+// the first three delegates every second and broadcast occasionally.
 func TestMostEntriesBroadcastRarely(t *testing.T) {
 	is := is.New(t)
 	const entries, duration = 300, 60 * clock.Second
@@ -24,7 +24,7 @@
 		{index: 2, broadcasts: 60},
 		{index: 3, broadcasts: 7, direct: 3 * 53},   // 2 at the start, then one every 10 s
 		{index: 200, broadcasts: 7, direct: 3 * 53}, // independent of the rank
-		{index: 200, leaving: true, broadcasts: 61}, // one more when it leaves
+		{index: 200, leaving: true, broadcasts: 61}, // one more because it is leaving
 	} {
 		broadcasts, direct := countReports(duration, entries, x.index, x.leaving)
 		t.Logf("entry %d: %d broadcasts, %d direct reports", x.index, broadcasts, direct)
@@ -79,9 +79,9 @@
 	is.Equal(len(receive("entry-3", "b")), 0)
 }
 
-// Guards against an entry that starts sending its first report before it has any address and the
-// next one a second later: the readers it relies on would not know of it and would send it no
-// updates.
+// Guards against a starting entry sending its first report before it has the address of any other
+// entry, and the next report only a second later: until then the readers of the store would not
+// know of this entry and would send it no updates.
 func TestEntryBroadcastsOnceAddressesAreKnown(t *testing.T) {
 	is := is.New(t)
 	s := NewState(Self{Name: "c", Process: "p"}, 0)
--- a/site/share.go
+++ b/site/share.go
@@ -19,8 +19,8 @@
 	// a reader's own confirmation is up to 1.6 s old. The rest of the 5 s for which a revoked key
 	// may be used is left for the read.
 	maxConfirmationAge = 3200 * clock.Millis(1)
-	// maxFleetAge is the same limit for the endpoints. Readers push it at once when an endpoint
-	// leaves.
+	// maxFleetAge is the same limit for the list of endpoints. Readers send an update at once when
+	// an endpoint is leaving.
 	maxFleetAge = 3500 * clock.Millis(1)
 	// divergenceTimeout is how long an entry's endpoints may differ from a reader's before the
 	// entry reads them itself: the update may still be in transit.
--- a/site/sharer.go
+++ b/site/sharer.go
@@ -12,14 +12,14 @@
 	// registered ones were read. With too many assumed, a request is occasionally refused; with
 	// too few, an endpoint in cold start is overloaded.
 	assumedEntries = 8
-	// leavingShareFactor divides the share of an entry that leaves: it accepts no new connections
-	// and only finishes its current ones.
+	// leavingShareFactor divides the share of an entry that is leaving: it accepts no new
+	// connections and only finishes its current requests.
 	leavingShareFactor = 4
 	// localFraction is the fraction of an endpoint's limit that the entries of its zone share.
 	// With an even division, an entry could send less to the endpoints of its own zone than its
-	// callers asked for, and half of its requests went to other zones, whose traffic is
-	// expensive, while its own endpoints were half idle. With a much larger fraction, an entry
-	// whose few local endpoints fail has too little capacity in other zones.
+	// callers asked for, and half of its requests went to other zones, to which traffic is
+	// expensive, while the endpoints of its own zone were half idle. With a much larger fraction,
+	// an entry whose few local endpoints fail has too little capacity in other zones.
 	localFraction = 0.5
 )
 
@@ -30,9 +30,9 @@
 	zone string
 }
 
-// sharers returns the entries that share the site's limits, sorted by name. An entry that leaves
-// gives its share to those that take over its callers: during a rolling restart a single entry
-// may have nearly all of them.
+// sharers returns the entries that share the site's limits, sorted by name. An entry that is
+// leaving gives its share to those that take over its callers: during a rolling restart a single
+// entry may have nearly all of them.
 func (s *State) sharers() (all []sharer) {
 	all = []sharer{{s.self.Name, s.self.Zone}}
 	if !s.loaded[EntryStream] {
@@ -73,10 +73,11 @@
 	return out
 }
 
-// shareOf returns this entry's share at the endpoints of one zone. An entry in a zone without
-// usable endpoints counts as local in all other zones, since its callers' requests can go nowhere
-// else. An entry of unknown zone counts in both groups, so that the shares never exceed the
-// limit.
+// shareOf returns this entry's share of the limits of endpoints in one zone. The entries of that
+// zone, called local, divide localFraction of a limit among themselves, and the remote entries
+// divide the rest. An entry whose own zone has no usable endpoints is local to every zone, since
+// its callers' requests have to go to other zones. An entry whose zone is unknown counts in both
+// groups, so that the sum of all shares never exceeds the limit.
 func (s *State) shareOf(all []sharer, zone string, inUse map[string]bool) placement.Share {
 	isLocal := func(peerZone string) bool { return peerZone == zone || peerZone != "" && !inUse[peerZone] }
 	local, remote := placement.Share{Fraction: localFraction}, placement.Share{Fraction: 1 - localFraction}
@@ -104,9 +105,11 @@
 	return share
 }
 
-func addEntry(s *placement.Share, before bool) {
+// addEntry counts an entry among those that divide a share. precedes is true if the entry comes
+// before this one in the order of names; it then moves this entry's index up by one.
+func addEntry(s *placement.Share, precedes bool) {
 	s.Entries++
-	if before {
+	if precedes {
 		s.Index++
 	}
 }
--- a/site/state.go
+++ b/site/state.go
@@ -31,12 +31,12 @@
 	startedAt clock.Millis
 	// config is never replaced by an older version during the life of the process.
 	config *catalog.Config
-	// confirmedAt is when a read was sent that confirmed config as the newest version.
+	// confirmedAt is when the last read that confirmed config as the newest version was sent.
 	confirmedAt clock.Millis
 	fleet       *fleet.Fleet
 	// loaded holds the streams that were read at least once.
 	loaded map[Stream]bool
-	// upgrades holds the last order of each service.
+	// upgrades holds the last ordered upgrade of each service.
 	upgrades map[string]*upgrade.Upgrade
 	// verdicts holds the agreed states by service. statusEnd is the offset at which the status
 	// stream ended when it was last read.
@@ -53,7 +53,7 @@
 	entriesReadAt clock.Millis
 	// delegateOrder caches the result of delegates.
 	delegateOrder delegateOrder
-	// counts and running are those of this process.
+	// counts and running are the Counts and Running of this process's last TrafficCounts.
 	counts  map[string]upgrade.Counts
 	running map[string]map[string]int
 	// keptSessions holds by service this process's sessions that stay on the old version although
@@ -78,8 +78,8 @@
 	// when the first of the failed calls failed.
 	failing      bool
 	failingSince clock.Millis
-	// wasJudge, wasReader and wasProbedByPeers are the values at the last tick of whether this
-	// entry may have to write verdicts, of reader and of probedByPeers.
+	// wasJudge, wasReader and wasProbedByPeers are values as of the last tick: whether this entry
+	// might have to write verdicts, and the results of reader and probedByPeers.
 	wasJudge         bool
 	wasReader        bool
 	wasProbedByPeers bool
@@ -88,7 +88,7 @@
 	operatorNext     int64
 	peerOperatorNext int64
 	// fleetConfirmedAt is when the endpoints were last known to match the store. divergedAt is
-	// since when another entry reports different ones; 0 while none does.
+	// when another entry first reported endpoints that differ from this entry's; 0 if none does.
 	fleetConfirmedAt clock.Millis
 	divergedAt       clock.Millis
 }
@@ -101,12 +101,14 @@
 	upgrades []*wire.UpgradeReport
 }
 
-// sameKept reports whether two reports of an upgrade name the same kept sessions.
+// sameKept reports whether two reports of an upgrade list the same sessions that stay on the old
+// version.
 func sameKept(a, b *wire.UpgradeReport) bool {
 	return a.GetNumber() == b.GetNumber() && slices.Equal(a.GetKept(), b.GetKept())
 }
 
-// changesEligibility reports whether a newer report changes which entries can be delegates.
+// changesEligibility reports whether a newer report may change which entries can be delegates, or
+// their order.
 func (p *peer) changesEligibility(r *wire.EntryReport) bool {
 	return p.report == nil || p.report.GetLeaving() != r.GetLeaving() || p.report.GetZone() != r.GetZone() ||
 		(clock.Millis(p.report.GetStoreAgeMillis()) < maxStoreAge) != (clock.Millis(r.GetStoreAgeMillis()) < maxStoreAge)
@@ -174,8 +176,8 @@
 func (s *State) entriesRead(e EntriesRead) (effects []Effect) {
 	first := !s.loaded[EntryStream]
 	s.loaded[EntryStream], s.entriesReadAt = true, e.Now
-	// Entries that sent their first report after the read was sent are missing from it, so
-	// nothing is deleted.
+	// An entry that sent its first report after this read was sent may be missing from the result,
+	// so no address is deleted.
 	for name, address := range e.Addresses {
 		s.addresses[name] = address
 	}
@@ -293,8 +295,8 @@
 }
 
 const (
-	// outageThreshold is how long the store must fail before registrations of endpoints may have
-	// expired for that reason alone: two of their heartbeats.
+	// outageThreshold is the duration of a store outage after which registrations of endpoints may
+	// have expired because of the outage alone: two of their heartbeats.
 	outageThreshold = 2400 * clock.Millis(1)
 	// recoveryGrace is how long after a store outage endpoints may take to register again.
 	recoveryGrace = 2 * clock.Second
@@ -310,8 +312,8 @@
 }
 
 // retainLapsed retains endpoints whose registrations disappeared during a store outage. Endpoints
-// cannot renew their registrations then, and removing all of them when the store is back would
-// refuse every request for two seconds.
+// cannot renew their registrations during an outage. If all of them were removed when the store is
+// back, every request would be refused for two seconds.
 func (s *State) retainLapsed(e EndpointsRead) EndpointsRead {
 	if s.recoveredAt == 0 || s.now-s.recoveredAt > recoveryGrace {
 		return e
--- a/site/state_test.go
+++ b/site/state_test.go
@@ -19,7 +19,7 @@
 )
 
 // TestScripts runs the scripts in testdata. Each command is an event at a time in milliseconds;
-// its output is the externally visible effects. The command view shows what traffic sees.
+// its output is the externally visible effects. The command "view" prints the published view.
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		s := NewState(Self{Name: "entry-b", Process: "entry-b/1", Zone: "a", Exposure: 0.2}, 0)
@@ -312,8 +312,8 @@
 }
 
 // Guards against operators' changes going unread when both readers of the store freeze without
-// notice. The others miss their reports and read the store themselves before a configuration
-// published meanwhile is overdue.
+// notice. The others notice that their reports have stopped, and read the store themselves in time
+// for a configuration that is published meanwhile.
 func TestFrozenReadersAreReplaced(t *testing.T) {
 	is := is.New(t)
 	s := NewState(Self{Name: "c", Process: "c/1"}, 0)
--- a/site/store.go
+++ b/site/store.go
@@ -1,6 +1,8 @@
-// Package site holds a process's state of its site: the configuration in force, the endpoints,
-// the upgrades in progress and the other entries. One goroutine reduces all events into this
-// state and publishes views of it, which traffic reads without locks.
+// Package site holds a process's state of its site: the configuration in force, the endpoints, the
+// upgrades in progress and the other entries. One goroutine reduces all events into this state and
+// publishes views of it, which traffic reads without locks. A few entries, the delegates, act on
+// behalf of all: the readers read the store, and the judges of upgrades decide from the counts of
+// all entries whether an upgrade is completed or rolled back.
 package site
 
 import (
--- a/site/store_calls_test.go
+++ b/site/store_calls_test.go
@@ -13,7 +13,8 @@
 	"github.com/parsleydeal/parsleydeal/upgrade"
 )
 
-// stateWithPeers returns the state of an entry with the given number of peers before it by name.
+// stateWithPeers returns the state of an entry that knows the given number of peers, all of which
+// precede it in the order of names.
 func stateWithPeers(before int) *State {
 	s := NewState(Self{Name: "entry-m", Process: "entry-m/1", Zone: "a"}, 0)
 	Reduce(s, VerdictsRead{Now: 10})
@@ -27,9 +28,9 @@
 }
 
 // Guards against every entry of a large site polling the status stream until it finds the verdict
-// of an upgrade, and retrying when the store rejects the call; with 68 entries that was a fifth
-// of a day's calls. Only entries that may have to write the verdict read the stream; the others
-// receive the verdict from their peers.
+// of an upgrade, and retrying when the store rejects the call; on a site of 68 entries these reads
+// were a fifth of all calls to the store in a day. Only entries that may have to write the verdict
+// read the stream; the others receive the verdict from their peers.
 func TestOnlyJudgesReadVerdicts(t *testing.T) {
 	is := is.New(t)
 	for _, x := range []struct {
@@ -54,7 +55,8 @@
 }
 
 // Guards against every entry reading the store when all entries of a site start at once: an entry
-// that has received no report yet must not assume that it is the first by name.
+// that has received no report yet must not assume that it is the first in the order of names, and
+// thus a reader.
 func TestSimultaneousStartDefersReading(t *testing.T) {
 	is := is.New(t)
 	s := stateWithPeers(0)
--- a/site/upgrade.go
+++ b/site/upgrade.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// verdictDelayPerRank is how long an entry waits for each entry before it to write a verdict,
-	// so that usually only one entry makes the call.
+	// verdictDelayPerRank, multiplied by an entry's rank, is how long the entry waits for the
+	// delegates before it to write a verdict, so that usually only one entry calls the store.
 	verdictDelayPerRank = 1500 * clock.Millis(1)
 	// appendRetryDelay is the delay before a failed append is retried.
 	appendRetryDelay = clock.Second
@@ -30,7 +30,7 @@
 // pendingVerdict is a verdict to be written to the status stream.
 type pendingVerdict struct {
 	verdict Verdict
-	// dueAt is when this entry may write it.
+	// dueAt is when this entry may write the verdict.
 	dueAt clock.Millis
 }
 
@@ -86,8 +86,8 @@
 	names []string
 }
 
-// delegateOrderTTL is how long an order is cached unless a report changes it. A silent entry is
-// noticed later by that much.
+// delegateOrderTTL is how long the order of the delegates is cached unless a report changes it. An
+// entry that stops sending reports is noticed later by up to that time.
 const delegateOrderTTL = 100 * clock.Millis(1)
 
 // delegates returns the entries that can act on behalf of all, including this one, in order of
@@ -214,13 +214,14 @@
 	return effects
 }
 
-// judgeCount is the number of delegates that judge upgrades. Only they receive the counts of the
-// other entries, which saves most of the reports between zones.
+// judgeCount is the number of delegates that judge upgrades. Only they receive the traffic counts
+// of the other entries; sending these counts to all entries would multiply the reports between
+// zones.
 const judgeCount = 3
 
 // judge ends an upgrade if its conditions are met, broadcasts this at once and schedules the
-// verdict. An entry that does not receive the others' running requests must not judge, as it
-// would assume that the old version is idle.
+// verdict. An entry that does not receive the others' counts of running requests must not judge:
+// it would assume that the old version is idle.
 func (s *State) judge(u *upgrade.Upgrade) (effects []Effect) {
 	if s.rank() >= judgeCount || !u.Judge(s.now, s.oldRequests(u.Order())) {
 		return nil
--- a/site/view.go
+++ b/site/view.go
@@ -53,7 +53,8 @@
 // Config returns the configuration in force; nil before the first one.
 func (v *View) Config() *catalog.Config { return v.config }
 
-// ConfirmedAt returns when a read was sent that confirmed the configuration as the newest one.
+// ConfirmedAt returns when the last read that confirmed the configuration as the newest one was
+// sent.
 func (v *View) ConfirmedAt() clock.Millis { return v.confirmedAt }
 
 // Fleet returns the endpoints.
