--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -61,8 +61,8 @@
 	return r.Kind == Idempotent || r.Kind == Streaming && r.Resumable
 }
 
-// Service returns the service for a request, which its hash selects by weight; empty if the route
-// has no targets.
+// Service returns the service for a request with the given hash, selected by the weights of the
+// targets; empty if the route has no targets.
 func (r *Route) Service(hash uint64) string {
 	total := 0.0
 	for _, t := range r.Targets {
--- a/fleet/endpoint.go
+++ b/fleet/endpoint.go
@@ -16,7 +16,7 @@
 	Slots   int
 	// Leaving means that the endpoint accepts no new requests.
 	Leaving bool
-	// ColdUntil is the end of its cold start on this process's clock; 0 if it is warm.
+	// ColdUntil is the end of the endpoint's cold start on this process's clock; 0 if it is warm.
 	ColdUntil clock.Millis
 	// Incarnation increases with each start of an endpoint under the same ID. Sequence
 	// increases with each registration of one incarnation.
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -68,8 +68,8 @@
 	return append(changed, id)
 }
 
-// coldTolerance is by how much the end of a cold start may seem to move between registrations,
-// because these were in transit for different times.
+// coldTolerance is by how much the ends of a cold start computed from two registrations may
+// differ, because the registrations were in transit for different times.
 const coldTolerance = 700 * clock.Millis(1)
 
 // differs reports whether a later registration contains a change that other processes must know.
--- a/gossip/gossip.go
+++ b/gossip/gossip.go
@@ -1,6 +1,6 @@
 // Package gossip sends short reports between the entries of a site: UDP datagrams that each entry
-// sends to others up to a few times a second. Losing one does no harm, since the next repeats its
-// content.
+// sends to others up to a few times a second. A lost datagram does no harm, since the next one
+// repeats its content.
 package gossip
 
 import (
@@ -20,8 +20,8 @@
 // ErrTooLarge is returned for a report that does not fit into one datagram.
 var ErrTooLarge = Errors.NewType("too-large")
 
-// maxDatagram is the maximum size of a report in bytes: the maximum payload of an IPv4 datagram
-// less one kilobyte.
+// maxDatagram is the maximum size of a report in bytes: one kilobyte less than the maximum payload
+// of an IPv4 datagram.
 const maxDatagram = 63 << 10
 
 // Socket sends and receives reports over UDP. Its methods may be called from several goroutines.
--- a/upstream/pool.go
+++ b/upstream/pool.go
@@ -28,8 +28,8 @@
 	clock  clock.Clock
 	dialer net.Dialer
 	mu     sync.Mutex
-	// idle holds the idle connections by address, at most as many as the last call to the
-	// address allowed, the most recently used last.
+	// idle holds the idle connections by address, the most recently used last. There are at most
+	// as many as the last call to the address allowed.
 	idle map[string][]*conn
 	// openConns counts the connections that are open, totalConns all that were ever opened.
 	openConns  atomic.Int64
@@ -147,8 +147,8 @@
 }
 
 // usable reports whether an idle connection is open and has no unread bytes. A request sent on a
-// connection that the endpoint has closed would be lost, and with unread bytes that belong to no
-// request the next answer would be a wrong one.
+// connection that the endpoint has closed would be lost, and unread bytes would be taken for the
+// answer to the next request.
 func (c *conn) usable() bool {
 	if c.r.Buffered() > 0 {
 		return false
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -47,12 +47,12 @@
 	Body   []byte
 	// HasBody is true if a Content-Length is sent even for an empty body.
 	HasBody bool
-	// NewConnection requires a new connection. The endpoint may have closed an idle one, which
-	// shows only after the request was sent on it.
+	// NewConnection requires a new connection. The endpoint may have closed an idle one, and only
+	// a request sent on it would reveal that.
 	NewConnection bool
 	// SettleTime is how long a new connection is watched before anything is sent on it. An
-	// endpoint at its connection limit accepts one more connection and then resets it; a request
-	// already sent by then may have run, as far as this process can know.
+	// endpoint at its connection limit accepts one more connection and then resets it. If a
+	// request has been sent by then, this process cannot tell whether it ran.
 	SettleTime clock.Millis
 	// MaxIdle bounds the idle connections to the address.
 	MaxIdle int
@@ -200,8 +200,8 @@
 
 var errMismatch = errors.New("answer belongs to another request")
 
-// cause returns the error of sending the request, if there was one: the read error that followed
-// is only its consequence.
+// cause returns the error of sending the request, if there was one, and else err: a read error
+// after a failed send is only its consequence.
 func (a *Answer) cause(err error) error {
 	select {
 	case <-a.bodySent:
--- a/upstream/upstream_test.go
+++ b/upstream/upstream_test.go
@@ -49,7 +49,7 @@
 const matchingAnswer = "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 3\r\n\r\nown"
 
 // An endpoint closes an idle connection just after its answer. The next request must not be sent
-// on it: it would be lost, and may not be retried.
+// on it: that request would be lost, and it may not be retried.
 func TestClosedConnectionIsNotReused(t *testing.T) {
 	is := is.New(t)
 	address := serveConns(t, func(c net.Conn, r *bufio.Reader) {
@@ -70,8 +70,8 @@
 	is.Equal(p.TotalConns(), int64(3))
 }
 
-// A late answer to another request arrives where the next answer is due. It must be skipped, and
-// the connection must not be reused afterwards.
+// A late answer to an earlier request arrives on a connection before the answer to its next
+// request. It must be skipped, and the connection must not be reused afterwards.
 func TestLateAnswerIsSkipped(t *testing.T) {
 	is := is.New(t)
 	address := serveConns(t, func(c net.Conn, r *bufio.Reader) {
