--- a/daemon/advertisement_test.go
+++ b/daemon/advertisement_test.go
@@ -40,9 +40,9 @@
 	}
 }
 
-// The store is unreachable, so that a leaving endpoint can advertise it only in its answers.
-// The failure was that entries kept sending it first attempts, retries and resumptions until
-// it was gone.
+// The store is unreachable, so that a leaving endpoint can advertise it only in its answers. The
+// failure was that entries kept sending it first attempts, retries and resumptions until it
+// stopped.
 func TestEndpointThatAdvertisesLeavingGetsNoNewRequests(t *testing.T) {
 	t.Parallel()
 	ts := newTestSite(t)
@@ -77,7 +77,7 @@
 }
 
 // All endpoints of a service refuse requests and advertise a pause with Retry-After. The failure
-// was that an entry sent them each further request all the same.
+// was that an entry ignored the pause and still sent them every further request.
 func TestAdvertisedPauseIsKept(t *testing.T) {
 	t.Parallel()
 	const pause = time.Second
@@ -114,8 +114,8 @@
 	}
 }
 
-// withinPause counts the requests in the second half of a pause that an endpoint advertised
-// when it refused an earlier one.
+// withinPause counts the refused requests that arrived in the second half of a pause which the
+// endpoint had advertised with an earlier refusal.
 func withinPause(refused []time.Time, pause time.Duration) (n int) {
 	for i, at := range refused {
 		if slices.ContainsFunc(refused[:i], func(refusedAt time.Time) bool { return at.Sub(refusedAt) > pause/2 && at.Sub(refusedAt) < pause }) {
@@ -126,8 +126,8 @@
 }
 
 // startModified starts three endpoints of each service and returns the first of each; change
-// modifies the replies of these. Streams break after an event, so that entries resume them at
-// another endpoint, and answers have low confidence, so that they escalate.
+// modifies the replies of these first endpoints. Streams break after an event, so that entries
+// resume them at another endpoint, and answers have low confidence, so that they escalate.
 func (ts *testSite) startModified(change func(reply *standin.Reply)) (modified []*standin.Endpoint) {
 	for service, base := range map[string]standin.Reply{
 		"app":  {BreakAfter: -1},
@@ -161,8 +161,8 @@
 	}
 }
 
-// maxRuns returns the largest number of runs that started within a window of the given
-// length; the window starts with a run later than after.
+// maxRuns returns the largest number of runs that started within a window of the given length, of
+// all windows that begin with a run later than the time after.
 func maxRuns(runs []standin.Run, after time.Time, window time.Duration) (highest int) {
 	for i, first := range runs {
 		n := 0
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -323,9 +323,9 @@
 	e.WaitIdle(abortCtx)
 }
 
-// settleTimeout bounds how long a stopping process waits for its bills. The
-// platform kills the process sooner or later anyway, and a bill that a holder has
-// a copy of gains nothing from a longer wait.
+// settleTimeout bounds how long a stopping process waits for its bills. The platform kills the
+// process sooner or later anyway, and waiting longer does not help a bill of which another process
+// already holds a copy.
 const settleTimeout = 20 * clock.Second
 
 // waitForBills waits until the process's bills are safe without this process.
--- a/daemon/direct.go
+++ b/daemon/direct.go
@@ -27,8 +27,8 @@
 )
 
 const (
-	// leaseMargin is how much earlier than agreed a key's lease ends here: the
-	// time that a request takes from this process to the endpoint that runs it.
+	// leaseMargin is how much earlier than agreed a key's lease ends in this process: the time
+	// that a request takes from this process to the endpoint that runs it.
 	leaseMargin = 300 * clock.Millis(1)
 	// leaveDelay is how long a stopping entry reports not ready but still accepts
 	// connections. Load balancers probe once a second and act on the second failed
@@ -131,13 +131,13 @@
 	return d, nil
 }
 
-// processID identifies this start of the entry.
+// processID returns an ID that is unique to this run of the entry, across restarts and VMs.
 func (d *direct) processID() string {
 	return fmt.Sprintf("%s/%d/%d", d.settings.VM, os.Getpid(), startedAtNanos)
 }
 
-// startedAtNanos is the start time of the process in ns since the Unix epoch. It
-// distinguishes two starts on the same VM with the same process id.
+// startedAtNanos is the start time of the process in ns since the Unix epoch. It distinguishes two
+// runs on the same VM that got the same process ID from the operating system.
 var startedAtNanos = time.Now().UnixNano()
 
 func (d *direct) serve(ctx context.Context, signals <-chan os.Signal) (err error) {
@@ -181,8 +181,8 @@
 	}
 }
 
-// receive passes a report of another entry to control, or to the server if it is about work
-// at endpoints. Only reports to control name a zone.
+// receive passes a report from another entry to the loop or, if it is about work at endpoints, to
+// the server. Only reports for the loop name a zone.
 func (d *direct) receive(r *wire.EntryReport) {
 	if r.GetZone() == "" {
 		d.server.ReceiveReport(r)
--- a/daemon/upgrade_test.go
+++ b/daemon/upgrade_test.go
@@ -95,7 +95,7 @@
 	})
 	is.True(time.Since(orderedAt) < 6*time.Second)
 	for _, run := range updated.Runs() {
-		// All forty sessions were in use before the order.
+		// All forty sessions ran on v1 before the order, and must stay there during this time.
 		if run.At.Sub(orderedAt) < 2800*time.Millisecond {
 			t.Fatalf("a session changed its version %s after the order", run.At.Sub(orderedAt))
 		}
--- a/relay/attempt.go
+++ b/relay/attempt.go
@@ -223,7 +223,8 @@
 	return a.readAnswer(h, answer)
 }
 
-// mayEscalate reports whether this answer may be dropped for an attempt at a larger model.
+// mayEscalate reports whether this answer may be dropped in favour of an attempt at a larger
+// model.
 func (a *attempt) mayEscalate() bool {
 	x := a.exchange
 	return !x.written && x.mayRepeat() && x.remaining() > minEscalationTime && x.budget().CanRetry(x.server.cfg.Clock.Now())
--- a/relay/run_test.go
+++ b/relay/run_test.go
@@ -49,7 +49,7 @@
 	})
 }
 
-// slotsOf adds an endpoint of the service app with four slots.
+// slotsOf returns the registration of an endpoint of the service app with four slots.
 func slotsOf(id, address string) fleet.Change {
 	return fleet.Change{ID: id, Endpoint: &fleet.Endpoint{ID: id, Service: "app", Address: address, Version: "v1", Slots: 4}}
 }
--- a/relay/server.go
+++ b/relay/server.go
@@ -134,7 +134,7 @@
 	req       *Request
 	view      *site.View
 	startedAt clock.Millis
-	// deadline is when the request ends, on the server's clock.
+	// deadline is when the request must have ended, on the server's clock.
 	deadline     clock.Millis
 	route        *catalog.Route
 	service      string
