--- a/daemon/idle.go
+++ b/daemon/idle.go
@@ -10,8 +10,8 @@
 	"github.com/parsleydeal/parsleydeal/clock"
 )
 
-// idleCheckInterval is the interval between two checks of idle connections: short compared
-// with the idle timeouts that operators set, which are seconds.
+// idleCheckInterval is the interval between two checks of idle connections: short compared with
+// the idle timeouts that operators set, which are several seconds.
 const idleCheckInterval = 500 * clock.Millis(1)
 
 // idleConns tracks the callers' connections that wait for a request. Operators can change
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -94,7 +94,7 @@
 // (0.8 s).
 const returnedZoneCold = 2500 * clock.Millis(1)
 
-// SetZone takes a zone out of service or back into it and reports whether that is a change.
+// SetZone takes a zone out of service or puts it back, and reports whether this changed its state.
 func (f *Fleet) SetZone(zone string, out bool, now clock.Millis) (changed bool) {
 	changed = f.out[zone] != out
 	f.snapshot = nil
--- a/relay/latency.go
+++ b/relay/latency.go
@@ -126,7 +126,8 @@
 	// attempt.
 	timeoutFactor = 4.0
 	targetRatio   = 0.6
-	// minFirstByteTimeout prevents a second attempt after a brief delay.
+	// minFirstByteTimeout is the minimum first-byte timeout, so that a brief delay causes no
+	// second attempt.
 	minFirstByteTimeout = 200 * clock.Millis(1)
 )
 
--- a/relay/share_test.go
+++ b/relay/share_test.go
@@ -42,7 +42,8 @@
 }
 
 // An entry starts while its neighbours are running. It requests a snapshot from one of them once
-// it knows one, and ignores a snapshot that it did not request; unknown addresses get none.
+// it knows one, and ignores a snapshot that it did not request. A neighbour must not send
+// snapshots to addresses that it does not know.
 func TestStartedEntryRequestsSnapshot(t *testing.T) {
 	is := is.New(t)
 	c := clock.Boot()
@@ -75,8 +76,8 @@
 	is.Equal(speeds, want)
 }
 
-// Impossible speeds come from a faulty or foreign process. They would send all prompts to the
-// endpoints of one model, or none.
+// A faulty or foreign process sends impossible speeds. If they were used, all prompts would go to
+// the endpoints of one model, or none would.
 func TestInvalidSpeedsAreDropped(t *testing.T) {
 	is := is.New(t)
 	for _, s := range []*wire.ModelSpeed{{Model: "m", Measured: 1}, {Model: "m", TokenMillis: -1, Measured: 1}, {Model: "m", TokenMillis: math.NaN(), Measured: 1}, {Model: "m", TokenMillis: 1}, {Model: "m", TokenMillis: 99, Measured: 1}, {Model: "m", TokenMillis: 1, Measured: 1, BeyondMillis: math.NaN()}, {Model: "m", TokenMillis: 1, Measured: 1, BeyondMillis: -1e9}} {
--- a/relay/snapshot.go
+++ b/relay/snapshot.go
@@ -21,8 +21,8 @@
 	// snapshotRequestTimeout is how long a started entry looks for neighbours. After that time it
 	// has collected by itself what a snapshot would contain.
 	snapshotRequestTimeout = 15 * clock.Second
-	// snapshotSendInterval is the least time between two snapshots that are sent: many entries may
-	// start at once.
+	// snapshotSendInterval is the minimum time between sending two snapshots: many entries may
+	// start at once and request one.
 	snapshotSendInterval = 50 * clock.Millis(1)
 	// maxSnapshotQueue bounds the entries that wait for a snapshot.
 	maxSnapshotQueue = 8
@@ -106,8 +106,8 @@
 	return out
 }
 
-// speedsFromWire drops impossible speeds: they would send all prompts to the endpoints of one
-// model, or none.
+// speedsFromWire drops impossible speeds: with them, all prompts would go to the endpoints of one
+// model, or none would.
 func speedsFromWire(speeds []*wire.ModelSpeed) (out []placement.ModelSpeed) {
 	for _, s := range speeds {
 		beyond := math.Abs(s.GetBeyondMillis()) < maxBeyondMillis
--- a/site/loop.go
+++ b/site/loop.go
@@ -69,7 +69,7 @@
 // their records could not be unpacked.
 func (l *Loop) Dropped() int64 { return l.dropped.Load() }
 
-// Leave reports to the other entries that this one stops.
+// Leave reports to the other entries that this one is stopping.
 func (l *Loop) Leave(ctx context.Context) { l.post(ctx, Leave{}) }
 
 // Receive queues a report from another entry. It drops and counts the report if its records cannot
--- a/site/sharer.go
+++ b/site/sharer.go
@@ -55,7 +55,7 @@
 	return all
 }
 
-// shares returns this entry's share of the limits by the endpoints' zone.
+// shares returns this entry's share of the endpoints' limits, by zone of the endpoints.
 func (s *State) shares(all []sharer) map[string]placement.Share {
 	out := make(map[string]placement.Share)
 	fleet := s.fleet.Snapshot()
--- a/site/state_test.go
+++ b/site/state_test.go
@@ -243,9 +243,9 @@
 	return b.String()
 }
 
-// Guards against using a reply to the previous process with this address. That process had
-// another clock, so the reply would make a configuration look confirmed seconds after it really
-// was.
+// Guards against using a reply that was meant for the previous process with this address. That
+// process had another clock, so the reply would make the configuration look newer than it is, by
+// seconds.
 func TestReplyToPreviousProcessIsIgnored(t *testing.T) {
 	is := is.New(t)
 	s := NewState(Self{Name: "b", Process: "b/2"}, 0)
@@ -281,8 +281,8 @@
 	is.Equal(s.View().Shares()["a"].Entries, 4*before)
 }
 
-// Entries of several zones share an endpoint's limit. Those of its own zone have most of it, and
-// the sum of all shares never exceeds the limit.
+// Entries of several zones share an endpoint's limit, of which localFraction is reserved for the
+// entries of its own zone. The sum of all shares must never exceed the limit.
 func TestSharesStayWithinLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		names := []string{"a", "b", "c", "d", "e", "f", "g"}[:rapid.IntRange(1, 7).Draw(t, "entries")]
--- a/site/upgrade.go
+++ b/site/upgrade.go
@@ -18,8 +18,8 @@
 	verdictDelayPerRank = 1500 * clock.Millis(1)
 	// appendRetryDelay is the delay before a failed append is retried.
 	appendRetryDelay = clock.Second
-	// maxStoreAge is how long the store may fail an entry before it no longer counts as a
-	// delegate.
+	// maxStoreAge is how long the calls of an entry to the store may fail before the entry no
+	// longer counts as a delegate.
 	maxStoreAge = clock.Second
 	// peerTimeout is how long after its last report an entry is replaced as a delegate. Entries
 	// report once a second. When both readers freeze, the others must notice within the 2 s in
@@ -59,9 +59,9 @@
 	s.pendingVerdicts[v.Service] = pendingVerdict{verdict: v, dueAt: s.now + clock.Millis(s.rank())*verdictDelayPerRank}
 }
 
-// rank returns the number of delegates before this entry. Registered entries count for a while
-// before their first report: entries that start together would otherwise all take the first rank
-// until they received each other's reports.
+// rank returns the number of delegates before this entry. After this entry's start, registered
+// entries count for a while even if no report from them has arrived: otherwise entries that start
+// together would all take the first rank until they receive each other's reports.
 func (s *State) rank() (rank int) {
 	rank = slices.Index(s.delegates(), s.self.Name)
 	if s.now-s.entriesReadAt >= peerTimeout {
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -189,7 +189,7 @@
 			return nil
 		}
 		// This is an answer to an earlier request on this connection. It must not reach this
-		// caller, and the right one may follow.
+		// caller; the answer to this call may follow.
 		if _, err = io.Copy(io.Discard, resp.Body); err != nil || resp.Close {
 			return errMismatch
 		}
--- a/upstream/upstream_test.go
+++ b/upstream/upstream_test.go
@@ -149,7 +149,7 @@
 }
 
 // An endpoint at its connection limit accepts a new connection and resets it. A request that may
-// run only once must not be sent on it, or it is lost.
+// run only once must not be sent on that connection, because it would be lost.
 func TestNothingIsSentOnConnectionOverLimit(t *testing.T) {
 	is := is.New(t)
 	got := make(chan struct{}, 1)
