--- a/relay/snapshot.go
+++ b/relay/snapshot.go
@@ -14,24 +14,24 @@
 
 const (
 	// snapshotRequestInterval is the time between two requests of an entry that has just started,
-	// and maxSnapshotRequests their number. After a stop of all entries no neighbour has a
+	// and maxSnapshotRequests their maximum number: after a stop of all entries no neighbour has a
 	// snapshot.
 	snapshotRequestInterval = 250 * clock.Millis(1)
 	maxSnapshotRequests     = 6
 	// snapshotRequestTimeout is how long a started entry looks for neighbours. After that time it
 	// has collected by itself what a snapshot would contain.
 	snapshotRequestTimeout = 15 * clock.Second
-	// snapshotSendInterval is the least time between two snapshots that are sent: many entries may
-	// start at once.
+	// snapshotSendInterval is the minimum time between sending two snapshots: many entries may
+	// start at once and request one.
 	snapshotSendInterval = 50 * clock.Millis(1)
 	// maxSnapshotQueue bounds the entries that wait for a snapshot.
 	maxSnapshotQueue = 8
 )
 
 // RequestSnapshot requests a snapshot of the cached blocks of endpoints and the speeds of models
-// from one neighbour after another, until one has replied. Without a snapshot prompts would be
-// processed again whose blocks the neighbours know to be cached. address is where this entry
-// receives reports.
+// from one neighbour after another, until one has replied. Without a snapshot, this entry would
+// send prompts to endpoints that do not have their blocks cached, although the neighbours know
+// endpoints that do. address is where this entry receives reports.
 func (s *Server) RequestSnapshot(ctx context.Context, name, address string, send func(r *wire.EntryReport, to []string) error) {
 	if s.cfg.Strategies.For(decision.Start) != decision.Snapshot {
 		return
@@ -106,8 +106,8 @@
 	return out
 }
 
-// speedsFromWire drops impossible speeds: they would send all prompts to the endpoints of one
-// model, or none.
+// speedsFromWire drops impossible speeds: with them, all prompts would go to the endpoints of one
+// model, or none would.
 func speedsFromWire(speeds []*wire.ModelSpeed) (out []placement.ModelSpeed) {
 	for _, s := range speeds {
 		beyond := math.Abs(s.GetBeyondMillis()) < maxBeyondMillis
@@ -119,8 +119,9 @@
 }
 
 const (
-	// maxTokenMillis is the time within which any model processes a prompt token.
+	// maxTokenMillis is the largest plausible time to process one prompt token, in milliseconds.
 	maxTokenMillis = 10.0
-	// maxBeyondMillis is the largest plausible prediction error of first bytes, in milliseconds.
+	// maxBeyondMillis is the largest plausible prediction error of the time to the first byte, in
+	// milliseconds.
 	maxBeyondMillis = 10000.0
 )
--- a/site/loop.go
+++ b/site/loop.go
@@ -13,7 +13,8 @@
 const (
 	// eventQueueSize limits the events that wait for the control goroutine.
 	eventQueueSize = 1024
-	// tickInterval is a third of countInterval, so that a report is late by at most that much.
+	// tickInterval is a third of countInterval. Reports are sent on ticks, so each is late by at
+	// most this much.
 	tickInterval = 100 * clock.Millis(1)
 	// appendTimeout limits an append. The slowest useful responses of the store take a quarter of
 	// a second.
@@ -68,7 +69,7 @@
 // their records could not be unpacked.
 func (l *Loop) Dropped() int64 { return l.dropped.Load() }
 
-// Leave reports to the other entries that this one stops.
+// Leave reports to the other entries that this one is stopping.
 func (l *Loop) Leave(ctx context.Context) { l.post(ctx, Leave{}) }
 
 // Receive queues a report from another entry. It drops and counts the report if its records cannot
