--- a/client/publish.go
+++ b/client/publish.go
@@ -24,7 +24,7 @@
 	}
 	appended, mayBeOnLog := false, false
 	for {
-		if verdict, ok := o.verdict(ctx, c.ID); ok {
+		if verdict, ok := o.findOutcome(ctx, c.ID); ok {
 			return verdict, rejectedError(verdict)
 		}
 		if !appended && ctx.Err() == nil {
@@ -48,10 +48,10 @@
 	return ErrNoVerdict.New("change %s may stand on the log; publish it again with the same id: %v", id, err)
 }
 
-// verdict looks for a change on the log. It retries a log that cannot be read until the context
+// findOutcome looks for a change on the log. It retries a log that cannot be read until the context
 // ends: sending the change again without reading the log would be harmless, but would not give the
 // verdict.
-func (o *Operator) verdict(ctx context.Context, id string) (v table.Outcome, ok bool) {
+func (o *Operator) findOutcome(ctx context.Context, id string) (v table.Outcome, ok bool) {
 	for ctx.Err() == nil {
 		h, err := o.History(ctx)
 		if err == nil {
--- a/endpoint/run_test.go
+++ b/endpoint/run_test.go
@@ -180,11 +180,11 @@
 	_ = lis.Close()
 	r := newPlainRig(t)
 	r.e.plain.CloseIdleConnections()
-	other := r.plainRigAt(url)
+	other := r.startPlainRigAt(url)
 	other.expectRefusal(other.run(t.Context(), other.serviceHead("r1", "POST", "fees"), "fee"), refusal.EngineUnreachable, refusal.NotRun)
 }
 
-func (r *rig) plainRigAt(url string) *rig {
+func (r *rig) startPlainRigAt(url string) *rig {
 	other := &rig{t: r.t, is: r.is, peers: r.peers}
 	other.start(url, true)
 	return other
--- a/entry/answer.go
+++ b/entry/answer.go
@@ -217,12 +217,12 @@
 // writeRefusal writes a typed error as the response. Nothing may have been written before.
 func writeRefusal(w http.ResponseWriter, request string, err error) {
 	r := refusal.Of(err)
-	refusalHeaders(w.Header(), request, r)
+	setRefusalHeaders(w.Header(), request, r)
 	w.WriteHeader(r.Status())
 	_ = json.NewEncoder(w).Encode(errorBody(r))
 }
 
-func refusalHeaders(h http.Header, request string, r *refusal.Refusal) {
+func setRefusalHeaders(h http.Header, request string, r *refusal.Refusal) {
 	h.Set("Content-Type", "application/json")
 	h.Set(requestHeader, request)
 	h.Set(runHeader, string(r.Run()))
--- a/entry/server.go
+++ b/entry/server.go
@@ -123,7 +123,7 @@
 		r = refusal.New(refusal.Malformed, err.Error())
 	}
 	if w := writerOf(ctx); w != nil {
-		refusalHeaders(w.Header(), uuid.NewString(), r)
+		setRefusalHeaders(w.Header(), uuid.NewString(), r)
 	}
 	return typedError{r}
 }
