--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -35,8 +35,8 @@
 	return err
 }
 
-// sendAttempt sends the attempt and receives its pieces. Disconnected is true when the connection
-// broke after the attempt may have reached the endpoint.
+// sendAttempt sends the attempt and receives its pieces. The result disconnected is true if the
+// connection broke after the attempt may have reached the endpoint.
 func (e *Entry) sendAttempt(ctx context.Context, req *requestState, vm provider.VM, seq *answers.Sequence, emit func(*wire.Piece) error) (disconnected bool, err error) {
 	ctx, watchdog, cancel := withSilenceWatchdog(ctx)
 	defer cancel()
@@ -62,8 +62,8 @@
 	return e.receive(ctx, req, seq, recv, emit)
 }
 
-// reportSilence marks an endpoint as unreachable after it fell silent, so that it is not chosen
-// for new requests.
+// reportSilence marks an endpoint as unreachable if the call to it was cancelled because it sent
+// nothing for maxSilence. It then gets no new requests.
 func (e *Entry) reportSilence(ctx context.Context, vm string) {
 	if !endedBySilence(ctx) {
 		return
@@ -75,10 +75,10 @@
 // errBodyIncomplete marks a caller's body that could not be read to its end.
 var errBodyIncomplete = errors.New("entry: caller's body broke off")
 
-// sendConcurrently sends a service's body while the answer is received. Sending the body first would
-// deadlock with a service that answers before it has read everything: the service waits for its
-// answer to be read, and the answer would only be read once the body is sent.
-// Stop ends the sending, even while it waits for the caller or the gate.
+// sendConcurrently sends a service's body while the answer is received. Sending the body first
+// would deadlock with a service that answers before it has read everything: the service waits for
+// its answer to be read, and the answer would only be read once the body is sent. The function stop
+// ends the sending, even while it waits for the caller or the gate.
 func sendConcurrently(req *requestState, send func() error, cancel func()) (stop func()) {
 	sent := make(chan struct{})
 	go func() {
@@ -101,9 +101,9 @@
 	}
 }
 
-// reattach fetches the rest of an answer from the endpoint after the connection to it broke. The run
-// continues there, and it must not or need not be repeated. If the rest cannot be fetched, cause is
-// returned.
+// reattach fetches the rest of an answer from the endpoint after the connection to it broke. The
+// endpoint continues the run, so the request is not sent again: a call that may run only once must
+// not be, and any other one need not be. If the rest cannot be fetched, cause is returned.
 func (e *Entry) reattach(ctx context.Context, req *requestState, vm provider.VM, seq *answers.Sequence, emit func(*wire.Piece) error, cause error) (err error) {
 	in := &wire.KeptRequest{Request: req.id, Organisation: req.organisation, After: seq.Next()}
 	ctx, watchdog, cancel := withSilenceWatchdog(ctx)
@@ -153,8 +153,9 @@
 	return h
 }
 
-// receive emits pieces in order. Pieces of other attempts and repeated pieces are dropped. A gap
-// ends the attempt, as the caller would get an incomplete answer.
+// receive emits pieces in order. It drops pieces of other attempts and repeated pieces. A missing
+// piece ends the attempt, as the answer would be incomplete. The result disconnected is true if the
+// stream broke.
 func (e *Entry) receive(ctx context.Context, req *requestState, seq *answers.Sequence, recv func() (*wire.Piece, error), emit func(*wire.Piece) error) (disconnected bool, err error) {
 	for {
 		p, err := recv()
@@ -186,7 +187,7 @@
 	}
 }
 
-// recordLoad passes on the endpoint's table revision and load, which come with a piece.
+// recordLoad records the table revision and the load that the endpoint reports in a piece.
 func (e *Entry) recordLoad(p *wire.Piece) {
 	e.node.ReportNewerRevision(p.GetLoad().GetVm(), "", p.GetRevision())
 	if p.GetLoad() != nil {
--- a/entry/attempt_test.go
+++ b/entry/attempt_test.go
@@ -20,7 +20,7 @@
 	"github.com/parsleydeal/parsleydeal/standin"
 )
 
-// scriptedGate is a gate that sends the pieces a test lists.
+// scriptedGate is a gate that sends the pieces listed by a test.
 type scriptedGate struct {
 	wire.DRPCGateUnimplementedServer
 	run  []*wire.Piece
@@ -29,7 +29,7 @@
 	requests chan *wire.KeptRequest
 }
 
-// Run sends the pieces in run, then closes the stream, whether or not a piece was the last one.
+// Run sends the pieces of g.run and then closes the stream, even if the answer is incomplete.
 func (g *scriptedGate) Run(stream wire.DRPCGate_RunStream) (err error) {
 	if _, err = stream.Recv(); err != nil {
 		return err
@@ -97,9 +97,10 @@
 	}
 }
 
-// The connection to an endpoint breaks in the middle of a keyed answer that also contains pieces of
-// another request, of another attempt, and a repeated one. The run continues at the endpoint and the
-// entry fetches the rest, so that the caller gets exactly its own answer in full.
+// The connection to an endpoint breaks in the middle of the answer to a request with an idempotency
+// key. The stream also contains a piece of another request, one of another attempt and a repeated
+// one. The run continues at the endpoint and the entry fetches the rest, so that the caller gets
+// exactly its own answer in full.
 func TestReattachAfterDisconnect(t *testing.T) {
 	is := is.New(t)
 	otherRequest := piece(1, "stranger ")
--- a/entry/burn.go
+++ b/entry/burn.go
@@ -14,7 +14,7 @@
 	return e.burn.Report(e.node.Settings().VM, e.node.Epoch(), v.Tables(), v.Revision())
 }
 
-// inheritBurnCounts takes over the counts of an entry that stops.
+// inheritBurnCounts takes over the counts of an entry that is stopping.
 func (e *Entry) inheritBurnCounts(data []byte) (err error) {
 	l, err := burn.DecodeHandover(data)
 	if err == nil {
--- a/entry/cascade.go
+++ b/entry/cascade.go
@@ -26,10 +26,11 @@
 	until atomic.Int64
 }
 
-// cascade answers with the first version and buffers that answer until the rater has scored it. If
-// the score is missing or below the target, it answers again with the second version, and the bill
-// lists both steps. Such a first answer is never delivered, even if the second version is not
-// available, as it would miss the quality target.
+// cascade runs the request on the plan's first version and buffers the answer until the rater has
+// scored it. If the score is missing or below the target, it runs the request again on the second
+// version, and the bill lists both steps. A first answer without a sufficient score is never
+// delivered, even if the second version is unavailable: only an answer known to meet the quality
+// target may be.
 func (e *Entry) cascade(ctx context.Context, req *requestState, p quality.Plan, emit func(*wire.Piece) error) (err error) {
 	if int64(e.node.Clock().Now()) < e.raterBackoff.until.Load() {
 		return e.runSecond(ctx, req, p, emit)
@@ -65,7 +66,8 @@
 	return e.runAttempts(ctx, req, emit)
 }
 
-// deliver emits a buffered answer; the last piece follows once the bill is safe.
+// deliver emits a buffered answer. As for any answer, finish emits the last piece once the bill is
+// safe.
 func (e *Entry) deliver(ctx context.Context, req *requestState, buffered []*wire.Piece, emit func(*wire.Piece) error) (err error) {
 	for _, p := range buffered[:len(buffered)-1] {
 		if err = emit(p); err != nil {
--- a/entry/claim.go
+++ b/entry/claim.go
@@ -15,17 +15,19 @@
 )
 
 const (
-	// maxClaimRounds bounds the earlier attempts that one request resolves.
+	// maxClaimRounds bounds how often one request claims its key. A claim that finds the key held
+	// resolves the earlier attempt that holds it.
 	maxClaimRounds = 4
-	// refuseTimeout bounds the call to the endpoint of an earlier attempt.
+	// refuseTimeout bounds the call that asks an endpoint to refuse an earlier attempt.
 	refuseTimeout = 2 * clock.Second
 	logDownRetry  = 2 * clock.Second
 	runningRetry  = clock.Second
 )
 
-// ensureClaim makes sure that a keyed call that must not run twice is dispatched under a claim. Done
-// is true when the retained answer of an earlier attempt was emitted instead. A call without a key
-// needs no claim: it is dispatched once, and run repeats it only after proof that nothing ran.
+// ensureClaim makes sure that a call with an idempotency key that must not run twice is dispatched
+// under a claim. The result done is true if the retained answer of an earlier attempt was emitted
+// instead. A call without a key needs no claim: it is dispatched once, and Entry.run repeats it
+// only if it is proven that nothing ran.
 func (e *Entry) ensureClaim(ctx context.Context, req *requestState, vm provider.VM, emit func(*wire.Piece) error) (done bool, err error) {
 	if req.repeatable || req.key == "" {
 		return false, nil
@@ -46,8 +48,8 @@
 		if done, err = e.resolveClaim(ctx, req, c, holder, offset, emit); done || err != nil {
 			return done, err
 		}
-		// Each claim needs its own attempt number. If the number were reused, an attempt that its
-		// endpoint has confirmed to refuse forever could still run.
+		// Each claim needs its own attempt number. With a reused number, an endpoint could run an
+		// attempt that it has already reported as refused for good.
 		req.attempts++
 		c.Round, c.Attempt = holder.GetRound()+1, req.attempts
 	}
@@ -75,8 +77,9 @@
 }
 
 // claimFailed decides whether a call whose claim could not be written may proceed. Nothing has been
-// dispatched, so "not run" is correct. If the claim was written after all, it names an attempt that
-// its endpoint can still refuse.
+// dispatched, so "not run" is correct. If the claim reached the log all the same, the key is held
+// by an attempt that was never sent; the next request with the key makes the endpoint refuse that
+// attempt and can then claim the key.
 func (e *Entry) claimFailed(req *requestState, cause error) error {
 	if req.view.Tables().Services[req.service].WhenLogDown == table.ServeWhenStale {
 		return nil
@@ -84,8 +87,8 @@
 	return refusal.New(refusal.LogDown, cause.Error()).WithRetryAfter(logDownRetry)
 }
 
-// resolveClaim determines the outcome of the attempt that holds the key. It returns no error only if
-// that attempt can never run or, with done set, if its answer was emitted.
+// resolveClaim determines the outcome of the attempt that holds the key. The error is nil if that
+// attempt can never run, or if its retained answer was emitted; done is true in the second case.
 func (e *Entry) resolveClaim(ctx context.Context, req *requestState, c, holder *wire.Claim, offset int64, emit func(*wire.Piece) error) (done bool, err error) {
 	verdict := claim.Decide(c, holder, req.claimRound > 0)
 	if verdict != claim.QueryHolder {
@@ -111,7 +114,8 @@
 	return false, claimRefusal(verdict)
 }
 
-// claimRefusal returns the refusal for a verdict, or nil for NextRound.
+// claimRefusal returns the refusal for a verdict. It is nil for NextRound, which lets the request
+// claim the key again.
 func claimRefusal(v claim.Verdict) error {
 	switch v {
 	case claim.NextRound:
@@ -126,8 +130,8 @@
 	return refusal.New(refusal.AlreadyRunning, "call with this key may be running or may have run").WithRun(refusal.Unknown).WithRetryAfter(runningRetry)
 }
 
-// replay emits the retained answer of an earlier attempt. Its step is billed under the earlier
-// request, where it merges with any bill already made for it.
+// replay emits the retained answer of an earlier attempt. Its step is billed under the ID of the
+// earlier request, so that it merges with any bill already made for that request.
 func (e *Entry) replay(ctx context.Context, req *requestState, vm provider.VM, holder *wire.Claim, emit func(*wire.Piece) error) (err error) {
 	ctx, watchdog, cancel := withSilenceWatchdog(ctx)
 	defer cancel()
@@ -161,8 +165,9 @@
 	}
 }
 
-// computeFingerprint hashes a call, so that a key cannot be used for two different calls. Of a body
-// longer than one frame only the first frame's bytes and the Content-Length are included.
+// computeFingerprint hashes a call, so that a key cannot be used for two different calls. If the
+// body is longer than one frame, the hash includes only the bytes of the first frame and the
+// Content-Length.
 func (c *serviceCall) computeFingerprint() (sum []byte, err error) {
 	if c.savedFingerprint != nil {
 		return c.savedFingerprint, nil
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -62,8 +62,9 @@
 	return peer.Serve(ctx, lis, e.node, nil)
 }
 
-// Leave makes every later response ask its caller to close the connection. If the entry closed idle
-// connections itself, it could close one on which a caller has just started to send.
+// Leave makes the entry ask the caller, in every later response, to close the connection. If the
+// entry closed idle connections itself, it could close one on which a caller has just started to
+// send.
 func (e *Entry) Leave() { e.leaving.Store(true) }
 
 // Serve serves callers on a listener until the context ends, then waits for the requests in flight.
@@ -104,7 +105,8 @@
 	return name, nil
 }
 
-// currentView returns the view on which a new request is decided.
+// currentView returns the view of the tables and members that a new request uses, or a refusal
+// while the entry is starting or leaving.
 func (e *Entry) currentView() (v *view.View, err error) {
 	v = e.node.View()
 	if !v.Started() {
@@ -116,8 +118,9 @@
 	return v, nil
 }
 
-// checkStaleness refuses a request if its route or service must not run on tables that have been
-// unconfirmed for too long. After is that time in milliseconds; 0 means no limit.
+// checkStaleness refuses a request if the rule of its route or service is to refuse on stale tables
+// and the tables were last confirmed more than after milliseconds ago. If after is 0 there is no
+// limit.
 func (e *Entry) checkStaleness(v *view.View, rule table.StaleRule, after int64) error {
 	staleness := int64(e.node.Clock().Since(v.ConfirmedAt()))
 	if rule == table.RefuseWhenStale && after > 0 && staleness > after {
--- a/entry/finish.go
+++ b/entry/finish.go
@@ -10,8 +10,9 @@
 // servicePrefix precedes the service's name in a bill's route.
 const servicePrefix = "services/"
 
-// runBilled reserves room for the request's bill and runs it. The reservation comes before anything
-// is dispatched, so that a refusal because of a full ledger can truthfully report "not run".
+// runBilled reserves room for the request's bill in the ledger and then runs the request. Nothing
+// is dispatched before the reservation, so a refusal because of a full ledger correctly reports
+// "not run".
 func (e *Entry) runBilled(ctx context.Context, req *requestState, emit func(*wire.Piece) error) (err error) {
 	if err = e.node.Billing().Reserve(); err != nil {
 		return err
@@ -20,8 +21,9 @@
 	return e.run(ctx, req, emit)
 }
 
-// finish makes the bill safe before the last piece is emitted. Otherwise an entry that fails right
-// after the answer would lose the only bill.
+// finish waits until the bill is safe, that is on the log or copied to another process, before it
+// emits the last piece. Otherwise an entry that fails right after the answer would lose the only
+// copy of the bill.
 func (e *Entry) finish(ctx context.Context, req *requestState, p *wire.Piece, emit func(*wire.Piece) error) (err error) {
 	if req.judging {
 		return emit(p)
@@ -37,7 +39,8 @@
 	return emit(p)
 }
 
-// settleBill bills the steps of a request that failed after they ran, or cancels the reservation.
+// settleBill bills the steps that ran before the request failed. If there are none, it cancels the
+// reservation.
 func (e *Entry) settleBill(req *requestState) {
 	switch {
 	case req.billSubmitted:
--- a/entry/key.go
+++ b/entry/key.go
@@ -24,9 +24,9 @@
 	return uuid.NewSHA1(keyNamespace, []byte(name)).String()
 }
 
-// preferredEndpoint returns the VM that a request goes to if possible: its session's or, for a keyed
-// request, one that every entry derives in the same way, so that a retry reaches the endpoint of the
-// first attempt. It is empty if there is none.
+// preferredEndpoint returns the VM that a request goes to if possible: the VM of its session or,
+// for a keyed request without one, the VM that every entry derives from the request ID, so that a
+// retry reaches the endpoint of the first attempt. It is empty if there is none.
 func (r *requestState) preferredEndpoint() string {
 	if r.session.SessionVM != "" || r.key == "" || r.service != "" {
 		return r.session.SessionVM
@@ -42,9 +42,9 @@
 	return vm
 }
 
-// fetchEarlierAnswer fetches the answer of an attempt that its endpoint has already received, when a
-// caller retries a keyed request. If that answer is no longer retained the request does not fail, as
-// it may be repeated on another endpoint.
+// fetchEarlierAnswer fetches the retained answer when a caller retries a keyed request and the
+// endpoint has already received the attempt. If the answer is no longer retained, it returns an
+// error after which the request may be repeated on another endpoint.
 func (e *Entry) fetchEarlierAnswer(ctx context.Context, req *requestState, vm provider.VM, seq *answers.Sequence, emit func(*wire.Piece) error, cause error) (err error) {
 	notRetained := refusal.New(refusal.EndpointLost, "an earlier answer is no longer kept").WithRun(refusal.Ran)
 	err = e.reattach(ctx, req, vm, seq, emit, notRetained)
@@ -54,8 +54,8 @@
 	return err
 }
 
-// alreadyRan reports whether a gate refused an attempt of a keyed chat completion because it has
-// already received it.
+// alreadyRan reports whether a gate refused an attempt of a keyed chat completion because the
+// endpoint has already received that attempt.
 func alreadyRan(req *requestState, err error) bool {
 	r, ok := refusal.As(err)
 	return ok && req.service == "" && req.key != "" && r.Code() == refusal.AlreadyRan
--- a/entry/key_test.go
+++ b/entry/key_test.go
@@ -13,9 +13,10 @@
 	"github.com/parsleydeal/parsleydeal/view"
 )
 
-// A caller's entry fails, and its retry reaches an entry whose subset of a large pool holds other
-// endpoints. If the retry went to one of those, the request would run a second time in parallel.
-// Both entries must derive the same endpoint, and different keys must spread over the pool.
+// A caller's entry fails, and the caller retries at an entry that uses a different subset of a
+// large pool. If the retry went to an endpoint of that subset, the request would run a second time
+// in parallel. Both entries must derive the same endpoint, and different keys must spread over the
+// pool.
 func TestKeyedRequestHasOnePreferredEndpoint(t *testing.T) {
 	is := is.New(t)
 	var vms []provider.VM
--- a/entry/observe.go
+++ b/entry/observe.go
@@ -50,7 +50,8 @@
 	o.entry.node.Loop().Offer(event.AnswerStarted{Now: o.lastAt, Route: o.req.routeName, Version: o.req.version, Organisation: o.req.organisation})
 }
 
-// end reports how the attempt ended, if that reflects on the version.
+// end reports how the attempt ended. It reports nothing for a failure that is not the version's
+// fault, or for a plain service.
 func (o *observer) end(err error) {
 	failed := versionFailed(err)
 	if o.req.service != "" || err != nil && !failed {
--- a/entry/plan.go
+++ b/entry/plan.go
@@ -40,8 +40,8 @@
 	return e.choose(req)
 }
 
-// choose keeps the session's version, or makes plans for a new one if the session has none or its
-// version no longer accepts new requests.
+// choose makes the plans for the request. They keep the session's version, unless the session has
+// none or its version no longer accepts new requests.
 func (e *Entry) choose(req *requestState) (err error) {
 	version := req.session.Version
 	reason := moveReason(req, version)
--- a/entry/rate.go
+++ b/entry/rate.go
@@ -34,7 +34,8 @@
 	// awaited holds at most maxAwaited samples by request ID; order lists the IDs, oldest first.
 	awaited map[string]event.Rated
 	order   []string
-	// next is the position in the rater's list, or -1 before the first poll.
+	// next is the position from which to read the rater's list of ratings, or -1 before the first
+	// poll.
 	next int64
 }
 
@@ -81,8 +82,8 @@
 	}
 }
 
-// resolve returns and removes the sample that a rating belongs to. There is none for a repeated
-// rating or for one of another entry's sample.
+// resolve returns and removes the sample that a rating belongs to. Ok is false if the rating is
+// repeated or belongs to another entry's sample.
 func (r *raterClient) resolve(request string) (e event.Rated, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/entry/request.go
+++ b/entry/request.go
@@ -14,7 +14,7 @@
 )
 
 // requestState is the state of one request in the entry: a chat completion or a call of a plain
-// service. It is owned by one goroutine.
+// service, which is a service that is not a model. It is owned by one goroutine.
 type requestState struct {
 	// id identifies the request in all processes. It is unique per request, except that retries of a
 	// keyed chat completion share it.
@@ -33,14 +33,15 @@
 	attempts uint32
 	// steps are the bill's steps, one per finished attempt.
 	steps []*wire.Step
-	// billSubmitted is true once the bill was passed to the ledger, which uses up its reservation.
+	// billSubmitted is true once the bill was passed to the ledger; the reservation is then used
+	// up.
 	billSubmitted bool
 	// claimRound and claimOffset are the round and log offset of the claim that this request last
 	// held; claimRound is 0 if it held none.
 	claimRound  uint32
 	claimOffset int64
-	// gateEpoch is the epoch of the gate process that the attempt is meant for, a number that is
-	// new at each start of the process, or 0 if this entry has not received it.
+	// gateEpoch is the epoch of the gate process that the attempt is sent to, a number that changes
+	// at each start of that process. It is 0 if the entry has not received it.
 	gateEpoch uint64
 	// fingerprint hashes the call for its claim; only plain services set it.
 	fingerprint func() (sum []byte, err error)
@@ -91,7 +92,8 @@
 	stopBody func()
 }
 
-// target returns what the request is for: a version or a plain service.
+// target returns the name of the version or plain service that the request is for; the latter has
+// the prefix servicePrefix.
 func (r *requestState) target() string {
 	if r.service != "" {
 		return servicePrefix + r.service
--- a/entry/resume.go
+++ b/entry/resume.go
@@ -8,15 +8,15 @@
 	"github.com/parsleydeal/parsleydeal/refusal"
 )
 
-// restart resets the answer before the first attempt on a version. Whether the request ran, as
-// reported to the caller, still includes earlier versions.
+// restart resets the answer before the first attempt on a version. The run state reported to the
+// caller still covers the attempts on earlier versions.
 func (r *requestState) restart() {
 	r.progress.Reset()
 	r.retryMode = answers.Restart
 }
 
-// prepareRetry decides after a failed attempt whether and how the request is retried, and prepares
-// it: from the start, or after the last token received.
+// prepareRetry decides after a failed attempt whether the request is retried, and whether from the
+// start or after the last token received. It prepares the retry and returns false if there is none.
 func (r *requestState) prepareRetry(err error) bool {
 	cause, ok := refusal.As(err)
 	if !ok {
@@ -37,8 +37,8 @@
 	return r.retryMode != answers.GiveUp
 }
 
-// addBrokenStep records the step of a call that ran but whose answer is incomplete. The call must
-// not be repeated, so no other bill will list this step.
+// addBrokenStep records the step of a call that ran but whose answer is incomplete. As the call is
+// not repeated, no later attempt bills it.
 func (r *requestState) addBrokenStep(s *wire.Step) {
 	if s != nil && !r.repeatable {
 		r.steps = append(r.steps, s)
--- a/entry/run.go
+++ b/entry/run.go
@@ -17,13 +17,13 @@
 const (
 	// maxAttempts bounds the attempts of one request on one version.
 	maxAttempts = 4
-	// maxMoves bounds how often a request is moved to another version because a gate received a hold
-	// or withdrawal before this entry.
+	// maxMoves bounds how often a request is moved to another version because a gate received a
+	// hold or withdrawal before this entry did.
 	maxMoves = 2
 )
 
-// run serves a request within its deadline. Retries happen only at this layer. Emit gets the pieces
-// of the answer in order, the last one only once the bill is safe.
+// run serves a request within its deadline. No other layer retries. The function emit gets the
+// pieces of the answer in order, and the last one only once the bill is safe.
 func (e *Entry) run(ctx context.Context, req *requestState, emit func(*wire.Piece) error) (err error) {
 	ctx, cancel := context.WithTimeout(ctx, req.deadline.Duration())
 	defer cancel()
@@ -146,8 +146,8 @@
 }
 
 // mayRetry takes one attempt from the retry budget. Attempts that did not reach their endpoint, or
-// found it not started, are free: they caused no load, and an unreachable VM must not use up the
-// budget before it is removed from the list.
+// found it not started, do not count: they caused no load, and an unreachable VM must not use up
+// the budget before it is removed from the VM list.
 //
 // An endpoint that falls silent loses all its requests at once, more than the regular budget ever
 // holds: when one of two endpoints froze, 18 requests of 36 callers got 502. This happens only once
@@ -163,9 +163,9 @@
 }
 
 const (
-	// lossRetryWindow, lossRetryRatio and lossRetrySlack bound the attempts after lost endpoints. In
-	// each window they may be half of its requests, as when one endpoint of two is lost, plus a few
-	// for times of little traffic.
+	// lossRetryWindow, lossRetryRatio and lossRetrySlack bound the attempts after lost endpoints.
+	// In each window there may be one for every second request, as when one endpoint of two is
+	// lost, plus lossRetrySlack for times of little traffic.
 	lossRetryWindow = 10 * clock.Second
 	lossRetryRatio  = 0.5
 	lossRetrySlack  = 10.0
@@ -193,9 +193,9 @@
 }
 
 // notStarted reports whether an endpoint refused an attempt because it has not started. Such an
-// endpoint is avoided like an unreachable one: it refuses faster than others answer and so looks the
-// least loaded. One of four got 15 attempts in 0.4 s, which used up the retry budget, and callers
-// were refused although three endpoints were idle.
+// endpoint is avoided like an unreachable one: it refuses faster than others answer, and so looks
+// the least loaded. One of four endpoints got 15 attempts in 0.4 s in this way, which used up the
+// retry budget, and callers were refused although the other three endpoints were idle.
 func notStarted(err error) bool {
 	r, ok := refusal.As(err)
 	return ok && r.Code() == refusal.Starting && r.Run() == refusal.NotRun
@@ -215,7 +215,7 @@
 	}
 }
 
-// outcomeOf returns what a request's result implies for the capacity of its pool.
+// outcomeOf returns what a request's result shows about the capacity of its pool.
 func outcomeOf(err error) limit.Outcome {
 	if err == nil {
 		return limit.Served
--- a/entry/run_test.go
+++ b/entry/run_test.go
@@ -22,7 +22,7 @@
 }
 
 // An engine fails after it has started an answer. This does not reflect on the pool's capacity and
-// must not narrow the window as a refusal for lack of capacity does.
+// must not narrow the queue's window as a refusal for lack of capacity does.
 func TestOnlySaturationNarrowsWindow(t *testing.T) {
 	is := is.New(t)
 	is.Equal(outcomeOf(nil), limit.Served)
--- a/entry/server.go
+++ b/entry/server.go
@@ -68,8 +68,9 @@
 	return w
 }
 
-// checkLimits refuses oversized headers and keys before any of the request is used. The server ends
-// connections with headers twice as large by itself, without a typed error.
+// checkLimits refuses oversized headers and keys before any of the request is used. If the headers
+// are twice as large as allowed, the HTTP server closes the connection by itself, without a typed
+// error.
 func (e *Entry) checkLimits(r *http.Request) error {
 	size := len(r.RequestURI)
 	for name, values := range r.Header {
@@ -86,8 +87,8 @@
 	return nil
 }
 
-// hasDotSegment reports whether a path has a segment "." or "..", with which a caller could leave
-// the service's own paths. A path that cannot be decoded counts as one.
+// hasDotSegment reports whether a path has a segment "." or "..", with which a caller could reach
+// paths outside the service. A path that cannot be decoded counts as one.
 func hasDotSegment(path string) bool {
 	for segment := range strings.SplitSeq(path, "/") {
 		plain, err := url.PathUnescape(segment)
--- a/entry/service.go
+++ b/entry/service.go
@@ -57,7 +57,7 @@
 	panic(http.ErrAbortHandler)
 }
 
-// label returns the service's name in metrics, or "" if the call was not admitted.
+// label returns the name under which metrics count the call, or "" if the call was not admitted.
 func (c *serviceCall) label() string {
 	if c.pool == "" {
 		return ""
--- a/entry/timeout.go
+++ b/entry/timeout.go
@@ -12,8 +12,9 @@
 	"github.com/parsleydeal/parsleydeal/refusal"
 )
 
-// timeoutWriter bounds the time in which a caller reads nothing of its answer. Without it a caller
-// that stops reading could hold its request, and a slot in an endpoint's window, indefinitely.
+// timeoutWriter makes writes fail if the caller has read nothing of its answer for the timeout.
+// Otherwise a caller that stops reading could hold its request, and a slot in an endpoint's window,
+// indefinitely.
 type timeoutWriter struct {
 	http.ResponseWriter
 	control *http.ResponseController
@@ -56,7 +57,7 @@
 	_ = w.control.SetWriteDeadline(now.Add(w.timeout))
 }
 
-// timeoutBody bounds the time in which no data of a body arrives.
+// timeoutBody makes reads fail if no data of the body arrives for the timeout.
 type timeoutBody struct {
 	io.ReadCloser
 	control *http.ResponseController
@@ -73,9 +74,9 @@
 }
 
 // closeUnlessEnded makes the server close the connection after a response that starts before the
-// body has ended. In full duplex net/http reads the remaining body only after it has stopped its
-// background read of the connection; it then starts that read again while it waits for the next
-// request, and panics when that request arrives.
+// body has ended. In full duplex, net/http first stops its background read of the connection and
+// then reads the rest of the body. At the end of the body it starts the background read again, and
+// panics when the next request arrives.
 func (b *timeoutBody) closeUnlessEnded(h http.Header) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -96,7 +97,7 @@
 	return n, err
 }
 
-// extendDeadline extends the deadline, unless the body was stopped.
+// extendDeadline extends the read deadline. It returns false if stop was called.
 func (b *timeoutBody) extendDeadline() (ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/entry/timeout_test.go
+++ b/entry/timeout_test.go
@@ -13,9 +13,9 @@
 )
 
 // An endpoint refuses a call while the body is being sent, and the entry stops sending and tries
-// another endpoint. If the body has already ended, stopping it must not look like a disconnect of the
-// caller: the next attempt would be cancelled, and the caller would get "unknown" for a call that
-// never ran.
+// another endpoint. If the body has already ended, stopping it must not be mistaken for a
+// disconnect of the caller: that would cancel the next attempt, and the caller would get "unknown"
+// for a call that never ran.
 func TestStopAfterEndOfBodyKeepsRequest(t *testing.T) {
 	is := is.New(t)
 	cancelled := make(chan bool, 1)
