--- a/limit/share_test.go
+++ b/limit/share_test.go
@@ -10,7 +10,7 @@
 
 // An outage makes every request ask for retries. Whatever the arrival pattern, no window may
 // contain more retries than the bound.
-func TestShareHoldsInEveryWindow(t *testing.T) {
+func TestShareHoldsInEverySpan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const windowLength = 10 * clock.Second
 		s := NewShare(windowLength, 0.6, 5)
