--- a/endpoint/admit.go
+++ b/endpoint/admit.go
@@ -14,21 +14,20 @@
 )
 
 const (
-	// catchUpTimeout is how long a request waits for tables that the entry has and this
-	// endpoint lacks.
+	// catchUpTimeout is how long a request waits until this endpoint has the tables that its entry
+	// used.
 	catchUpTimeout = 300 * clock.Millis(1)
 	// defaultQueueWait is how long a request waits for a slot if its pool sets no queue-wait.
 	defaultQueueWait   = 250 * clock.Millis(1)
 	notReadyRetryAfter = 500 * clock.Millis(1)
 )
 
-// admit checks an attempt against the endpoint's tables and acquires a slot in the window. It
-// runs before dispatch, so a request refused here has not run.
+// admit checks an attempt against the endpoint's tables and acquires a slot in the window. It runs
+// before dispatch, so a request refused here has not run.
 //
-// The tables are checked again after each wait: the request must not run if a zone was taken
-// out, a version was withdrawn or a drain started in the meantime. The slot is acquired
-// before the last check, so a drain that finds no slot in use was published before that check
-// reads the view.
+// The tables are checked again after each wait: the request must not run if a zone was taken out, a
+// version was withdrawn or a drain started in the meantime. The slot is acquired before the last
+// check: if a drain does not see the slot in use, the check sees the drain.
 func (e *Endpoint) admit(ctx context.Context, a *attempt) (err error) {
 	if err = e.catchUp(ctx, a.head); err != nil {
 		return err
@@ -44,8 +43,8 @@
 	return e.check(e.node.View(), a.head)
 }
 
-// catchUp waits for the tables that the entry's decision is based on. Without it an outdated
-// endpoint would run a version that was just withdrawn, or refuse one that was just
+// catchUp waits for the tables that the entry used to route the request. Without the wait an
+// outdated endpoint would run a version that was just withdrawn, or refuse one that was just
 // published.
 func (e *Endpoint) catchUp(ctx context.Context, head *wire.RunHead) (err error) {
 	if e.node.View().Revision() >= head.GetRevision() {
@@ -158,8 +157,8 @@
 	return nil
 }
 
-// limitsOf returns the window limits from the tables. The first-token time of a plain service
-// cannot reveal a cold start, so its window is fully open from the start.
+// limitsOf returns the window limits from the tables. The window of a plain service is fully open
+// from the start, because the first-token time of a service cannot reveal a cold start.
 func limitsOf(p table.Pool, plain bool) gate.Limits {
 	l := gate.Limits{Cold: p.ColdWindow, Full: p.FullWindow, Queue: p.Queue}
 	if plain {
--- a/endpoint/admit_test.go
+++ b/endpoint/admit_test.go
@@ -9,9 +9,8 @@
 	"github.com/parsleydeal/parsleydeal/standin"
 )
 
-// An entry sends a request that it decided on tables which this endpoint has not received
-// yet. The endpoint must wait for them instead of refusing the request or deciding on its old
-// tables.
+// An entry has newer tables than the endpoint to which it sends a request. The endpoint must wait
+// for these tables instead of refusing the request or checking it against its old tables.
 func TestOutdatedEndpointWaitsForTables(t *testing.T) {
 	r := newRig(t, 3)
 	head := r.head("r1")
--- a/endpoint/attempt.go
+++ b/endpoint/attempt.go
@@ -19,7 +19,8 @@
 	// heartbeat sends the pieces, and heartbeats while there are none.
 	heartbeat heartbeat
 	bytes     int
-	// deadline is when the caller's timeout ends, counted from receipt on this VM's clock.
+	// deadline is when the caller's timeout ends. It is computed on this VM's clock from the
+	// remaining time in the attempt, at receipt.
 	deadline time.Time
 	// ticket is the attempt's ticket at the gate; nil before it is submitted.
 	ticket *gate.Ticket
@@ -106,8 +107,8 @@
 	return err
 }
 
-// emptyPiece returns an empty piece, the same one each time: once send has returned, the
-// piece has been encoded, and only a copy of it is retained.
+// emptyPiece clears and returns the piece that the attempt reuses. Reuse is safe because send
+// encodes the piece before it returns, and only a copy is retained.
 func (a *attempt) emptyPiece() *wire.Piece {
 	a.piece.Reset()
 	return &a.piece
--- a/endpoint/cache.go
+++ b/endpoint/cache.go
@@ -16,8 +16,8 @@
 	cachePartBytes = 256 << 10
 	// maxCacheBytes bounds the size of a session's cache that may be transferred.
 	maxCacheBytes = 256 << 20
-	// cacheTimeout bounds how long a request waits for its session's cache. After it the
-	// engine prefills the prompt again, which costs only time.
+	// cacheTimeout bounds how long a request waits for its session's cache. After this time the
+	// engine prefills the prompt again, which only takes longer.
 	cacheTimeout = 2 * clock.Second
 )
 
--- a/endpoint/drain.go
+++ b/endpoint/drain.go
@@ -10,9 +10,9 @@
 const (
 	// idlePoll is how often a draining endpoint checks for remaining work.
 	idlePoll = 50 * clock.Millis(1)
-	// idleLinger is how long a draining endpoint without work keeps accepting calls. Entries
-	// that have not yet received its leaving report then get a refusal as not run, rather
-	// than a broken connection that leaves open whether the request ran.
+	// idleLinger is how long a draining endpoint without work keeps accepting calls. A request from
+	// an entry that does not know yet that the endpoint is leaving is then refused as not run.
+	// Without this time its connection would break, which leaves open whether the request ran.
 	idleLinger = 500 * clock.Millis(1)
 )
 
--- a/endpoint/endpoint.go
+++ b/endpoint/endpoint.go
@@ -1,5 +1,5 @@
-// Package endpoint implements the gate process that runs beside one engine or plain service
-// and is the only way to reach it.
+// Package endpoint implements the gate process that runs on the VM of one engine or plain service
+// (a service that is not a model). Requests reach the engine or service only through it.
 package endpoint
 
 import (
@@ -19,7 +19,8 @@
 )
 
 const (
-	// maxAttempts bounds the record of attempts that may run at most once.
+	// maxAttempts is the capacity of the AttemptTracker. It does not limit how often a request is
+	// retried.
 	maxAttempts     = 16384
 	maxAnswers      = 4096
 	maxAnswersBytes = 32 << 20
--- a/endpoint/heartbeat.go
+++ b/endpoint/heartbeat.go
@@ -14,7 +14,8 @@
 // computes for minutes is not mistaken for one.
 const heartbeatInterval = clock.Second
 
-// heartbeat sends the pieces of one stream, and empty pieces while it is idle.
+// heartbeat sends the pieces of one stream, and sends empty pieces as heartbeats while the stream
+// is idle.
 type heartbeat struct {
 	send func(*wire.Piece) error
 	// sent is true if a piece was sent since the last tick.
--- a/endpoint/heartbeat_test.go
+++ b/endpoint/heartbeat_test.go
@@ -7,10 +7,10 @@
 	"github.com/parsleydeal/parsleydeal/peer/wire"
 )
 
-// An engine takes minutes to prefill a long prompt. Without heartbeats its entry would take
-// the idle stream for that of a frozen endpoint and retry the request elsewhere again and
-// again. A heartbeat must be sent each second, but not while pieces are sent and not after
-// the last piece.
+// An engine takes minutes to prefill a long prompt. Without heartbeats its entry would conclude
+// from the idle stream that the endpoint is frozen, and retry the request on one endpoint after
+// another. A heartbeat must be sent each second, but not while pieces are sent and not after the
+// last piece.
 func TestIdleStreamSendsHeartbeats(t *testing.T) {
 	is := is.New(t)
 	const ticks = int(heartbeatInterval / watchInterval)
--- a/endpoint/leak_test.go
+++ b/endpoint/leak_test.go
@@ -12,8 +12,8 @@
 	"github.com/parsleydeal/parsleydeal/standin"
 )
 
-// Callers disconnect at any stage of their requests, and engines break off answers. If each
-// such request leaked a slot or a goroutine, the endpoint would be unusable within hours.
+// Callers disconnect at any stage of their requests, and engines abort answers. If each such
+// request leaked a slot or a goroutine, the endpoint would be unusable within hours.
 func TestNoSlotOrGoroutineLeaks(t *testing.T) {
 	r := newRig(t, 4)
 	r.patch("[tables.pools.small]\nversions = [\"small@1\"]\ncold-window = 2\nfull-window = 8\nqueue = 4\nqueue-wait = \"5ms\"\n")
--- a/endpoint/plain.go
+++ b/endpoint/plain.go
@@ -11,13 +11,12 @@
 	"github.com/parsleydeal/parsleydeal/refusal"
 )
 
-// plainPieceBytes is the maximum size of the part of a service's answer that one piece
-// carries.
+// plainPieceBytes is the maximum number of bytes of a service's answer in one piece.
 const plainPieceBytes = 32 << 10
 
-// runPlain forwards one call to a plain service. The body is streamed and never buffered in
-// full. The call is dispatched at most once: the body of the request given to net/http can be
-// read only once, so its transport never resends the call on another connection.
+// runPlain forwards one call to a plain service. The body is streamed and never buffered in full.
+// The call is dispatched at most once: its body is a stream and the request has no GetBody, so that
+// the transport of net/http cannot resend it on another connection.
 func (e *Endpoint) runPlain(ctx context.Context, a *attempt, first *wire.RunFrame) (err error) {
 	body := &frameReader{a: a, unread: first.GetBody()}
 	connected := false
--- a/endpoint/retained.go
+++ b/endpoint/retained.go
@@ -8,9 +8,9 @@
 	"github.com/parsleydeal/parsleydeal/refusal"
 )
 
-// Refuse prevents an attempt from being started and reports what became of it. The reply is
-// not-run only if the request names this incarnation of the process, since an earlier one may
-// have run the attempt.
+// Refuse prevents an attempt from being started and reports what became of it. The reply is not-run
+// only if the request names this incarnation of the process, since an earlier incarnation may have
+// run the attempt.
 func (e *Endpoint) Refuse(_ context.Context, in *wire.RefuseRequest) (out *wire.RefuseReply, err error) {
 	epoch := e.load().GetEpoch()
 	out = &wire.RefuseReply{Run: wire.RunState_RUN_UNKNOWN, Epoch: epoch}
--- a/endpoint/rig_test.go
+++ b/endpoint/rig_test.go
@@ -54,8 +54,8 @@
 fee = 5
 `
 
-// rig runs the code of one endpoint process against a stand-in engine or service. Its control
-// receives only the events that the test posts.
+// rig runs the code of one endpoint process against a stand-in engine or service. The node's event
+// loop receives only the events that the test posts.
 type rig struct {
 	t       *testing.T
 	is      *is.I
@@ -152,7 +152,8 @@
 	return l
 }
 
-// publish posts the next record of the configuration to control.
+// publish posts the next configuration record to the node's event loop and waits until the tables
+// are applied.
 func (r *rig) publish(text string) {
 	r.t.Helper()
 	page := provider.Page{Head: r.offset + 1, Records: []provider.Record{{Offset: r.offset, Data: []byte(text)}}}
--- a/endpoint/run.go
+++ b/endpoint/run.go
@@ -107,10 +107,10 @@
 	}
 }
 
-// context returns a context that ends at the attempt's deadline. A detached run continues
-// when the connection to its entry is lost: it may not be repeated, or its caller can
-// reconnect with its idempotency key. Any other run ends with the connection, which is also
-// how a cancellation reaches the engine.
+// context returns a context that ends at the attempt's deadline. A detached run continues when the
+// connection to its entry is lost, because it may not be repeated or because its caller can request
+// the answer again with its idempotency key. Any other run ends with the connection; a cancellation
+// by the caller reaches the engine in this way.
 func (a *attempt) context() (ctx context.Context, cancel context.CancelFunc) {
 	ctx = a.stream.Context()
 	if a.detached() {
@@ -124,12 +124,12 @@
 	}
 }
 
-// awaitBilling waits until the entry closes the stream, which it does once it has received
-// and billed the last piece. If the entry disconnects earlier, the step of a call that may
-// not be repeated is billed from here, because the call took effect. If both bill it, the two
-// bills merge into one, since they name the same attempt. A repeatable run is billed only by
-// an entry that delivers it: its request may have been answered by another attempt or by the
-// caller's retry, and would be billed twice.
+// awaitBilling waits until the entry closes the stream, which it does once it has received and
+// billed the last piece. If the entry disconnects earlier, the endpoint itself bills the step of a
+// call that may not be repeated, because the call took effect. If both bill it, the two bills merge
+// into one, since they name the same attempt. A repeatable run is billed only by the entry that
+// delivers its answer: the request may have been answered by another attempt or by the caller's
+// retry, and a bill from the endpoint would be a second one.
 func (a *attempt) awaitBilling() (err error) {
 	if a.retained == nil || a.head.GetRepeatable() {
 		return nil
--- a/endpoint/run_test.go
+++ b/endpoint/run_test.go
@@ -31,9 +31,9 @@
 	r.waitUntilIdle()
 }
 
-// An entry disconnects in the middle of a request with an idempotency key. The run must
-// continue, and an entry that asks for the answer must get all of it. The endpoint must not
-// bill the run, since the caller's retry may be answered and billed by another one.
+// An entry disconnects in the middle of a request with an idempotency key. The run must continue,
+// and an entry that requests the answer must get all of it. The endpoint must not bill the run,
+// since another endpoint may answer the caller's retry, which is then billed.
 func TestKeyedRunContinuesWithoutItsEntry(t *testing.T) {
 	r := newRig(t, 5)
 	r.e.orphan = func(*wire.Bill) { t.Error("billed a run that may not have been delivered") }
@@ -102,8 +102,8 @@
 	return out
 }
 
-// The caller's retry makes the endpoint refuse the first attempt, which is still in transit,
-// and the caller is told that it did not run. The attempt must not run when it arrives later.
+// While the first attempt is still in transit, the caller's retry makes the endpoint refuse it, and
+// the refusal reports that it did not run. The attempt must not run when it arrives later.
 func TestRefusalBeforeAttemptPreventsRun(t *testing.T) {
 	r := newPlainRig(t)
 	head := r.serviceHead("r1", "POST", "fees")
@@ -114,8 +114,8 @@
 	r.is.Equal(r.plain.Calls("POST", "/fees"), 0)
 }
 
-// An endpoint is asked to refuse an attempt that already ran. If it reported not-run, the fee
-// would be charged twice.
+// An endpoint is asked to refuse an attempt that already ran. If it reported not-run, the caller
+// would retry and be charged the fee twice.
 func TestRefusalAfterRunReportsRan(t *testing.T) {
 	r := newPlainRig(t)
 	head := r.serviceHead("r1", "POST", "fees")
@@ -235,9 +235,9 @@
 	r.is.True(strings.Contains(res.refusal.Message(), "takes no such request"))
 }
 
-// A chat with an idempotency key is refused while the endpoint is full, and its engine fails
-// on the caller's retry. Every retry makes the same attempt, so an endpoint that recorded
-// these failures as final would refuse the key permanently.
+// A chat with an idempotency key is refused while the endpoint is full, and its engine fails on the
+// caller's retry. Every retry has the same request ID and attempt number, so an endpoint that
+// recorded these failures as final would refuse the key permanently.
 func TestKeyedChatCanBeRetriedAfterFailures(t *testing.T) {
 	r := newRig(t, 3)
 	head := r.head("keyed")
--- a/endpoint/watch.go
+++ b/endpoint/watch.go
@@ -49,8 +49,8 @@
 	}
 }
 
-// pollEngine reads the engine's load. An engine with another generation, or one that no
-// longer accepts connections, has restarted and is cold.
+// pollEngine reads the engine's load. If the engine's generation has changed, or it no longer
+// accepts connections, it has restarted and is cold.
 func (e *Endpoint) pollEngine(ctx context.Context, wasReached bool) (reached bool) {
 	ctx, cancel := context.WithTimeout(ctx, pollTimeout.Duration())
 	defer cancel()
@@ -63,8 +63,8 @@
 		return !errorx.IsOfType(err, engine.ErrNotStarted)
 	}
 	e.status.Store(&l)
-	// The revision is read first: work on older tables that starts after this read is either
-	// seen as busy or refused by its last check.
+	// The revision is read before the busy versions. A request that was admitted on older tables is
+	// then either counted as busy or refused by its last check.
 	revision := e.node.View().Revision()
 	e.node.Loop().Offer(event.EngineReported{
 		Now: e.node.Clock().Now(), Generation: l.Generation, Versions: l.Versions, Role: l.Role, Busy: e.busy.versions(), Revision: revision,
--- a/gate/gate.go
+++ b/gate/gate.go
@@ -1,6 +1,6 @@
-// Package gate admits requests to one endpoint: through an admission window that starts small
-// and grows on good service, and a short queue in front of it that organisations share
-// fairly. It reads no clock; callers pass the time.
+// Package gate admits requests to one endpoint. An admission window bounds the requests at the
+// endpoint: it starts small and grows while first tokens arrive on time. Requests beyond it wait in
+// a short queue that organisations share fairly. The package reads no clock; callers pass the time.
 package gate
 
 import (
@@ -43,11 +43,11 @@
 	limits Limits
 	window window
 	queue  queue
-	// held lists the admitted tickets. They exceed the window only after it was closed or
-	// shrunk; nothing is admitted then until they fit.
+	// held lists the admitted tickets. After the window was closed or shrunk there may be more of
+	// them than slots; no request is admitted until that is no longer so.
 	held []*Ticket
-	// byOrganisation counts the slots in use. An organisation without one has no entry, so
-	// the window bounds the size of the map.
+	// byOrganisation counts the slots in use. An organisation that uses no slot is not in the map,
+	// so that the window bounds its size.
 	byOrganisation map[string]int
 	// generation is the engine's generation; 0 while it is unknown.
 	generation uint64
@@ -62,7 +62,8 @@
 	return g
 }
 
-// SetLimits applies new limits from the tables and keeps what was learned.
+// SetLimits applies new limits from the tables. The window keeps its size, if that is within the
+// new limits, and its first-token statistics.
 func (g *Gate) SetLimits(l Limits) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -73,8 +74,8 @@
 	g.window.setBounds(l.Cold, l.Full)
 }
 
-// Submit admits a request, queues it or refuses it at once. If the queue is full, it refuses
-// this request or one that already waits.
+// Submit admits a request, queues it or refuses it at once. If the queue is full, either this
+// request or one that already waits is refused.
 func (g *Gate) Submit(now clock.Millis, r Request) (t *Ticket) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -127,8 +128,8 @@
 	}
 }
 
-// excludeHeld ignores the first-token times of requests admitted before the window closed:
-// they belong to a window that was too large.
+// excludeHeld excludes the first-token times of all admitted requests when the window closes: these
+// times depend on the old window, which was too large.
 func (g *Gate) excludeHeld() {
 	for _, t := range g.held {
 		t.excluded = true
--- a/gate/gate_test.go
+++ b/gate/gate_test.go
@@ -8,9 +8,10 @@
 	"pgregory.net/rapid"
 )
 
-// A small organisation gets no slots while a large one keeps the endpoint busy, because the
-// large one's requests are ahead of it in the queue. Slots go to the organisation that uses
-// the fewest for its weight, so the small one must be next.
+// A large organisation keeps the endpoint busy, and its requests are ahead of a small
+// organisation's in the queue. If slots were given in order of arrival, the small one would get
+// none. They go to the organisation that uses the fewest relative to its weight, so the small one
+// must be next.
 func TestLargeOrganisationCannotStarveSmallOne(t *testing.T) {
 	is := is.New(t)
 	g := New(Limits{Cold: 2, Full: 2, Queue: 4})
--- a/gate/queue.go
+++ b/gate/queue.go
@@ -8,10 +8,10 @@
 	waiting []*Ticket
 }
 
-// next returns the ticket that gets the next slot: of those with the highest priority, the
-// one whose organisation uses the fewest slots for its weight, and among equals the earliest.
-// A large organisation that fills the queue cannot starve a small one, because each slot it
-// gets lowers its rank.
+// next returns the ticket that gets the next slot: of those with the highest priority, the one
+// whose organisation uses the fewest slots relative to its weight, and among equals the earliest. A
+// large organisation that fills the queue cannot starve a small one, because each slot it gets
+// lowers its rank.
 func (q *queue) next(held func(organisation string) int) (best *Ticket) {
 	for _, t := range q.waiting {
 		if best == nil || q.precedes(t, best, held) {
@@ -34,9 +34,9 @@
 	return float64(held(t.request.Organisation)+1) / float64(max(t.request.Weight, 1))
 }
 
-// evictionCandidate returns the ticket to refuse when the queue is too long: of those with
-// the lowest priority, the latest of the organisation with the most slots and waiting
-// requests for its weight.
+// evictionCandidate returns the ticket to refuse when the queue is too long: of those with the
+// lowest priority, the latest of the organisation with the most slots and waiting requests relative
+// to its weight.
 func (q *queue) evictionCandidate(held func(organisation string) int) (candidate *Ticket) {
 	requested := func(organisation string) int { return held(organisation) + q.countOf(organisation) }
 	for _, t := range q.waiting {
--- a/gate/ramp_test.go
+++ b/gate/ramp_test.go
@@ -10,9 +10,9 @@
 	"github.com/parsleydeal/parsleydeal/clock"
 )
 
-// rampEngine is a model of an engine in virtual time. At first its capacity is cold; each
-// request served adds step to it, up to full. Running more requests than its capacity slows
-// it down; one more than twice its capacity makes it crash.
+// rampEngine simulates an engine in virtual time. Its capacity is a number of concurrent requests:
+// e.cold at first, plus e.step for each served request, up to e.full. More requests than its
+// capacity slow it down; more than crashLoad times its capacity make it crash.
 type rampEngine struct {
 	cold, full, step float64
 	capacity         float64
@@ -60,7 +60,8 @@
 	return served
 }
 
-// start starts a request; one too many makes the engine crash.
+// start starts a request. The engine crashes if it then runs more than crashLoad times its
+// capacity.
 func (e *rampEngine) start(now clock.Millis, g *Gate, t *Ticket) {
 	e.running = append(e.running, &rampRun{ticket: t, prefill: prefillMillis, decode: decodeMillis})
 	utilisation := float64(len(e.running)) / e.capacity
@@ -152,8 +153,8 @@
 	r.waits = remaining
 }
 
-// run offers the pool load times its full rate for a duration. At coldAt all engines turn
-// cold; restarts says whether they also restart with a new generation.
+// run sends requests to the pool for a duration, at its full rate multiplied by load. At coldAt all
+// engines turn cold; if restarts is true they also restart with a new generation.
 func (r *ramp) run(duration, coldAt clock.Millis, load float64, restarts bool) {
 	rate := load * float64(len(r.engines)) * r.engines[0].full / (prefillMillis + decodeMillis)
 	next := 0.0
@@ -221,10 +222,10 @@
 		peakLoad, crashes, r.fullAt, r.served, r.refused, r.unreachable, r.arrived)
 }
 
-// Engines crash when a pool turns cold under full load: the load that a warm engine handles
-// is too much for a cold one, which crashes, restarts cold and gets the full load again. The
-// data file compares the window with fixed limits over the same requests; its numbers are
-// reproducible.
+// Engines crash when a pool turns cold under full load: the load that a warm engine handles is too
+// much for a cold one, which crashes, restarts cold and gets the full load again. The data file has
+// the results of the admission window and of fixed limits for the same requests. They are
+// reproducible, as time is virtual.
 func TestRamp(t *testing.T) {
 	datadriven.RunTest(t, "testdata/ramp", func(t *testing.T, d *datadriven.TestData) string {
 		var endpoints, cold, full, coldAt, fixed int
--- a/gate/ticket.go
+++ b/gate/ticket.go
@@ -47,16 +47,15 @@
 	// decided is closed when the state leaves Waiting.
 	decided  chan struct{}
 	admitted clock.Millis
-	// windowBusy is true if at least half of the window was in use at admission: only then
-	// does good service show that the endpoint has capacity for more.
+	// windowBusy is true if at least half of the window was in use at admission: only then does an
+	// on-time first token show that the endpoint has capacity for more.
 	windowBusy bool
 	// hasFirstToken is true once the first token was produced; onTime is true if it took no
 	// longer than is typical.
 	hasFirstToken bool
 	onTime        bool
-	// excluded is true once the first-token time no longer counts: the wait was already
-	// counted as a spike, and must not be counted twice, or the window closed after
-	// admission.
+	// excluded is true if the first-token time must not be counted: the wait for it was already
+	// counted as a spike, or the window was closed after admission.
 	excluded bool
 }
 
--- a/gate/window.go
+++ b/gate/window.go
@@ -7,8 +7,9 @@
 )
 
 const (
-	// growthPerRequest is how many slots each request that is served well adds to the window.
-	// A fully used window thus grows by this ratio of its size per round of requests.
+	// growthPerRequest is the number of slots that each request with an on-time first token adds to
+	// the window. A fully used window thus grows by this fraction of its size while each of its
+	// slots serves one request.
 	growthPerRequest = 0.5
 	// maxOnTimeRatio is the ratio to the typical first-token time above which the window does
 	// not grow: the endpoint is at its capacity for now.
@@ -23,13 +24,15 @@
 	spikesToClose = 3
 	// firstTokenSmoothing is the weight of a new sample in the typical first-token time.
 	firstTokenSmoothing = 0.125
-	// sizeClasses bounds the number of classes of requests by body size, doubling from 1 KiB.
-	// Long prompts wait longer for their first token than short ones.
+	// sizeClasses is the number of classes of requests by body size. The first has bodies below 1
+	// KiB; the bound doubles with each class, and the last has none. Long prompts wait longer for
+	// their first token than short ones.
 	sizeClasses = 14
 )
 
-// window is the number of requests that an endpoint may hold. It starts small, grows on good
-// service and closes on the signs of a cold start.
+// window bounds the number of requests admitted to an endpoint at a time. It starts small, grows
+// while first tokens arrive on time, and is closed, that is reset to its cold size, on signs of a
+// cold start.
 type window struct {
 	// size is in slots and stays between cold and full.
 	size float64
@@ -48,7 +51,7 @@
 	return min(bits.Len(uint(max(bytes, 0)>>10)), sizeClasses-1)
 }
 
-// setBounds applies new bounds and keeps what was learned.
+// setBounds applies new bounds. The size changes only if it is outside of them.
 func (w *window) setBounds(cold, full int) {
 	w.cold = cold
 	w.full = full
@@ -61,7 +64,7 @@
 func (w *window) isCold() bool { return w.slots() < w.full }
 
 // close resets the window to its cold size. It discards the typical first-token times: a cold
-// endpoint is slow and must not be compared with its warm times.
+// endpoint is slow, and its first-token times must not be compared with those of the warm one.
 func (w *window) close() {
 	w.size = float64(w.cold)
 	w.typical = [sizeClasses]float64{}
@@ -107,8 +110,8 @@
 	w.size = min(w.size+growthPerRequest, float64(w.full))
 }
 
-// shrink halves the window after a failure, which is weaker evidence of a cold start than a
-// spike.
+// shrink halves the window after a failure. It does not close it, as a failure is weaker evidence
+// of a cold start than spikes are.
 func (w *window) shrink() {
 	w.size = max(w.size/2, float64(w.cold))
 }
