--- a/answer/attempt_tracker.go
+++ b/answer/attempt_tracker.go
@@ -35,20 +35,22 @@
 	reopened
 )
 
-// AttemptTracker records the state of attempts that may run at most once, so that a refusal with
-// "not-run" is true: an attempt that was reported as not run is revoked, even if it arrives later.
-// It is safe for concurrent use.
+// AttemptTracker records the state of attempts that may run at most once. It ensures that an
+// attempt reported as "not-run" never runs: such an attempt is revoked, and refused even if it
+// arrives later. It is safe for concurrent use.
 type AttemptTracker struct {
 	mu sync.Mutex
 	// maxAttempts bounds the tracked attempts. Beyond it the oldest one that is neither waiting nor
-	// dispatched is evicted, and with it the knowledge of all claims of its stream up to its own.
+	// dispatched is evicted. From then on an untracked attempt is in an unknown state if its claim
+	// is in the same stream at or below the offset of the evicted attempt's claim.
 	maxAttempts int
 	states      map[Attempt]attemptState
 	// claims has the claim of each tracked attempt.
 	claims map[Attempt]Claim
 	order  []Attempt
-	// evictedOffsets is the highest offset of an evicted claim by stream. An untracked attempt with
-	// a claim at or below it can be neither revoked nor run here. It has at most maxStreams entries.
+	// evictedOffsets has, by stream of claims, the highest offset of an evicted attempt's claim. An
+	// untracked attempt with a claim at or below that offset may have been evicted: it must not run
+	// here, and it cannot be reported as not run. The map has at most maxStreams streams.
 	evictedOffsets map[string]int64
 	// tooManyStreams is true once evictedOffsets was full; from then on the state of every
 	// untracked attempt is unknown.
@@ -65,7 +67,8 @@
 }
 
 // Arrive records an incoming attempt. If ok is false the attempt must be refused with the returned
-// run state: revoked attempts did not run, and tracked ones are not run twice.
+// run state: not-run for a revoked attempt, ran for one that arrived before, which must not run
+// twice, and unknown for one that may have been evicted. A reopened attempt is accepted again.
 func (t *AttemptTracker) Arrive(a Attempt, c Claim) (run refusal.Run, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -110,9 +113,9 @@
 	}
 }
 
-// Reopen records that a repeatable attempt ended without a complete answer. A caller that retries
-// with its key makes the same attempt; if that were revoked, the key would be refused here until
-// the attempt is evicted.
+// Reopen records that a repeatable attempt ended without a complete answer. A caller's retry with
+// the same idempotency key has the same request ID and attempt number; if the attempt were revoked,
+// this endpoint would refuse the key until the attempt is evicted.
 func (t *AttemptTracker) Reopen(a Attempt) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -122,9 +125,10 @@
 	}
 }
 
-// Revoke bars an attempt from running and returns its run state: not-run if it did not run and
-// never will here. The state of an untracked attempt without a claim stays unknown, because its
-// revocation may be evicted before it arrives. Running is true while the attempt runs.
+// Revoke prevents an attempt from running and returns its run state: not-run if it did not run and
+// never will at this endpoint. The state of an untracked attempt without a claim stays unknown,
+// because the record of its revocation may be evicted before the attempt arrives. Running is true
+// while the attempt runs.
 func (t *AttemptTracker) Revoke(a Attempt, c Claim) (run refusal.Run, running bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -179,8 +183,8 @@
 	}
 }
 
-// removeFromOrder removes an entry of order. The first one, which is the most common case, is
-// removed without moving the rest.
+// removeFromOrder removes an element of order. The most common case, the first element, is removed
+// without moving the others.
 func (t *AttemptTracker) removeFromOrder(i int) {
 	if i == 0 {
 		t.order = t.order[1:]
--- a/answer/pack.go
+++ b/answer/pack.go
@@ -16,14 +16,14 @@
 	maxPackedTokens = 255
 )
 
-// packedPieces stores the pieces of one attempt. Nearly all of them add only a word of text; as
-// messages they would take 260 bytes each, and the retained answers of an endpoint would fill its
-// memory within minutes.
+// packedPieces stores the pieces of one attempt in little memory. Nearly all of them add only a
+// word of text. As protobuf messages they would take 260 bytes each, and the retained answers of an
+// endpoint would fill its memory within minutes.
 type packedPieces struct {
 	request string
 	attempt uint32
-	// text is the text of all packed pieces. ends and tokens have, by piece number, the end of its
-	// text and its token count.
+	// text is the text of all packed pieces. For each piece number, ends has the end of the piece's
+	// text and tokens its token count.
 	text   []byte
 	ends   []uint32
 	tokens []uint8
--- a/answer/progress.go
+++ b/answer/progress.go
@@ -66,7 +66,7 @@
 // Text returns the text to resume after.
 func (p *Progress) Text() string { return p.text.String() }
 
-// Tokens returns the number of tokens of Text, as far as the pieces counted them.
+// Tokens returns the number of tokens of Text, the sum of the counts in the accepted pieces.
 func (p *Progress) Tokens() int32 { return p.tokens }
 
 // HasOutput reports whether any part of the answer was accepted.
@@ -96,8 +96,8 @@
 	return Restart
 }
 
-// CombinedRefusal returns the refusal for the caller, with the most severe run state of all
-// attempts: the last one may not have run although an earlier one did.
+// CombinedRefusal returns the refusal for the caller. It has the most severe run state of all
+// attempts, as an earlier attempt may have run even if the last one did not.
 func (p *Progress) CombinedRefusal(cause *refusal.Refusal) *refusal.Refusal {
 	if moreSevere(p.worstRun, cause.Run()) {
 		return cause.WithRun(p.worstRun)
@@ -105,9 +105,9 @@
 	return cause
 }
 
-// RecordRan records that an attempt gave a complete answer that is not sent to the caller, as the
-// first one of a cascade was rated too poor. Without the record, a later refusal would report that
-// the request did not run.
+// RecordRan records that an attempt gave a complete answer that is not sent to the caller, for
+// example the first answer of a cascade if its rating is too low. Without this record, a later
+// refusal would report that the request did not run.
 func (p *Progress) RecordRan() { p.recordRun(refusal.Ran) }
 
 func (p *Progress) recordRun(run refusal.Run) {
--- a/answer/sequence.go
+++ b/answer/sequence.go
@@ -15,7 +15,8 @@
 var (
 	// ErrGap means that a piece of an attempt is missing.
 	ErrGap = Errors.NewType("gap")
-	// ErrNotKept means that an answer is not retained, or no longer.
+	// ErrNotKept means that the answer is not retained: it never was, or it has been dropped or
+	// evicted.
 	ErrNotKept = Errors.NewType("not-kept")
 )
 
--- a/answer/sequence_test.go
+++ b/answer/sequence_test.go
@@ -42,8 +42,8 @@
 
 var retryModeNames = map[RetryMode]string{GiveUp: "give up", Restart: "restart", Resume: "resume"}
 
-// Each script lists the pieces and failures of one request's attempts, and prints how the request
-// continues after each failure.
+// Each script lists the pieces and failures of one request's attempts. The expected output is how
+// the request continues after each failure.
 func TestProgress(t *testing.T) {
 	datadriven.RunTest(t, "testdata/progress", func(_ *testing.T, d *datadriven.TestData) string {
 		var out strings.Builder
--- a/answer/store.go
+++ b/answer/store.go
@@ -37,8 +37,8 @@
 type Store struct {
 	mu     sync.Mutex
 	limits StoreLimits
-	// byRequest and byKey index the answers of order, which is sorted by start and has at most
-	// limits.MaxAnswers.
+	// byRequest and byKey index the answers in order, which has the oldest first and at most
+	// limits.MaxAnswers of them.
 	byRequest map[string]*Retained
 	byKey     map[ownerKey]*Retained
 	order     []*Retained
@@ -79,8 +79,8 @@
 	return a
 }
 
-// Find returns the answer of a request, or else of an organisation's key. Answers of other
-// organisations are not found.
+// Find returns the answer with the owner's request ID or, if there is none, with its idempotency
+// key. It finds only answers of the owner's organisation.
 func (s *Store) Find(o Owner) (a *Retained, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -196,8 +196,9 @@
 	a.changed = make(chan struct{})
 }
 
-// Replay passes the pieces from a number on to emit and waits for further ones until the last
-// piece. It fails with ErrNotKept if the answer is dropped before, or ended without a last piece.
+// Replay passes the piece with the given number and all later ones to emit, and waits for new
+// pieces until the last one. It fails with ErrNotKept if the answer is dropped before that, or
+// ended without a last piece.
 func (a *Retained) Replay(ctx context.Context, number uint32, emit func(*wire.Piece) error) (err error) {
 	for {
 		p, changed, err := a.piece(number)
--- a/answer/store_test.go
+++ b/answer/store_test.go
@@ -17,8 +17,8 @@
 	return text, err
 }
 
-// A caller whose entry failed retries while its answer is still being produced. It gets the pieces
-// so far and then the remaining ones as they arrive.
+// A caller whose entry failed retries while its answer is still being produced. It must get the
+// pieces so far and then the remaining ones as they arrive.
 func TestRetainedAnswerIsStreamedWhileItGrows(t *testing.T) {
 	is := is.New(t)
 	s := NewStore(StoreLimits{MaxAnswers: 4, MaxBytes: 1 << 20, MaxAnswerBytes: 1 << 20, Retention: 100})
--- a/batch/assignment.go
+++ b/batch/assignment.go
@@ -8,11 +8,12 @@
 )
 
 const (
-	// entriesPerAppender is the number of entries of a zone per appender.
+	// entriesPerAppender is the number of entry processes for each appender of a zone. The number
+	// of appenders is rounded up.
 	entriesPerAppender = 24
-	// appenderAppendsPerSecond and otherAppendsPerSecond are the limits that all appenders and all
-	// other processes share on the stream of bills. Together with the claims they stay well below
-	// the several hundred appends per second that the log accepts.
+	// appenderAppendsPerSecond and otherAppendsPerSecond are the limits on the stream of bills, the
+	// first shared by all appenders and the second by all other processes. Together with the claims
+	// they stay well below the several hundred appends per second that the log accepts.
 	appenderAppendsPerSecond = 150.0
 	otherAppendsPerSecond    = 50.0
 	// ClaimAppendsPerSecond is the limit that all processes share on the streams of claims.
@@ -25,23 +26,24 @@
 	Zone    string
 	Region  string
 	Address string
-	// Entry is true for an entry. Endpoints hold copies only if no entry can.
+	// Entry is true for an entry process, false for an endpoint. Endpoints hold copies only if no
+	// entry can.
 	Entry bool
 }
 
-// Assignment decides which processes append and which hold copies, by the members that one process
-// sees. Processes with different lists may decide differently, which costs only an extra append. It
-// is immutable.
+// Assignment decides which processes append bills and which hold copies of them, from the list of
+// members that one process has. Processes with different lists may decide differently; this only
+// costs an extra append. An Assignment is immutable.
 type Assignment struct {
 	self    Member
 	members []Member
 	byID    map[string]Member
-	// appenders are a few entries of each zone, of all regions, sorted by ID.
+	// appenders are a few entry processes of each zone, of all regions, sorted by ID.
 	appenders []Member
 }
 
-// NewAssignment returns the assignment for the live members that are not leaving, which may include
-// self.
+// NewAssignment returns the assignment for a list of members, which must be live and not leaving.
+// It may include self.
 func NewAssignment(self Member, members []Member) *Assignment {
 	assignment := &Assignment{self: self, members: members, byID: make(map[string]Member, len(members))}
 	byZone := make(map[string][]Member)
@@ -82,9 +84,9 @@
 	return out
 }
 
-// Holder returns the process that holds the other copy of a key and appends it: the best appender
-// outside the zones, or else any other process. Self and the processes in exclude are not selected.
-// Ok is false if there is none.
+// Holder returns the process that holds the other copy of the bill with a key and appends it: the
+// best appender outside the listed zones or, if there is none, the result of FallbackHolder. Self
+// and the processes in exclude are not selected. Ok is false if no process is left.
 func (a *Assignment) Holder(key string, zones, exclude []string) (m Member, ok bool) {
 	if m, ok = a.selectMember(key, zones, exclude, a.appenders, a.tier); ok {
 		return m, true
@@ -93,13 +95,14 @@
 }
 
 // FallbackHolder returns a process that can hold a copy when the appenders are full, which happens
-// early in an outage of the log. The load is spread over all processes of the region, then over
-// those of other regions.
+// early in an outage of the log. As in Holder, zones and exclude are left out. The load is spread
+// over all processes of the region and, if there are none, over those of other regions.
 func (a *Assignment) FallbackHolder(key string, zones, exclude []string) (m Member, ok bool) {
 	return a.selectMember(key, zones, exclude, a.members, func(m Member) int { return a.tier(m) &^ 1 })
 }
 
-// selectMember returns the member of the lowest tier that ranks first for the key.
+// selectMember returns, of the members in the lowest tier, the one that ranks first for the key by
+// rendezvous hashing.
 func (a *Assignment) selectMember(key string, zones, exclude []string, from []Member, tier func(Member) int) (best Member, ok bool) {
 	var lowest int
 	var first uint64
@@ -134,7 +137,8 @@
 	return otherAppendsPerSecond / float64(max(len(a.members), 1))
 }
 
-// AppenderCount returns the number of processes that append on behalf of all.
+// AppenderCount returns the number of appenders, the processes that append the bills of all others
+// too.
 func (a *Assignment) AppenderCount() int { return len(a.appenders) }
 
 // Writer returns the entry that appends to a stream. Ok is false if there are no entries.
--- a/batch/batcher.go
+++ b/batch/batcher.go
@@ -12,7 +12,7 @@
 	// maxRecordEntries and maxRecordBytes bound one record. A larger entry is a record of its own.
 	maxRecordEntries = 500
 	maxRecordBytes   = 256 << 10
-	// maxBurstAppends is the largest number of appends without a pause.
+	// maxBurstAppends is how many appends may follow each other without waiting for the rate.
 	maxBurstAppends = 3.0
 	// minBackoff is the delay after the first failure of the log. It doubles up to maxBackoff.
 	minBackoff = 250 * clock.Millis(1)
@@ -112,8 +112,8 @@
 	// prefix makes batch IDs unique across processes and their restarts.
 	prefix string
 	seq    uint64
-	// queue has the entries that are in no batch yet, oldest first. The caller bounds it, by its
-	// ledger of bills or its undecided claims.
+	// queue has the entries that are in no batch yet, oldest first. Its length is bounded by the
+	// callers, which limit the bills in their ledger and the undecided claims.
 	queue []Entry
 	// batchID and inFlight are the batch being appended; inFlight is empty if there is none.
 	batchID  string
@@ -121,12 +121,13 @@
 	phase    phase
 	// uncertain is true while the batch in flight may be on the log after a failed append.
 	uncertain bool
-	// head never exceeds the offset of the next record at the last read or append, so that a scan
-	// from it misses no later record.
+	// head is at most the offset that the next record had at the last read or append, so that a
+	// scan from head misses no later record.
 	head int64
 	// scanFrom is the offset at which the search for an uncertain batch continues.
 	scanFrom int64
-	// rate is in appends per second; tokens is its bucket, last refilled at refilledAt.
+	// rate is in appends per second. tokens is the level of the token bucket that enforces it, last
+	// refilled at refilledAt.
 	rate       float64
 	tokens     float64
 	refilledAt clock.Millis
@@ -198,8 +199,9 @@
 	if b.phase != idle || b.Pending() == 0 {
 		return nil
 	}
-	// The head is read before the first append. An uncertain batch is searched for from there
-	// before it is sent again; otherwise each lost reply would put a batch on the log twice.
+	// The head is read before the first append. A batch that may be on the log is searched for from
+	// the head on before it is sent again; otherwise each lost reply would put a batch on the log
+	// twice.
 	if b.head == unknownHead || b.uncertain {
 		b.phase = scanning
 		return []Effect{Scan{From: b.scanStart()}}
@@ -247,7 +249,7 @@
 	return b.completeBatch(e.Now, e.Offset)
 }
 
-// completeBatch finishes the batch in flight, which is on the log at an offset.
+// completeBatch finishes the batch in flight, which is on the log at the given offset.
 func (b *Batcher) completeBatch(now clock.Millis, offset int64) (effects []Effect) {
 	ids := make([]string, len(b.inFlight))
 	for i, e := range b.inFlight {
@@ -299,8 +301,8 @@
 			return b.completeBatch(e.Now, r.Offset)
 		}
 	}
-	// Records that expired unread are skipped. If the batch was among them it is sent again, which
-	// is harmless because readers reduce by key.
+	// Records that expired before they were read are skipped. If the batch was among them it is
+	// sent again, which is harmless because readers reduce by key.
 	b.scanFrom = max(b.scanFrom, e.Page.First)
 	if b.scanFrom >= e.Page.Head || len(e.Page.Records) == 0 {
 		b.uncertain = false
--- a/batch/record.go
+++ b/batch/record.go
@@ -1,6 +1,6 @@
-// Package batch writes many small entries to the platform's log with few appends. It decides which
-// process appends, combines entries into records, keeps to the log's rate limit and finds out
-// whether an append without a reply took effect.
+// Package batch writes many small entries, that is bills and claims, to the platform's log with few
+// appends. It decides which process appends, combines entries into records, keeps to the log's rate
+// limit and finds out whether an append without a reply took effect.
 package batch
 
 import (
@@ -15,9 +15,11 @@
 // ErrMalformed means that a record is not a valid batch.
 var ErrMalformed = Errors.NewType("malformed")
 
-// Entry is one item for the log: a bill or a claim.
+// Entry is one item for the log: a bill or a claim. It is unrelated to the entry processes of
+// package entry.
 type Entry struct {
-	// ID identifies the entry to its writer. It is not part of the record.
+	// ID identifies the entry in the calls and results of Batcher and Writer. It is not part of the
+	// record.
 	ID    string
 	Bill  *wire.Bill
 	Claim *wire.Claim
@@ -45,8 +47,8 @@
 	return data, err
 }
 
-// Decode parses a record of the log. An error is of type ErrMalformed, also for a record without a
-// batch ID, which no batcher wrote.
+// Decode parses a record of the log. An error is of type ErrMalformed. A record without a batch ID
+// is malformed too, as every Batcher sets one.
 func Decode(data []byte) (r *wire.JournalRecord, err error) {
 	r = &wire.JournalRecord{}
 	if err = proto.Unmarshal(data, r); err != nil {
--- a/batch/writer.go
+++ b/batch/writer.go
@@ -30,9 +30,10 @@
 	ctx context.Context
 }
 
-// NewWriter returns a writer that makes up to rate appends per second and calls done with the IDs and
-// the offset of logged entries. The prefix is that of NewBatcher. Without Run,
-// appends that failed or were delayed by the rate wait for the next Add or SetRate.
+// NewWriter returns a writer that makes up to rate appends per second. It calls done with the IDs
+// of entries once they are on the log, and with their offset. As for NewBatcher, the prefix must be
+// unique to this incarnation of the process. While Run is not running, appends that failed or were
+// delayed by the rate are only made at the next Add or SetRate.
 func NewWriter(store provider.Log, stream, prefix string, rate float64, c clock.Clock, done func(ids []string, offset int64)) *Writer {
 	return &Writer{store: store, stream: stream, clock: c, done: done, batcher: NewBatcher(prefix, rate), ctx: context.Background()}
 }
@@ -129,7 +130,8 @@
 	defer cancel()
 	page, err := w.store.Read(ctx, w.stream, f.From, 0)
 	if errorx.IsOfType(err, provider.ErrExpired) {
-		// The records to search have expired; only the head is still useful.
+		// The records that were to be searched have expired. A read beyond the head returns the
+		// current bounds without records.
 		const beyondHead = int64(1) << 62
 		page, err = w.store.Read(ctx, w.stream, beyondHead, 0)
 	}
--- a/engine/engine.go
+++ b/engine/engine.go
@@ -58,9 +58,9 @@
 	// Session is the session whose KV cache the engine may use. It is empty unless the engines of
 	// the pool transfer caches.
 	Session string
-	// ResumeAfter and ResumeText are the number and text of an answer's first tokens, after which
-	// the engine resumes. Set them only for engines that can resume; an empty ResumeText means a
-	// request from the start.
+	// ResumeAfter and ResumeText are the number and the text of the answer's tokens that were
+	// already received. The engine generates only what follows them. Set them only for engines that
+	// can resume; if ResumeText is empty the answer starts from its first token.
 	ResumeAfter int32
 	ResumeText  string
 }
--- a/engine/order.go
+++ b/engine/order.go
@@ -18,7 +18,7 @@
 }
 
 // SendOrder sends an order to the engine. ErrFenced, ErrRejected, ErrBusy and ErrNotStarted prove
-// that it had no effect; any other error leaves that open.
+// that it had no effect; after any other error the order may have had an effect.
 func (e *Engine) SendOrder(ctx context.Context, c Command) (err error) {
 	body, err := json.Marshal(c)
 	if err != nil {
