--- a/chat/chat.go
+++ b/chat/chat.go
@@ -98,7 +98,8 @@
 	// Param is always null; clients of chat completions expect the field.
 	Param *string `json:"param"`
 	Run   string  `json:"run"`
-	// RetryAfterMillis is 0 when a retry makes no difference.
+	// RetryAfterMillis is the delay after which to retry, or 0 if a retry would fail in the same
+	// way.
 	RetryAfterMillis int64 `json:"retry_after_ms,omitempty"`
 }
 
@@ -142,8 +143,9 @@
 	return json.Marshal(fields)
 }
 
-// minPrefixBytes is the minimum length of a prefix that gets a hash. Recomputing a shorter one costs
-// an engine less than it costs callers when all requests that happen to share it go to one endpoint.
+// minPrefixBytes is the minimum length of a prefix that gets a hash. Requests with the same hash go
+// to one endpoint, where the prefix is cached. For a shorter prefix, sending all its requests to
+// one endpoint would delay callers more than recomputing the prefix does.
 const minPrefixBytes = 1 << 10
 
 // PrefixHash returns a hash of the part of the prompt that later requests of the conversation share:
--- a/chat/prefix_test.go
+++ b/chat/prefix_test.go
@@ -15,8 +15,8 @@
 	return r
 }
 
-// All callers send the same short question. Guards against treating it as a shared prefix: all
-// requests would go to the endpoint that answered it first, and replaced or idle endpoints would get
+// All callers send the same short question. If it were treated as a shared prefix, all requests
+// would go to the endpoint that answered it first, and idle or newly started endpoints would get
 // none.
 func TestShortPrefixHasNoHash(t *testing.T) {
 	is := is.New(t)
--- a/client/operator.go
+++ b/client/operator.go
@@ -103,10 +103,10 @@
 	return out, nil
 }
 
-// History is the configuration stream as far as the log retains it.
+// History is the content of the configuration stream, as far back as the log retains it.
 type History struct {
 	State table.State
-	// Verdicts holds the verdicts on the records, oldest first.
+	// Verdicts holds the outcomes of the changes and checkpoints on the log, oldest first.
 	Verdicts []table.Outcome
 }
 
@@ -125,8 +125,8 @@
 	}
 }
 
-// firstOffset returns the lowest offset that the log retains. It reads beyond the head, which returns
-// the bounds without records.
+// firstOffset returns the lowest offset that the log retains. It reads beyond the head, as the log
+// then returns its bounds without records.
 func (o *Operator) firstOffset(ctx context.Context) (offset int64, err error) {
 	p, err := o.Log.Read(ctx, provider.ConfigStream, math.MaxInt64, 0)
 	return p.First, err
--- a/client/publish.go
+++ b/client/publish.go
@@ -12,20 +12,20 @@
 // pollInterval is the time between two attempts to publish or two status checks.
 const pollInterval = 200 * clock.Millis(1)
 
-// Publish appends a change and returns the verdict of the log's readers. It retries until the
-// context ends. When the reply to an append is lost, it looks for the change on the log before it
-// sends it again under the same ID, so the change takes effect once. It returns ErrRejected when the
-// readers rejected the change; when the context ends, ErrNoVerdict if the change may be on the log
-// and ErrNotSent if it is not.
-func (o *Operator) Publish(ctx context.Context, c *table.Change) (verdict table.Outcome, err error) {
+// Publish appends a change to the log and returns its outcome, which is the same in every process.
+// It retries until the context ends. If the reply to an append is lost, it looks for the change on
+// the log before it sends it again under the same ID, so that the change takes effect once. It
+// returns ErrRejected if the change is on the log but invalid. If the context ends first, it
+// returns ErrNoVerdict if the change may be on the log, and ErrNotSent if it is not.
+func (o *Operator) Publish(ctx context.Context, c *table.Change) (outcome table.Outcome, err error) {
 	data, err := c.Encode()
 	if err != nil {
-		return verdict, err
+		return outcome, err
 	}
 	appended, mayBeOnLog := false, false
 	for {
-		if verdict, ok := o.findOutcome(ctx, c.ID); ok {
-			return verdict, rejectedError(verdict)
+		if outcome, ok := o.findOutcome(ctx, c.ID); ok {
+			return outcome, rejectedError(outcome)
 		}
 		if !appended && ctx.Err() == nil {
 			_, err = o.Log.Append(ctx, provider.ConfigStream, data)
@@ -36,7 +36,7 @@
 			}
 		}
 		if !o.Pause(ctx, pollInterval) {
-			return verdict, noVerdictError(c.ID, mayBeOnLog, err)
+			return outcome, noVerdictError(c.ID, mayBeOnLog, err)
 		}
 	}
 }
@@ -48,9 +48,9 @@
 	return ErrNoVerdict.New("change %s may stand on the log; publish it again with the same id: %v", id, err)
 }
 
-// findOutcome looks for a change on the log. It retries a log that cannot be read until the context
-// ends: sending the change again without reading the log would be harmless, but would not give the
-// verdict.
+// findOutcome looks for a change on the log and returns its outcome. If the log cannot be read, it
+// retries until the context ends: sending the change again instead would be harmless, but would not
+// show the outcome.
 func (o *Operator) findOutcome(ctx context.Context, id string) (v table.Outcome, ok bool) {
 	for ctx.Err() == nil {
 		h, err := o.History(ctx)
@@ -69,15 +69,15 @@
 	return ErrRejected.New("change %s: %s", v.ID, v.Reason)
 }
 
-// InForce lists the VMs by whether a revision is in force there. No includes VMs whose status is not
-// known.
+// InForce lists the VMs on which a revision is in force (Yes) and the others (No). No includes the
+// VMs whose status could not be read.
 type InForce struct {
 	Yes []VMStatus
 	No  []VMStatus
 }
 
-// WaitInForce waits until every listed VM has a revision or a later one. When the context ends first,
-// it returns the state seen last and ErrNotInForce.
+// WaitInForce waits until the revision or a later one is in force on every VM in the VM list. If
+// the context ends first, it returns the last state read and ErrNotInForce.
 func (o *Operator) WaitInForce(ctx context.Context, revision int64) (seen InForce, err error) {
 	for {
 		all, err := o.Status(ctx)
--- a/client/publish_test.go
+++ b/client/publish_test.go
@@ -34,9 +34,9 @@
 	}}
 }
 
-// The log appends the change, but its reply is lost. Guards against appending the change again,
-// reporting a conflict with the operator's own change, or returning without a verdict: Publish must
-// read the log before it retries.
+// The log appends the change, but its reply is lost. Publish must read the log before it retries.
+// Otherwise it would append the change again, report a conflict with the operator's own change, or
+// return without the outcome.
 func TestPublishAfterLostReplyAppendsOnce(t *testing.T) {
 	is := is.New(t)
 	op, p := newOperator(t)
@@ -48,7 +48,7 @@
 	is.Equal(len(p.Records(provider.ConfigStream)), 1)
 	again, err := op.Publish(t.Context(), change("one", -1))
 	is.NoErr(err)
-	is.Equal(again, v) // the same ID gets the same verdict
+	is.Equal(again, v) // the same ID gets the same outcome
 	is.Equal(len(p.Records(provider.ConfigStream)), 1)
 }
 
--- a/limit/admission.go
+++ b/limit/admission.go
@@ -27,11 +27,11 @@
 type Admission struct {
 	window window
 	fair   fairQueue
-	// rate is the number of completions per millisecond, smoothed as if the whole of rateWindow
-	// had been observed; 0 while unknown.
+	// rate is the smoothed number of completions per millisecond, 0 while unknown. Until the whole
+	// rateWindow has been observed it is too low, which expectedWait corrects.
 	rate      float64
 	lastEndAt clock.Millis
-	// observed is how much of rateWindow had requests in flight, at most rateWindow.
+	// observed is the time during which requests were in flight, at most rateWindow.
 	observed clock.Millis
 }
 
@@ -73,9 +73,8 @@
 }
 
 // takeSlot occupies a slot. Time without any request in flight does not count towards the
-// completion rate: otherwise the first completions after a start or a pause would make the pool
-// look many times slower than it is, and the requests behind them would be refused with far too
-// long a retry delay.
+// completion rate. Otherwise the rate after a start or a pause would be many times too low, and
+// waiting requests would be refused with a far too long retry delay.
 func (a *Admission) takeSlot(now clock.Millis) {
 	if a.window.inFlight == 0 {
 		a.lastEndAt = now
--- a/limit/fair.go
+++ b/limit/fair.go
@@ -13,7 +13,8 @@
 type Item struct {
 	ID           string
 	Organisation string
-	// Weight is the organisation's share relative to others, at least 1.
+	// Weight is the organisation's share of the service relative to the weights of others, at least
+	// 1.
 	Weight int
 	// Priority orders an organisation's own requests, the highest first; it has no effect on
 	// other organisations.
@@ -37,7 +38,7 @@
 type orgQueue struct {
 	items  []Item
 	weight float64
-	// nextStart is the virtual time at which the next request is due.
+	// nextStart is the virtual time at which the organisation's next request is due.
 	nextStart float64
 }
 
@@ -133,8 +134,8 @@
 	return true
 }
 
-// share returns the fraction of the service that the request's organisation gets among those
-// with waiting requests, and how many of its own requests are ahead of this one.
+// share returns the fraction of the service that the request's organisation gets while requests of
+// others wait too, and the number of the organisation's requests ahead of this one.
 func (f *fairQueue) share(it Item) (share float64, ahead int) {
 	sum := float64(max(it.Weight, 1))
 	for n, q := range f.queues {
--- a/limit/queue.go
+++ b/limit/queue.go
@@ -9,8 +9,8 @@
 	"github.com/parsleydeal/parsleydeal/refusal"
 )
 
-// maxQueues bounds the pools with a queue of their own; all further pools share the queue of the
-// empty name.
+// maxQueues bounds the versions and services with a queue of their own. All further ones share one
+// queue, which has the empty name.
 const maxQueues = 256
 
 // Queues holds one queue for each model version or plain service. It is safe for concurrent use.
@@ -102,8 +102,8 @@
 	}
 }
 
-// giveUp takes a request out of the queue. If it was granted a slot at the same moment, it uses
-// the slot, or releases it if the caller has disconnected.
+// giveUp takes a request out of the queue. If the request was granted a slot at the same moment, it
+// uses that slot, or releases it if the caller has disconnected.
 func (q *Queue) giveUp(ctx context.Context, it Item, ready chan error) (err error) {
 	q.mu.Lock()
 	found := q.admission.Remove(it)
--- a/limit/retry_budget.go
+++ b/limit/retry_budget.go
@@ -7,8 +7,8 @@
 const (
 	// retryRatio is how many retries each request adds to the budget.
 	retryRatio = 0.1
-	// retryBurst bounds the budget that accumulates, so that a site with little traffic can also
-	// move requests away from an unreachable endpoint.
+	// retryBurst is the maximum budget, in retries, and also the initial one. It lets a site with
+	// little traffic move requests away from an unreachable endpoint too.
 	retryBurst = 10.0
 )
 
@@ -18,7 +18,7 @@
 // requests there are at most n*ratio + burst retries. It is safe for concurrent use.
 type RetryBudget struct {
 	mu sync.Mutex
-	// tokens is between 0 and burst.
+	// tokens is the number of retries left, between 0 and burst.
 	tokens float64
 	ratio  float64
 	burst  float64
@@ -33,7 +33,7 @@
 	return &RetryBudget{tokens: burst, ratio: ratio, burst: burst}
 }
 
-// RecordRequest adds a request's share of a retry to the budget.
+// RecordRequest adds the ratio of one request to the budget, up to the burst.
 func (r *RetryBudget) RecordRequest() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/limit/share.go
+++ b/limit/share.go
@@ -6,17 +6,17 @@
 	"github.com/parsleydeal/parsleydeal/clock"
 )
 
-// Share bounds retries relative to the requests of the same sliding window: each window allows
-// at most ratio times its requests plus slack. It is one entry's share of a bound on all
-// entries. Unlike RetryBudget, it lets a busy part of the window use what a quiet part left
-// over. It is safe for concurrent use.
+// Share bounds retries relative to the requests of the same sliding window: each window allows at
+// most ratio times its requests plus slack. Each entry has its own Share, so that together the
+// entries stay within a common bound. Unlike with RetryBudget, retries that a quiet part of the
+// window leaves unused may be used in a busy part. It is safe for concurrent use.
 type Share struct {
 	mu           sync.Mutex
 	windowLength clock.Millis
 	ratio        float64
 	slack        float64
-	// buckets holds the counts of one window, and current is the number of the newest bucket,
-	// counted from time 0.
+	// buckets holds the counts of one window. current is the number of the newest bucket, where
+	// bucket 0 starts at time 0.
 	buckets [windowBuckets + 1]bucket
 	current clock.Millis
 }
@@ -26,8 +26,9 @@
 	retries  int
 }
 
-// windowBuckets is the number of buckets in a window. Retries are kept for one bucket longer
-// than requests, so that the bound holds for every window, wherever in a bucket it begins.
+// windowBuckets is the number of buckets in a window. Retries are counted for one bucket longer
+// than requests, so that the bound holds for every window, also for one that begins in the middle
+// of a bucket.
 const windowBuckets = 10
 
 // NewShare returns a Share without requests.
--- a/limit/share_test.go
+++ b/limit/share_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// An outage makes every request ask for retries. Whatever the arrival pattern, no window may
-// contain more retries than the bound.
+// During an outage every request needs retries. Whatever the arrival pattern, no window may contain
+// more retries than the bound.
 func TestShareHoldsInEverySpan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const windowLength = 10 * clock.Second
@@ -39,7 +39,8 @@
 					requests++
 				}
 			}
-			// The bound counts the requests of this window or the one before it.
+			// The bound includes the requests of the window before this one: Share's own window may
+			// have started up to one window length earlier.
 			before := 0
 			for j := range i {
 				if steps[i].at-steps[j].at <= windowLength && !steps[j].retry {
@@ -53,9 +54,9 @@
 	})
 }
 
-// After a run of good answers, half of the answers of a few seconds are poor. With a small
-// entry's share of the slack, a token bucket would let fewer than a third of them be retried,
-// though the window as a whole allows it.
+// After a run of good answers, half of the answers of a few seconds are poor. With the small slack
+// of one entry, a token bucket would allow a retry for fewer than a third of them, although the
+// whole window has enough unused retries.
 func TestShareCarriesUnusedRetriesWithinWindow(t *testing.T) {
 	is := is.New(t)
 	s := NewShare(10*clock.Second, 0.63, 1.7)
--- a/limit/window.go
+++ b/limit/window.go
@@ -11,8 +11,7 @@
 	cutFactor   = 0.95
 	cutInterval = 100 * clock.Millis(1)
 	// growthPause is how long the window does not grow after a refusal. If it grew at once, it
-	// would overfill the gates again each time, and the requests that they refuse fail for their
-	// callers.
+	// would overload the gates again after each refusal, and callers would get the refusals.
 	growthPause = clock.Second
 )
 
@@ -35,8 +34,8 @@
 type window struct {
 	size     float64
 	inFlight int
-	// lastCutAt is the time of the last cut by cutFactor, lastRefusedAt that of the last
-	// refusal.
+	// lastCutAt is when the window was last cut by cutFactor, and lastRefusedAt when a gate last
+	// refused a request.
 	lastCutAt     clock.Millis
 	lastRefusedAt clock.Millis
 }
--- a/session/session.go
+++ b/session/session.go
@@ -49,8 +49,9 @@
 	Issued int64 `json:"issued"`
 }
 
-// Keys signs and verifies tokens. All entries have the same secrets. To rotate, a new secret is
-// given to all entries before it becomes current, and the old one is removed after a lifetime.
+// Keys signs and verifies tokens. All entries have the same secrets. To rotate secrets, give the
+// new one to all entries before it becomes current, and remove the old one after one token
+// lifetime.
 type Keys struct {
 	secrets  map[string][]byte
 	current  string
