--- a/answer/copy_test.go
+++ b/answer/copy_test.go
@@ -7,8 +7,9 @@
 	"github.com/parsleydeal/parsleydeal/peer/wire"
 )
 
-// An endpoint reuses its buffers for the next answer. A retained answer must neither change with
-// them nor reference them, which would cost several KB of memory per answer.
+// An endpoint reuses its buffers for the next answer. A retained answer must not change when they
+// are reused. It must not reference them either, as each answer would then keep several KB of
+// memory in use.
 func TestRetainedPiecesAreCopied(t *testing.T) {
 	is := is.New(t)
 	s := NewStore(StoreLimits{MaxAnswers: 1, MaxBytes: 1 << 20, MaxAnswerBytes: 1 << 20})
--- a/batch/assignment.go
+++ b/batch/assignment.go
@@ -141,7 +141,8 @@
 // too.
 func (a *Assignment) AppenderCount() int { return len(a.appenders) }
 
-// Writer returns the entry that appends to a stream. Ok is false if there are no entries.
+// Writer returns the entry process that makes all appends to a stream. Ok is false if there are no
+// entry processes.
 func (a *Assignment) Writer(stream string) (m Member, ok bool) {
 	var entries []Member
 	for _, m := range a.members {
--- a/batch/batcher.go
+++ b/batch/batcher.go
@@ -149,7 +149,7 @@
 // Appends returns the number of attempted appends.
 func (b *Batcher) Appends() int64 { return b.appends }
 
-// Failing reports whether the last call of the log failed.
+// Failing reports whether the last call to the log failed.
 func (b *Batcher) Failing() bool { return b.backoff > 0 }
 
 // Reduce applies one event and returns the effects in order.
--- a/batch/writer.go
+++ b/batch/writer.go
@@ -12,7 +12,7 @@
 
 const (
 	tickInterval = 20 * clock.Millis(1)
-	// callTimeout bounds one call of the log. A call that timed out may have taken effect.
+	// callTimeout bounds one call to the log. A call that timed out may have taken effect.
 	callTimeout = 5 * clock.Second
 )
 
@@ -26,7 +26,7 @@
 
 	mu      sync.Mutex
 	batcher *Batcher
-	// ctx is the context of Run once it runs. No call of the log outlives it.
+	// ctx is the context of Run once it runs. No call to the log outlives it.
 	ctx context.Context
 }
 
@@ -80,7 +80,7 @@
 	return w.batcher.Appends()
 }
 
-// Failing reports whether the last call of the log failed.
+// Failing reports whether the last call to the log failed.
 func (w *Writer) Failing() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/endpoint/busy.go
+++ b/endpoint/busy.go
@@ -2,8 +2,8 @@
 
 import "sync"
 
-// busy counts the admitted attempts per version, so that no version is unloaded while it is
-// in use. It has at most as many entries as the window has slots.
+// busy counts the admitted attempts per version, so that no version is unloaded while it is in use.
+// It has at most as many versions as the window has slots.
 type busy struct {
 	mu       sync.Mutex
 	attempts map[string]int
--- a/endpoint/endpoint.go
+++ b/endpoint/endpoint.go
@@ -47,7 +47,7 @@
 	// aborted is cancelled by Abort.
 	aborted context.Context
 	abort   context.CancelFunc
-	// orphan receives the bill of a step whose entry disconnected before it received the last
+	// orphan receives the bill of a step if the entry disconnected before it received the last
 	// piece.
 	orphan func(*wire.Bill)
 }
--- a/endpoint/order.go
+++ b/endpoint/order.go
@@ -39,9 +39,10 @@
 }
 
 // sendOrder sends one order to the engine, unless its lease has expired or a newer one exists.
-// Without these checks a process that was paused after the decision would act on a lease that
-// another process has taken over. Engines that check fencing numbers reject such orders themselves.
-// For other engines, the lease stream is read before the order is sent.
+// Without these checks, a process that was paused between deciding on the order and sending it
+// would use a lease that another process has taken over by then. Engines that check fencing numbers
+// reject such orders themselves. For other engines, the lease stream is read before the order is
+// sent.
 func (e *Endpoint) sendOrder(f event.SendOrder) event.OrderOutcome {
 	if f.CompareFence && !e.hasNewestLease(f.Fence) {
 		return event.OrderFenced
--- a/endpoint/rig_test.go
+++ b/endpoint/rig_test.go
@@ -66,7 +66,7 @@
 	address string
 	peers   *peer.Pool
 	offset  int64
-	// store serves all streams except that of the configuration.
+	// store serves all streams except the configuration stream.
 	store provider.Log
 	// fetched receives the versions whose weights were requested.
 	fetched chan string
--- a/entry/silence.go
+++ b/entry/silence.go
@@ -17,8 +17,8 @@
 // errSilent marks a stream that was cancelled because its endpoint sent nothing.
 var errSilent = errors.New("entry: endpoint fell silent")
 
-// silenceWatchdog cancels the context of a call when its endpoint falls silent. Its timer only runs
-// while the entry waits for a piece, not while it processes one.
+// silenceWatchdog cancels the context of a call when its endpoint falls silent. Its timer is
+// stopped while the entry processes a piece.
 type silenceWatchdog struct {
 	timer *time.Timer
 }
--- a/gate/gate.go
+++ b/gate/gate.go
@@ -44,7 +44,7 @@
 	window window
 	queue  queue
 	// held lists the admitted tickets. After the window was closed or shrunk there may be more of
-	// them than slots; no request is admitted until that is no longer so.
+	// them than slots; then no request is admitted until enough of them have finished.
 	held []*Ticket
 	// byOrganisation counts the slots in use. An organisation that uses no slot is not in the map,
 	// so that the window bounds its size.
--- a/gate/window.go
+++ b/gate/window.go
@@ -19,8 +19,8 @@
 	spikeRatio = 4
 	// minSpike is the first-token time up to which nothing counts as a spike.
 	minSpike = 50 * clock.Millis(1)
-	// spikesToClose is the number of consecutive spikes that close the window. A single spike
-	// is as often caused by the request itself.
+	// spikesToClose is the number of consecutive spikes that close the window. A single spike is
+	// just as likely to be caused by the request itself.
 	spikesToClose = 3
 	// firstTokenSmoothing is the weight of a new sample in the typical first-token time.
 	firstTokenSmoothing = 0.125
--- a/limit/admission_test.go
+++ b/limit/admission_test.go
@@ -233,10 +233,10 @@
 	is.Equal(q.admission.window.inFlight, int(initialWindow))
 }
 
-// An entry has just started in front of a cold pool that runs four requests at a time, 100 ms
-// each, and twenty arrive at once. After the first completion the others must wait their half
-// second. If idle time counted towards the completion rate, they would be refused with a retry
-// delay of 18 s.
+// An entry has just started in front of a cold pool that runs four requests at a time, 100 ms each,
+// and twenty arrive at once. After the first completion the others must be queued, for half a
+// second at most. If idle time counted towards the completion rate, they would be refused with a
+// retry delay of 18 s.
 func TestFirstCompletionsDoNotLookLikeSlowPool(t *testing.T) {
 	is := is.New(t)
 	for _, pause := range []clock.Millis{0, clock.Minute} {
--- a/limit/queue.go
+++ b/limit/queue.go
@@ -45,8 +45,8 @@
 	clock     clock.Clock
 	mu        sync.Mutex
 	admission *Admission
-	// waiting holds one channel for each waiting request: nil lets it start, an error refuses
-	// it.
+	// waiting holds one channel for each waiting request, by its ID. The channel gets nil when the
+	// request may start, or the error with which it is refused.
 	waiting map[string]chan error
 }
 
--- a/limit/share_test.go
+++ b/limit/share_test.go
@@ -54,9 +54,10 @@
 	})
 }
 
-// After a run of good answers, half of the answers of a few seconds are poor. With the small slack
-// of one entry, a token bucket would allow a retry for fewer than a third of them, although the
-// whole window has enough unused retries.
+// Of the answers of a few seconds, the first half is good and the second half poor, so that each
+// answer of the second half needs a retry. With the small slack of one entry, a token bucket would
+// allow a retry for fewer than 34 of the 50 poor answers, although the whole window has enough
+// unused retries for all.
 func TestShareCarriesUnusedRetriesWithinWindow(t *testing.T) {
 	is := is.New(t)
 	s := NewShare(10*clock.Second, 0.63, 1.7)
