--- a/batch/assignment.go
+++ b/batch/assignment.go
@@ -95,8 +95,9 @@
 }
 
 // FallbackHolder returns a process that can hold a copy when the appenders are full, which happens
-// early in an outage of the log. As in Holder, zones and exclude are left out. The load is spread
-// over all processes of the region and, if there are none, over those of other regions.
+// early in an outage of the log. As with Holder, processes in the listed zones or in exclude are
+// not selected. The load is spread over all processes of the region and, if there are none, over
+// those of other regions.
 func (a *Assignment) FallbackHolder(key string, zones, exclude []string) (m Member, ok bool) {
 	return a.selectMember(key, zones, exclude, a.members, func(m Member) int { return a.tier(m) &^ 1 })
 }
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -119,11 +119,11 @@
 }
 
 // checkStaleness refuses a request if the rule of its route or service is to refuse on stale tables
-// and the tables were last confirmed more than after milliseconds ago. If after is 0 there is no
-// limit.
-func (e *Entry) checkStaleness(v *view.View, rule table.StaleRule, after int64) error {
+// and the tables have not been confirmed for more than maxAgeMillis. If maxAgeMillis is 0 there is
+// no limit.
+func (e *Entry) checkStaleness(v *view.View, rule table.StaleRule, maxAgeMillis int64) error {
 	staleness := int64(e.node.Clock().Since(v.ConfirmedAt()))
-	if rule == table.RefuseWhenStale && after > 0 && staleness > after {
+	if rule == table.RefuseWhenStale && maxAgeMillis > 0 && staleness > maxAgeMillis {
 		return refusal.New(refusal.Stale, "tables are not confirmed").WithRetryAfter(staleRetry)
 	}
 	return nil
