--- a/bill/bill.go
+++ b/bill/bill.go
@@ -1,6 +1,7 @@
 // Package bill produces one bill for each request. The Ledger keeps a bill until it is stored on
-// the log, and the Statement reads the bills back from the log. A bill is keyed by request: two
-// bills of one request merge into the union of their steps.
+// the log, and the Statement reads the bills back from the log. A bill has one step for each
+// attempt of its request. It is keyed by request: two bills of one request merge into the union of
+// their steps.
 package bill
 
 import (
@@ -24,10 +25,10 @@
 	ErrFull = Errors.NewType("full")
 )
 
-// Merge returns a bill with the steps of both bills, each attempt once. The result does not depend
-// on the order of the arguments: if two steps of one attempt differ, the complete one, then the
-// cheaper one, is kept. Conflicts lists attempts whose costs differ. A nil bill is treated as
-// empty.
+// Merge returns a bill with the steps of both bills, each attempt once. Of two different steps of
+// one attempt it takes the complete one or, if both or neither are complete, the cheaper one, so
+// the result does not depend on the order of the arguments. Conflicts returns the attempts whose
+// costs differ. A nil bill is treated as empty.
 func Merge(a, b *wire.Bill) *wire.Bill {
 	if a == nil {
 		return b
--- a/bill/due.go
+++ b/bill/due.go
@@ -19,8 +19,8 @@
 }
 
 // needsAction reports whether a bill must be appended here or copied to another process. The keeper
-// takes no action while a holder is alive and within its time limit, as every bill would otherwise
-// be appended twice.
+// takes no action while a holder is alive and appendTimeout has not passed, as every bill would
+// otherwise be appended twice.
 func (l *Ledger) needsAction(x *entry, now clock.Millis) bool {
 	if x.pending != "" {
 		return false
--- a/bill/event.go
+++ b/bill/event.go
@@ -12,8 +12,9 @@
 // Effect is an action that the caller of Reduce must perform for a Ledger.
 type Effect interface{ isEffect() }
 
-// Finish adds the bill of a finished request. Reserved is true if Reserve was called for it. An
-// orphaned step has no reservation and is accepted beyond the bound, as it would otherwise be lost.
+// Finish adds the bill of a finished request. Reserved is true if Reserve was called for it. A step
+// whose entry went away before it billed the step has no reservation. Its bill is accepted beyond
+// the bound, as it would otherwise be lost.
 type Finish struct {
 	Now      clock.Millis
 	Bill     *wire.Bill
@@ -29,7 +30,8 @@
 }
 
 // HoldRequested carries bills that another process asks this one to hold. Zone is the availability
-// zone of the other copy, or several zones separated by spaces.
+// zone of the copy that already exists. If there are several copies, it lists their zones,
+// separated by spaces.
 type HoldRequested struct {
 	Now    clock.Millis
 	Zone   string
@@ -40,7 +42,7 @@
 // Stored reports that bills are on the log, by the IDs of their Append effects.
 type Stored struct{ IDs []string }
 
-// Released reports that another process has seen bills on the log.
+// Released reports that, according to another process, bills are on the log.
 type Released struct{ Requests []string }
 
 // MembersChanged replaces the assignment of appenders and holders after a change of the members.
@@ -59,27 +61,28 @@
 type Hold struct {
 	VM      string
 	Address string
-	// Zone is the availability zone of the other copy, or several zones separated by spaces. Keeper
-	// is the process that has that copy; empty means this process.
+	// Zone is the availability zone of the copy that already exists. If there are several copies,
+	// it lists their zones, separated by spaces. Keeper is the process that made the bill, if that
+	// is another process and still live; empty means that this process acts as the keeper.
 	Zone   string
 	Keeper string
 	Bill   *wire.Bill
 }
 
-// Append requests that a bill is put on the log. Stored must follow with the same ID.
+// Append requests that a bill be appended to the log. Stored must follow with the same ID.
 type Append struct {
 	ID   string
 	Bill *wire.Bill
 }
 
-// Withdraw requests that bills are removed from the journal, unless they have been sent.
+// Withdraw cancels Append effects, by their IDs, whose bills have not been sent to the log yet.
 type Withdraw struct{ IDs []string }
 
 // Safe reports that a bill has two copies or is on the log, so the last piece of the answer may be
 // sent.
 type Safe struct{ Request string }
 
-// Release requests that a process is informed that bills are on the log.
+// Release requests that a process be notified that bills are on the log.
 type Release struct {
 	VM       string
 	Requests []string
--- a/bill/fuzz_test.go
+++ b/bill/fuzz_test.go
@@ -47,8 +47,8 @@
 	})
 }
 
-// FuzzTaken passes arbitrary messages of peers to a ledger, which must not crash or keep more bills
-// than its bound.
+// FuzzTaken passes arbitrary hold requests of peers to a ledger, which must not panic or hold more
+// bills than its bound.
 func FuzzTaken(f *testing.F) {
 	addSeeds(f)
 	f.Fuzz(func(t *testing.T, data []byte) {
--- a/bill/ledger.go
+++ b/bill/ledger.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	// DefaultBound is the maximum number of bills of its own that a process keeps while they wait
-	// for the log. The same maximum applies separately to bills of other processes.
+	// DefaultBound is the maximum number of its own bills that a process keeps until they are on
+	// the log. A separate maximum of the same size applies to the bills that it holds for others.
 	DefaultBound = 24 << 10
-	// maxInitialHolds is how many processes are asked to hold a new bill before it is appended
-	// here.
+	// maxInitialHolds is how many processes are asked to hold a new bill before this process
+	// appends the bill itself.
 	maxInitialHolds = 2
 	// maxHoldRequests is how many processes are asked in total for a bill that lost its holder, and
 	// maxHoldRequestsPerCheck how many requests of this kind one check sends. In a long outage of
@@ -24,8 +24,8 @@
 	maxHoldRequestsPerCheck = 64
 	// HoldTimeout is the timeout of a hold request, and the age beyond which its reply is ignored.
 	HoldTimeout = 400 * clock.Millis(1)
-	// appendTimeout is when the keeper of a bill appends it itself because the holder has not
-	// confirmed that it did.
+	// appendTimeout is the time after which the keeper of a bill appends it itself if the holder
+	// has not confirmed that the bill is on the log.
 	appendTimeout = 10 * clock.Second
 )
 
@@ -36,7 +36,8 @@
 	keeper string
 	// zones are the availability zones in which other processes hold a copy.
 	zones []string
-	// requestedFrom lists the processes that may hold a copy and must be notified of the release.
+	// requestedFrom lists the processes that were asked to hold a copy. Each may have one, so each
+	// is notified when the bill is on the log.
 	requestedFrom []string
 	// holders are the processes in requestedFrom that confirmed that they hold a copy.
 	holders []string
@@ -48,7 +49,7 @@
 	lastHeldAt clock.Millis
 	// callerWaits is true while the last piece of the answer waits for Safe.
 	callerWaits bool
-	// queued is true once the bill has been handed to the journal.
+	// queued is true once an Append effect of the bill has been returned.
 	queued bool
 	// merges counts the merges that added steps here. Copies at other processes lack these steps.
 	merges int
@@ -66,15 +67,16 @@
 	assignment *batch.Assignment
 	// reserved counts the reservations of requests in progress.
 	reserved int
-	// entries holds bills by request: at most bound less reserved of this process, and at most
-	// bound of others. No bill is evicted: at the bound, new requests and new holds are refused.
+	// entries holds bills by request: at most bound minus reserved that this process made, and at
+	// most bound that it holds for others. No bill is evicted: at the bound, new requests and new
+	// holds are refused.
 	entries  map[string]*entry
 	own      int
 	draining bool
 }
 
 // NewLedger returns an empty ledger of a process in an availability zone. The bound is the maximum
-// number of bills, as for DefaultBound.
+// number of its own bills and, separately, of bills that it holds for others.
 func NewLedger(zone string, bound int) *Ledger {
 	return &Ledger{zone: zone, bound: bound, entries: make(map[string]*entry)}
 }
@@ -172,8 +174,8 @@
 	return l.requestHold(x, maxInitialHolds, e.Now)
 }
 
-// finishExisting finishes a bill of which the ledger already has a copy. The copy came from an
-// endpoint that considered this process unreachable.
+// finishExisting handles the Finish of a request whose bill the ledger already holds for an
+// endpoint. The endpoint made that bill because it considered this process unreachable.
 func (l *Ledger) finishExisting(x *entry, e Finish) (effects []Effect) {
 	mergesBefore := x.merges
 	x.callerWaits = true
@@ -184,8 +186,8 @@
 	return effects
 }
 
-// merge adds steps to a bill in the ledger. Copies at other processes lack these steps, so the
-// merged bill is appended from here and a release by those processes does not count.
+// merge adds steps to a bill in the ledger. Copies at other processes lack these steps, so this
+// process appends the merged bill itself and ignores Released events for it.
 func (l *Ledger) merge(x *entry, b *wire.Bill) (effects []Effect) {
 	merged := Merge(x.bill, b)
 	if len(merged.GetSteps()) != len(x.bill.GetSteps()) {
@@ -196,9 +198,9 @@
 	return l.queue(x)
 }
 
-// requestHold asks the next process to hold a bill, or hands the bill to the journal if maxRequests
-// processes have been asked. The first process asked is an appender. Later ones are chosen from all
-// processes, since when one appender is full all of them are.
+// requestHold asks the next process to hold a bill, or appends the bill if maxRequests processes
+// have been asked. The first process asked is an appender. Later ones are chosen from all
+// processes, because if one appender is full, all of them are.
 func (l *Ledger) requestHold(x *entry, maxRequests int, now clock.Millis) (effects []Effect) {
 	if l.assignment == nil || len(x.requestedFrom) >= maxRequests {
 		return l.queue(x)
@@ -225,13 +227,14 @@
 	return []Effect{h}
 }
 
-// transfers reports whether a further copy replaces the one here because this process is stopping.
+// transfers reports whether the next copy of a bill replaces the copy of this process, which is
+// stopping.
 func (l *Ledger) transfers(x *entry) bool { return l.draining && len(x.zones) > 0 }
 
-// excluded returns the availability zones and VMs that may not hold a further copy: those that have
-// one, and the zone of this process unless its copy is being replaced. The first holder of a
-// draining process must be in another zone as well, because the answer is released while both
-// copies exist.
+// excluded returns the availability zones and VMs that must not hold a further copy: those that
+// have one, and the zone of this process unless its copy is being replaced. A draining process
+// excludes its own zone for the first holder too, because the answer is sent when only that holder
+// and this process have copies.
 func (l *Ledger) excluded(x *entry) (zones, vms []string) {
 	zones = slices.Clone(x.zones)
 	if !l.transfers(x) {
@@ -240,7 +243,7 @@
 	return zones, append(slices.Clone(x.requestedFrom), x.keeper)
 }
 
-// queue hands a bill to the journal unless that has been done.
+// queue returns the Append effect of a bill unless it has been returned before.
 func (l *Ledger) queue(x *entry) (effects []Effect) {
 	if x.queued {
 		return nil
--- a/bill/ledger_test.go
+++ b/bill/ledger_test.go
@@ -88,7 +88,7 @@
 }
 
 // BenchmarkWaitingBill measures the memory of one bill that waits for the log with a holder. It
-// does not include the bill's entry in the journal.
+// does not include the memory of its Append in package batch.
 func BenchmarkWaitingBill(b *testing.B) {
 	l := NewLedger("zone-a", b.N)
 	l.Reduce(MembersChanged{Assignment: newAssignment("vm-b zone-b")})
--- a/bill/statement.go
+++ b/bill/statement.go
@@ -15,14 +15,14 @@
 const (
 	// CorruptRecord is a record that cannot be decoded. It is skipped.
 	CorruptRecord AnomalyKind = "corrupt-record"
-	// ConflictingSteps is one attempt with two costs. If both steps are complete or neither is, the
-	// bill has the lower cost; else that of the complete step.
+	// ConflictingSteps is one attempt with two costs. The bill has the cost of the complete step
+	// or, if both or neither are complete, the lower cost.
 	ConflictingSteps AnomalyKind = "conflicting-steps"
 	// ConflictingOwner is one request billed to two organisations or routes.
 	ConflictingOwner AnomalyKind = "conflicting-owner"
 	// Incomplete is a bill without a request ID or without a complete step.
 	Incomplete AnomalyKind = "incomplete"
-	// UnknownOrganisation is a bill of an organisation that is in no tables.
+	// UnknownOrganisation is a bill of an organisation that is not, and never was, in the tables.
 	UnknownOrganisation AnomalyKind = "unknown-organisation"
 )
 
--- a/burn/burn_test.go
+++ b/burn/burn_test.go
@@ -50,7 +50,7 @@
 	return Line{}
 }
 
-// An entry reports twice, as its first reply was late, and another one was restarted. Counting an
+// An entry reports twice because its first reply was late, and another entry restarts. Counting an
 // incarnation twice would show too high a burn rate, and dropping one too low a rate.
 func TestMergeCountsEachIncarnationOnce(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
--- a/burn/counts.go
+++ b/burn/counts.go
@@ -1,9 +1,9 @@
 // Package burn reports how fast each route spends the error budget of its service-level objectives,
 // and the main causes.
 //
-// Each entry counts the requests that it serves by its own clock. Reports of several processes are
-// merged by process and epoch, so that a process that reports twice counts once, and both
-// incarnations of a restarted process count.
+// Each entry (router process) counts the requests that it serves and assigns them to time windows
+// by its own clock. Reports of several processes are merged by process and epoch, so that a process
+// that reports twice counts once, and both incarnations of a restarted process count.
 package burn
 
 // Key identifies where a request ran.
@@ -32,7 +32,7 @@
 	// Ratings counts ratings, RatingSum is the sum of their scores.
 	Ratings   int64   `json:"ratings,omitempty"`
 	RatingSum float64 `json:"score,omitempty"`
-	// Exposed counts requests answered by a version that was held or withdrawn by the time the
+	// Exposed counts requests answered by a version that was on hold or withdrawn by the time the
 	// answer ended.
 	Exposed int64 `json:"exposed,omitempty"`
 }
--- a/burn/handover.go
+++ b/burn/handover.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// maxHandovers is how many handovers of other processes are kept. Beyond it the one received
-	// first is dropped.
+	// maxHandovers is how many handovers of other processes are retained. A further one replaces
+	// the one received first.
 	maxHandovers = 64
 	// maxHandoverBytes limits the decompressed size of one handover.
 	maxHandoverBytes = 32 << 20
--- a/burn/judge.go
+++ b/burn/judge.go
@@ -50,7 +50,7 @@
 }
 
 // Cause is the fraction of the bad events that belongs to one version, availability zone or
-// organisation. An event counts for one of each kind.
+// organisation. Each event counts for its version, its zone and its organisation.
 type Cause struct {
 	Kind     string  `json:"kind"`
 	Name     string  `json:"name"`
@@ -96,7 +96,7 @@
 	}
 }
 
-// exposureTarget is the ratio of requests that must not be answered by a version that is held or
+// exposureTarget is the ratio of requests that must not be answered by a version that is on hold or
 // withdrawn by the time the answer ends.
 const exposureTarget = 0.999
 
--- a/burn/recorder.go
+++ b/burn/recorder.go
@@ -18,7 +18,7 @@
 	histogramDigits    = 2
 	// maxRoutes is how many routes have histograms. Latencies of further routes are not recorded.
 	maxRoutes = 64
-	// latencySlotCount slots of latencySlotWidth cover the hour for which latencies are kept.
+	// latencySlotCount slots of latencySlotWidth cover the hour for which latencies are retained.
 	latencySlotCount = 4
 	latencySlotWidth = 15 * clock.Minute
 )
--- a/burn/report.go
+++ b/burn/report.go
@@ -53,8 +53,8 @@
 	Inherited []*Report `json:"inherited,omitempty"`
 }
 
-// Report returns the report of this process. VM and epoch identify its incarnation. Tables may be
-// nil.
+// Report returns the report of this process. vm and epoch identify its incarnation. The tables t
+// may be nil.
 func (r *Recorder) Report(vm string, epoch uint64, t *table.Tables, revision int64) (out *Report, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
