--- a/claim/claim.go
+++ b/claim/claim.go
@@ -1,8 +1,9 @@
-// Package claim decides which attempt may run a keyed call that must not run
-// twice. A claim is an entry of the log. The first claim in log order holds its key.
-// A claim of the next round replaces it only after the endpoint of the previous round
-// has refused that attempt permanently. The protocol uses no lease and no clock, so a
-// process that is paused and resumes does no harm.
+// Package claim decides which attempt may run a call that has an idempotency key and must not run
+// twice. An attempt is dispatched only after a claim for it has been appended to the log. The first
+// claim of a key in log order holds the key. Only a claim of the next round can replace it, and
+// such a claim is made only after the endpoint of the holder's attempt has permanently refused to
+// run that attempt. The protocol uses no lease and no clock, so a process that is paused and
+// resumes does no harm.
 package claim
 
 import (
@@ -19,15 +20,15 @@
 // Errors is the namespace of this package's errors.
 var Errors = errorx.NewNamespace("claim")
 
-// ErrUnsettled means that it is unknown whether a claim holds its key. Nothing may
-// be dispatched under it.
+// ErrUnsettled means that it is unknown whether a claim holds its key. The attempt of such a claim
+// must not be dispatched.
 var ErrUnsettled = Errors.NewType("unsettled")
 
 const (
 	// Streams is the number of log streams that the keys are distributed over.
 	Streams = 8
-	// MaxKeys is the maximum number of keys remembered per stream. The key with the
-	// oldest last claim is evicted first; a call that uses it again counts as new.
+	// MaxKeys is the maximum number of keys remembered per stream. The key whose last claim is the
+	// oldest is evicted first; a later call with that key counts as new.
 	MaxKeys = 64 << 10
 	// hashBytes is the length of the truncated digests in claims.
 	hashBytes = 16
@@ -105,7 +106,7 @@
 // Skipped returns the number of records that could not be decoded.
 func (s *State) Skipped() int64 { return s.skipped }
 
-// Skip continues at offset first, when the log no longer retains the records before it.
+// Skip continues at offset first, for use if the log no longer retains the records before it.
 func (s *State) Skip(first int64) { s.next = max(s.next, first) }
 
 // Apply reduces the record at an offset. Applying a record twice has no effect.
--- a/claim/claimer.go
+++ b/claim/claimer.go
@@ -12,7 +12,8 @@
 )
 
 const (
-	// maxPendingClaims is the maximum number of claims of one stream that wait in a process.
+	// maxPendingClaims is the maximum number of claims of one stream that wait for the log in one
+	// process.
 	maxPendingClaims = 4096
 	// beyondHead is an offset past the end of any stream. Reading it returns only the stream's bounds.
 	beyondHead = int64(1) << 62
@@ -34,9 +35,9 @@
 	state   *State
 }
 
-// NewClaimer returns a claimer for a stream. Run must be running for appends that fail or
-// are delayed by the rate limit to be made later. The prefix of its batch IDs must be unique
-// to this incarnation of the process.
+// NewClaimer returns a claimer for a stream. Appends that failed or were delayed by the rate limit
+// are made only while Run is running. The batch IDs of the claimer start with prefix, which must be
+// unique to this incarnation of the process.
 func NewClaimer(store provider.Log, stream, prefix string, c clock.Clock) *Claimer {
 	k := &Claimer{store: store, stream: stream, waiters: make(map[string]chan int64)}
 	k.writer = batch.NewWriter(store, stream, prefix, batch.ClaimAppendsPerSecond/Streams, c, k.appended)
@@ -57,9 +58,9 @@
 	}
 }
 
-// Claim appends a claim to the log and returns the claim that holds its key, with
-// that claim's offset. After an error it is unknown whether the claim holds the key,
-// so nothing may be dispatched under it.
+// Claim appends a claim to the log and returns the claim that holds its key, with that claim's
+// offset. After an error it is unknown whether the claim holds the key, so its attempt must not be
+// dispatched.
 func (k *Claimer) Claim(ctx context.Context, c *wire.Claim) (holder *wire.Claim, offset int64, err error) {
 	defer func() {
 		if err != nil {
@@ -75,8 +76,10 @@
 	return k.read(ctx, c, offset)
 }
 
-// lostAlready returns the holder without an append if the claim cannot hold its key any
-// more, as with the first claim of a retry. Only a later round can replace a holder.
+// lostAlready returns the holder of a claim's key, and true if the claim is of the same or an
+// earlier round than the holder. Such a claim can no longer hold the key and need not be appended.
+// This is usual if a caller repeats a call: the first claim of the new request is of the first
+// round, which the previous request has claimed.
 func (k *Claimer) lostAlready(c *wire.Claim) (holder *wire.Claim, offset int64, ok bool) {
 	k.stateMu.Lock()
 	defer k.stateMu.Unlock()
--- a/claim/verdict.go
+++ b/claim/verdict.go
@@ -6,10 +6,10 @@
 	"github.com/parsleydeal/parsleydeal/peer/wire"
 )
 
-// Verdict is what a request has to do next, given the holder of its key.
+// Verdict is what a request that has made a claim has to do next.
 type Verdict int
 
-// Verdicts.
+// The results of Decide and DecideFromReply.
 const (
 	// Won means that the request's own claim holds the key: its attempt may be dispatched.
 	Won Verdict = iota
@@ -19,8 +19,8 @@
 	NextRound
 	// QueryHolder means that the holder's endpoint must be queried about its attempt.
 	QueryHolder
-	// TakenOver means that another request had this one's attempt refused and claimed the
-	// next round.
+	// TakenOver means that another request made the endpoint refuse this request's attempt and then
+	// claimed the next round.
 	TakenOver
 	// Replay means that the holder's attempt ran and its answer is still retained.
 	Replay
@@ -39,20 +39,20 @@
 	case !bytes.Equal(mine.GetBody(), holder.GetBody()):
 		return KeyReused
 	case holder.GetRequest() == mine.GetRequest():
-		// The holder is an earlier attempt of the same request, which claims again only
-		// after proof that this attempt did not run.
+		// The holder is an earlier claim of the same request. The request claims again only after
+		// proof that the attempt of that claim did not run.
 		return NextRound
 	case held:
-		// If it claimed the next round in turn, the two requests could refuse each other's
-		// attempts forever.
+		// If this request claimed the next round in turn, the two requests could have each other's
+		// attempts refused forever.
 		return TakenOver
 	}
 	return QueryHolder
 }
 
-// DecideFromReply interprets an endpoint's reply to the request to refuse an attempt
-// permanently. Only a reply that the attempt will never start allows the next round.
-// Without a reply, or if the endpoint does not know the attempt, the call is undecided.
+// DecideFromReply interprets the reply of an endpoint that was asked to refuse an attempt
+// permanently. Only a reply that the attempt will never start allows the next round. Without a
+// reply, or if the endpoint does not know the attempt, the result is Undecided.
 func DecideFromReply(reply *wire.RefuseReply) Verdict {
 	switch {
 	case reply.GetKept():
--- a/node/append.go
+++ b/node/append.go
@@ -10,8 +10,8 @@
 const (
 	// appendTimeout limits one append to the log.
 	appendTimeout = 5 * clock.Second
-	// maxAppends is the maximum number of concurrent appends for control. One more fails at once,
-	// and its reducer retries it.
+	// maxAppends is the maximum number of concurrent appends for control. A further append fails at
+	// once, and the reducer that requested it retries it.
 	maxAppends = 16
 )
 
--- a/node/bill.go
+++ b/node/bill.go
@@ -7,7 +7,7 @@
 	"github.com/parsleydeal/parsleydeal/peer/wire"
 )
 
-// HoldBills stores bills for another process.
+// HoldBills holds copies of another process's bills until they are on the log.
 func (n *Node) HoldBills(_ context.Context, in *wire.HoldBillsRequest) (out *wire.HoldBillsReply, err error) {
 	keeper := in.GetKeeper()
 	if keeper == "" {
@@ -17,7 +17,7 @@
 	return &wire.HoldBillsReply{Held: reply.Held, Reason: reply.Reason}, nil
 }
 
-// ReleaseBills drops stored bills that are on the log.
+// ReleaseBills drops copies of bills that are on the log according to the calling process.
 func (n *Node) ReleaseBills(_ context.Context, in *wire.ReleaseBillsRequest) (out *wire.ReleaseBillsReply, err error) {
 	n.billing.post(bill.Released{Requests: in.GetRequests()})
 	return &wire.ReleaseBillsReply{}, nil
--- a/node/billing.go
+++ b/node/billing.go
@@ -16,13 +16,13 @@
 
 const (
 	assignmentInterval = 500 * clock.Millis(1)
-	// fullRetryAfter is the retry delay sent to a caller that is refused because the bills are at
-	// their bound.
+	// fullRetryAfter is the retry delay sent to a caller that is refused because the ledger is
+	// full.
 	fullRetryAfter = 5 * clock.Second
-	// settlePoll is the interval at which a stopping process checks its bills.
+	// settlePoll is the interval at which a stopping process checks whether its bills are safe.
 	settlePoll = 20 * clock.Millis(1)
-	// maxSafeWait limits how long the last piece of an answer waits for its bill if no process
-	// stores a copy and the log is unavailable.
+	// maxSafeWait limits how long the last piece of an answer waits until its bill is safe. The
+	// limit is reached if no other process holds a copy and the log is unavailable.
 	maxSafeWait = 5 * clock.Second
 )
 
@@ -36,8 +36,9 @@
 
 	mu     sync.Mutex
 	ledger *bill.Ledger
-	// waiters holds the channels of each request in Finish. A request has several if its caller
-	// sent it again with the same key meanwhile. They are closed when the bill is safe.
+	// waiters holds one channel for each call of Finish that waits, by request. A request has
+	// several if its caller sent it again with the same key meanwhile. The channels are closed when
+	// the bill is safe.
 	waiters map[string][]chan struct{}
 }
 
@@ -50,7 +51,7 @@
 	return b
 }
 
-// batchPrefix is unique to this start of this process, so that no two writers ever use the
+// batchPrefix is unique to this incarnation of the process, so that no two writers ever use the
 // same batch ID.
 func (n *Node) batchPrefix() string {
 	return fmt.Sprintf("%s-%x", n.cfg.Settings.VM, n.epoch)
@@ -128,8 +129,9 @@
 	return batch.NewAssignment(self, live)
 }
 
-// Reserve reserves room for the bill of a request, before its dispatch. At the bound it
-// returns a refusal, which is retry-safe: a request that could not be billed is not started.
+// Reserve reserves room for the bill of a request, before its dispatch. If the ledger is full, it
+// returns a refusal. The caller may retry safely, because a request that could not be billed is not
+// started.
 func (b *Billing) Reserve() (err error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -146,9 +148,9 @@
 	b.ledger.Cancel()
 }
 
-// Finish records a bill and waits until it is safe, for at most maxSafeWait. Reserved is true
-// if Reserve made room for it. If the wait or the context ends first, it returns the context's
-// error; the bill is kept all the same.
+// Finish records a bill and waits until it is safe, for at most maxSafeWait. Reserved is true if
+// Reserve made room for it. If the wait or the context ends first, it returns the context's error;
+// the bill is retained in both cases.
 func (b *Billing) Finish(ctx context.Context, x *wire.Bill, reserved bool) (err error) {
 	ctx, cancel := context.WithTimeout(ctx, maxSafeWait.Duration())
 	defer cancel()
@@ -191,8 +193,8 @@
 // Drain starts to hand over the bills of this process and refuses to hold more for others.
 func (b *Billing) Drain() { b.post(bill.Drain{Now: b.n.cfg.Clock.Now()}) }
 
-// WaitSafe waits until no reservation is left and every bill held here is safe without this
-// process. It returns the context's error if that ends first.
+// WaitSafe waits until no reservation is left and two other live processes have a copy of every
+// bill that is not yet on the log. It returns the context's error if that ends first.
 func (b *Billing) WaitSafe(ctx context.Context) (err error) {
 	for {
 		b.refreshAssignment()
@@ -208,7 +210,7 @@
 	}
 }
 
-// accept stores bills of another process and returns the ledger's decision.
+// accept passes bills of another process to the ledger and returns whether it holds them.
 func (b *Billing) accept(e bill.HoldRequested) (out bill.ReplyHold) {
 	b.mu.Lock()
 	effects := b.ledger.Reduce(e)
@@ -285,8 +287,8 @@
 	b.post(bill.HoldReplied{Now: b.n.cfg.Clock.Now(), Request: f.Bill.GetRequest(), VM: f.VM, Held: held})
 }
 
-// sendRelease reports to a process that bills are on the log. A lost message does no harm: when
-// the keeper takes over, it appends the bill again, which merges with the first.
+// sendRelease reports to a process that bills are on the log. A lost message does no harm: the
+// process that did not receive it appends the bill again, and the two bills are merged.
 func (b *Billing) sendRelease(f bill.Release) {
 	vm, ok := b.n.View().Members().Find(f.VM)
 	if !ok {
--- a/node/bytes_test.go
+++ b/node/bytes_test.go
@@ -34,8 +34,9 @@
 	return n, err
 }
 
-// The figures in virtual time assume 160 bytes per message for drpc, TCP and IP. If an exchange
-// took more, a process would exceed its network budget unnoticed.
+// Simulations of the network traffic, such as callOverhead in package control, assume 160 bytes per
+// message for drpc, TCP and IP. If an exchange took more, a process would exceed its network budget
+// unnoticed.
 func TestExchangeBytes(t *testing.T) {
 	const (
 		exchanges = 100
--- a/node/holds.go
+++ b/node/holds.go
@@ -10,14 +10,14 @@
 	"github.com/parsleydeal/parsleydeal/provider"
 )
 
-// endpointHoldsInterval is the interval at which an endpoint reads the holds, which it mostly
-// receives from entries. A thousand endpoints that waited on the log would read it hundreds of
-// times per second.
+// endpointHoldsInterval is the interval at which an endpoint reads the holds from the log. Most
+// holds reach it earlier through entries. If a thousand endpoints waited on the log for new
+// records, they would read it hundreds of times per second.
 const endpointHoldsInterval = 10 * clock.Second
 
-// tailHolds reads the holds until the context ends. The log retains records for a limited time,
-// and holds in force are appended again before that. If the next offset is no longer retained,
-// reading continues at the first record that is.
+// tailHolds reads the holds (versions that get no new requests) from the log until the context
+// ends. The log retains records for a limited time, and holds in force are appended again before it
+// ends. If the next offset is no longer retained, reading continues at the first record that is.
 func (n *Node) tailHolds(ctx context.Context) {
 	from := int64(0)
 	for ctx.Err() == nil {
--- a/node/holds_test.go
+++ b/node/holds_test.go
@@ -14,8 +14,8 @@
 	"github.com/parsleydeal/parsleydeal/rollout"
 )
 
-// The log has dropped the first holds. An entry that starts now and stopped at the expired
-// offset would never read the hold that was appended again later, and would use a bad version.
+// The log has dropped the first holds. If an entry that starts now gave up at the expired offset,
+// it would never read the hold that was appended again later, and would use a bad version.
 func TestHoldsAreReadAfterFirstRecordsExpired(t *testing.T) {
 	is := is.New(t)
 	data, err := rollout.Encode(&wire.Hold{Version: "m@2"})
--- a/node/inherit.go
+++ b/node/inherit.go
@@ -11,21 +11,22 @@
 )
 
 const (
-	// successors is the number of entries that take over the counts of a stopping one.
+	// successors is the number of entries that take over the request counts (package burn) of a
+	// stopping entry.
 	successors      = 2
 	handOverTimeout = 2 * clock.Second
 )
 
-// ErrNoSuccessor means that no entry takes over the counts of this one: all are stopping, or
-// there is no other.
+// ErrNoSuccessor means that no entry takes over the request counts of this one: all are stopping,
+// or there is no other.
 var ErrNoSuccessor = errorx.NewNamespace("node").NewType("no-heir")
 
-// SetInheritHandler sets the function that takes over the counts of a stopping entry. A process
-// without it declines them.
+// SetInheritHandler sets the function that takes over the encoded request counts of a stopping
+// entry. A process without it declines them.
 func (n *Node) SetInheritHandler(f func(incarnation []byte) error) { n.inheritHandler.Store(&f) }
 
-// Inherit takes over the counts of a stopping entry. It declines if this process is stopping or
-// has no handler.
+// Inherit takes over the request counts of a stopping entry. It declines if this process is
+// stopping or has no handler.
 func (n *Node) Inherit(_ context.Context, in *wire.InheritRequest) (out *wire.InheritReply, err error) {
 	f := n.inheritHandler.Load()
 	if f == nil || n.View().Draining() {
@@ -34,9 +35,9 @@
 	return &wire.InheritReply{}, (*f)(in.GetLife())
 }
 
-// HandOver sends the encoded counts of each incarnation to other entries, chosen by rendezvous
-// hashing. Each goes to two, so that the loss of one of them loses nothing; the reader merges
-// duplicates. ErrNoSuccessor means that no entry accepted any.
+// HandOver sends the encoded request counts of each incarnation to two other entries, chosen by
+// rendezvous hashing, so that the loss of one entry loses no counts. Package burn removes the
+// duplicates when it merges reports. ErrNoSuccessor means that no entry accepted any counts.
 func (n *Node) HandOver(ctx context.Context, incarnations [][]byte) (err error) {
 	m := n.View().Members()
 	var candidates []provider.VM
--- a/node/inherit_test.go
+++ b/node/inherit_test.go
@@ -8,8 +8,9 @@
 	"github.com/parsleydeal/parsleydeal/peer/wire"
 )
 
-// When all entries of a site stop together, no process takes over their counts. That is not an
-// error and must not be logged as one.
+// A process that does not take over the request counts of a stopping entry, here because it has no
+// handler, must decline without an error. Otherwise errors would be logged when all entries of a
+// site stop together and none takes over.
 func TestInheritWithoutHandlerDeclines(t *testing.T) {
 	is := is.New(t)
 	n := &Node{}
--- a/node/inspect.go
+++ b/node/inspect.go
@@ -19,8 +19,8 @@
 // SetReports sets the function that makes the reports returned by Inspect.
 func (n *Node) SetReports(f ReportFunc) { n.reports.Store(&f) }
 
-// Inspect returns a report for operators. With it, their commands need only the peer addresses in
-// the VM list. The report is an empty JSON object if no function is set.
+// Inspect returns a report for operators. The operators' commands call it at the peer addresses in
+// the VM list and need no other address. The report is an empty JSON object if no function is set.
 func (n *Node) Inspect(ctx context.Context, in *wire.InspectRequest) (out *wire.InspectReply, err error) {
 	out = &wire.InspectReply{Vm: n.cfg.Settings.VM, Json: []byte("{}")}
 	f := n.reports.Load()
--- a/node/node.go
+++ b/node/node.go
@@ -1,5 +1,5 @@
-// Package node runs the control loop of a process, in both daemons: it feeds the loop with the
-// log, the VM list and the messages of peers, and executes the effects.
+// Package node runs the control loop of an entry or endpoint process: it passes the log, the VM
+// list and the messages of peers to the loop as events, and executes the loop's effects.
 package node
 
 import (
@@ -56,7 +56,7 @@
 	calls chan struct{}
 	// tailCancels stops the reading of each followed stream. Only the control goroutine uses it.
 	tailCancels map[string]context.CancelFunc
-	// inheritHandler takes over the counts of a stopping entry; nil in an endpoint.
+	// inheritHandler takes over the request counts of a stopping entry; nil in an endpoint.
 	inheritHandler atomic.Pointer[func(incarnation []byte) error]
 	// loadSequence numbers the load reports of this process.
 	loadSequence atomic.Uint64
@@ -128,8 +128,8 @@
 // Wait waits until all goroutines of the node have ended.
 func (n *Node) Wait() { n.wg.Wait() }
 
-// Drain marks the process as stopping: it reports to peers that it leaves, and starts to hand
-// over its bills.
+// Drain marks the process as stopping. The process then reports to peers that it is leaving, and
+// starts to hand over its bills.
 func (n *Node) Drain(ctx context.Context) {
 	n.loop.Post(ctx, event.Draining{Now: n.cfg.Clock.Now()})
 	n.billing.Drain()
@@ -144,7 +144,7 @@
 	}()
 }
 
-// every calls f at once and then after each pause of interval, until the context ends.
+// every calls f at once and again interval after each call returned, until the context ends.
 func (n *Node) every(ctx context.Context, interval clock.Millis, f func()) {
 	for {
 		f()
@@ -180,8 +180,8 @@
 }
 
 // readPage reads a page. If the log no longer retains the offset, the page has no records but
-// states where the log starts now. A reader that requested the dropped records again each time
-// would never make progress.
+// states where the log starts now. Without that offset the reader would request the dropped records
+// again and never make progress.
 func (n *Node) readPage(ctx context.Context, stream string, from int64) (page provider.Page, err error) {
 	const beyondHead = int64(1) << 62
 	page, err = n.cfg.Store.Read(ctx, stream, from, logReadWait)
--- a/node/peer.go
+++ b/node/peer.go
@@ -9,7 +9,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Exchange receives the digest of a peer and returns the one of this process.
+// Exchange receives the digest of a peer and returns the digest of this process.
 func (n *Node) Exchange(_ context.Context, in *wire.Digest) (out *wire.Digest, err error) {
 	n.loop.Offer(event.DigestReceived{Now: n.cfg.Clock.Now(), Digest: in})
 	return n.Digest(), nil
@@ -49,8 +49,9 @@
 	l.Vm, l.Epoch, l.Sequence = n.cfg.Settings.VM, n.epoch, n.loadSequence.Add(1)
 }
 
-// ReportNewerRevision reports to control that a peer uses a higher revision; its records are
-// fetched at once. If address is empty, it is looked up in the VM list. It never blocks.
+// ReportNewerRevision reports to control that a peer uses a higher revision of the tables; control
+// then fetches the peer's configuration records at once. If address is empty, it is looked up in
+// the VM list. It never blocks.
 func (n *Node) ReportNewerRevision(vm, address string, revision int64) {
 	if revision > n.View().Revision() {
 		n.loop.Offer(event.PeerAhead{Now: n.cfg.Clock.Now(), VM: vm, Address: address, Revision: revision})
--- a/node/spread.go
+++ b/node/spread.go
@@ -16,7 +16,7 @@
 	// maxEstimatesRate is the maximum rate of estimates that a node sends, in bytes per second.
 	maxEstimatesRate = 512
 	// maxCalls is the maximum number of concurrent calls to peers. Further calls are dropped; a
-	// later exchange makes up for them.
+	// later exchange brings the same information.
 	maxCalls = 64
 )
 
@@ -36,13 +36,14 @@
 }
 
 const (
-	// leaveReportTimeout limits how long a stopping process waits until peers have its report.
+	// leaveReportTimeout limits how long a stopping process waits until peers have received the
+	// report that it is leaving.
 	leaveReportTimeout = 2 * clock.Second
 	leaveReportPoll    = 10 * clock.Millis(1)
 )
 
-// WaitLeaveReported waits, after Drain, until peers have received the report that this process
-// leaves, for at most leaveReportTimeout. If an idle process ended at once, the report would not
+// WaitLeaveReported waits, after Drain, until peers have received the report that this process is
+// leaving, for at most leaveReportTimeout. If an idle process ended at once, the report would not
 // be sent, and peers would send it requests for as long as the VM list lags.
 func (n *Node) WaitLeaveReported(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, leaveReportTimeout.Duration())
--- a/node/vms.go
+++ b/node/vms.go
@@ -15,8 +15,8 @@
 )
 
 // readVMs reads the VM list until the context ends. The pause grows with the list: at 1,380 VMs,
-// one read per second would take 200 KB/s in every process. Changes that the list then shows
-// later are reported by the VMs themselves.
+// one read per second would take 200 KB/s in every process. The longer pause does no harm, because
+// the VMs themselves report their changes before that.
 func (n *Node) readVMs(ctx context.Context) {
 	for {
 		vms, err := n.cfg.VMs.List(ctx)
@@ -31,7 +31,7 @@
 	}
 }
 
-// listPause returns the pause before the next read of a list of vms VMs.
+// listPause returns the pause before the next read of a VM list with vms entries.
 func listPause(minPause clock.Millis, vms int) clock.Millis {
 	return max(minPause, clock.Millis(vms)*vmEntryBytes*clock.Second/maxVMListRate)
 }
