--- a/control/checkpoint_test.go
+++ b/control/checkpoint_test.go
@@ -22,9 +22,9 @@
 	return event.LogRead{Stream: provider.ConfigStream, Page: provider.Page{First: first, Head: head, Records: records}}
 }
 
-// A process starts after the log has dropped its first records. Applying the rest alone would
-// reject changes that all others accepted, so it must wait for a checkpoint from the log or
-// from a peer.
+// A process starts after the log has dropped its first records. If it applied only the rest, it
+// would reject changes that are based on the dropped ones and that all other processes accepted. It
+// must wait for a checkpoint from the log or from a peer.
 func TestStartAfterRecordsExpired(t *testing.T) {
 	is := is.New(t)
 	upToDate := NewState("old")
@@ -38,7 +38,7 @@
 	is.Equal(fromLog.View().Revision(), int64(-1)) // the change it is based on is missing
 	fromLog, _ = Reduce(fromLog, page(1, provider.Record{Offset: 2, Data: saved}))
 	is.Equal(fromLog.View().Revision(), int64(1))
-	is.Equal(fromLog.View().Tail().From(), int64(2)) // for peers, its records are complete only from here
+	is.Equal(fromLog.View().Tail().From(), int64(2)) // it can send peers the records from this offset on
 
 	fromPeer := NewState("from-peer")
 	reply := &wire.RecordsReply{From: 2, Checkpoint: &wire.Record{Offset: 2, Data: saved}}
--- a/control/cluster_test.go
+++ b/control/cluster_test.go
@@ -38,8 +38,8 @@
 	// partitioned reports whether messages between two processes are lost.
 	partitioned func(from, to *proc) bool
 	listed      []provider.VM
-	// dropCalls drops one call in four without a failure event, as a node does that has too
-	// many calls in progress.
+	// dropCalls drops one call in four without a failure event, like a node with too many calls in
+	// progress.
 	dropCalls bool
 	// revisionChanged is true if a revision has changed since run last called done.
 	revisionChanged bool
@@ -108,7 +108,7 @@
 	return c
 }
 
-// start starts a process on the VM at index i, which replaces the one before.
+// start starts a process on the VM at index i. It replaces the VM's previous process.
 func (c *cluster) start(i int, epoch uint64) *proc {
 	vm := c.listed[i]
 	p := &proc{vm: vm, state: NewStateAt(vm.ID, vm.Zone, epoch), skew: clock.Millis(epoch*7919) - c.now, revision: -1}
@@ -275,13 +275,13 @@
 	}
 }
 
-// inForce returns a condition: all running processes that which selects (all if nil) have the
-// latest change.
-func (c *cluster) inForce(which func(*proc) bool) func() bool {
+// inForce returns a condition that is met once all running processes have the latest change. If
+// include is not nil, only the processes for which it returns true are checked.
+func (c *cluster) inForce(include func(*proc) bool) func() bool {
 	return func() bool {
 		want := int64(len(c.log)) - 1
 		for _, p := range c.procs {
-			if !p.dead && !p.paused && (which == nil || which(p)) && p.state.tables.Revision() != want {
+			if !p.dead && !p.paused && (include == nil || include(p)) && p.state.tables.Revision() != want {
 				return false
 			}
 		}
--- a/control/control.go
+++ b/control/control.go
@@ -39,7 +39,8 @@
 	rollout  rollout.State
 	quality  quality.State
 	zones    zone.State
-	// subsets depends on the VM list only.
+	// subsets holds, by pool, the endpoints assigned to this entry (see choice.SubsetsOf). It
+	// depends on the VM list only.
 	subsets map[string][]provider.VM
 	// subsetsOf computes subsets. Tests that drive many states replace it, as it takes
 	// long.
@@ -59,8 +60,8 @@
 	return NewStateAt(self, "", 0)
 }
 
-// NewStateAt is NewState for a process in an availability zone. Epoch must differ at each
-// start of the process; its evidence is counted under it.
+// NewStateAt is NewState for a process in an availability zone. Epoch must differ at each start of
+// the process, because it distinguishes the outcome counts of different incarnations.
 func NewStateAt(self, az string, epoch uint64) *State {
 	return &State{
 		self: self, zone: az, epoch: epoch, members: membership.New(self), spread: spread.New(self, az),
@@ -157,9 +158,9 @@
 	}
 }
 
-// reduceTables applies configuration records from the log or from a peer. Records of a
-// peer are applied only if they are complete from this process's offset on: with one
-// missing, a change based on it would be rejected here and accepted everywhere else.
+// reduceTables applies configuration records from the log or from a peer. Records of a peer are
+// applied only if they are complete from this process's offset on: if one is missing, a change
+// based on it would be rejected here and accepted by all other processes.
 func (s *State) reduceTables(ev event.Event) (effects []event.Effect, changed bool) {
 	switch e := ev.(type) {
 	case event.LogRead:
@@ -208,8 +209,8 @@
 	return []event.Effect{outcomeReport(o)}
 }
 
-// importCheckpoint adopts a peer's checkpoint, which the peer sends if it no longer retains
-// the records that this process lacks.
+// importCheckpoint replaces the tables by a peer's checkpoint. A peer sends one if it no longer
+// retains the records that this process lacks.
 func (s *State) importCheckpoint(e event.RecordsReceived) (effects []event.Effect) {
 	if e.Reply.GetCheckpoint() == nil {
 		return nil
--- a/control/evidence_test.go
+++ b/control/evidence_test.go
@@ -18,12 +18,13 @@
 	newVersionPercent = 5 // of all requests
 )
 
-// A new version is bad, but each process alone sees too few of its requests to detect it.
-// The script has the exact time until a judge knew of 100 requests to the new version, how
-// many had been made by then, and the network traffic of a judge.
+// A new version is bad, but each process alone sees too few of its requests to detect it. Judges
+// are the processes that sum the outcome counts of a version and decide whether to put it on hold.
+// The script records the exact time until the counts of a judge include 100 requests to the new
+// version, how many had been made by then, and the network traffic of a judge.
 func TestEvidenceReachesJudges(t *testing.T) { runEvidenceScript(t, "testdata/evidence") }
 
-// The same with the 380 entries of the two-year target.
+// The same test with the 380 entries of the two-year target.
 func TestBaselineEvidenceReachesJudges(t *testing.T) {
 	if testing.Short() || os.Getenv("BENCH_CHECK") == "" {
 		t.Skip("make bench-check runs this")
@@ -77,7 +78,7 @@
 	c.after(requestInterval, func() { c.request(p, number+1, made) })
 }
 
-// knownRequests returns the number of requests to a version that a process knows of.
+// knownRequests returns the number of requests to a version in the counts of a process.
 func (p *proc) knownRequests(version string) (n int) {
 	for k, t := range p.state.evidence.Totals() {
 		if k.Version == version {
@@ -87,8 +88,8 @@
 	return n
 }
 
-// Reports to a judge are lost, repeated and late, and a process restarts in between. A judge
-// that added up every report would count errors twice and hold a good version.
+// Reports to a judge are lost, repeated and late, and a process restarts in between. A judge that
+// added up every report would count errors twice and put a good version on hold.
 func TestEvidenceIsCountedOnce(t *testing.T) {
 	is := is.New(t)
 	c := newClusterWithEntries(6, 3, 1)
--- a/control/failure_test.go
+++ b/control/failure_test.go
@@ -23,10 +23,9 @@
 	return c
 }
 
-// All entries restart at once while the log is unavailable. Callers would be refused until
-// the log is back or, worse, requests would be handled by old tables. The new processes must
-// get the latest revision from endpoints of other zones, and none may be ready before it has
-// it.
+// All entries restart at once while the log is unavailable. Callers would be refused until the log
+// is back or, worse, requests would be handled according to old tables. The new processes must get
+// the latest revision from endpoints of other zones, and none may be ready before it has it.
 func TestEntriesRestartInOutage(t *testing.T) {
 	is := is.New(t)
 	c := newSettledCluster(t, 36, 12)
@@ -46,7 +45,7 @@
 		}
 		return false
 	})
-	is.True(!early) // ready on old tables
+	is.True(!early) // no process is ready with old tables
 	for p := range restarted {
 		is.True(p.state.View().Ready())
 	}
@@ -82,7 +81,7 @@
 	c.run(settleTime, nil)
 	for _, p := range c.procs {
 		is.Equal(p.state.tables.Revision(), int64(2))
-		is.True(c.at(p)-p.state.spread.ConfirmedAt() >= settleTime-2*clock.Second) // a short log confirms nothing
+		is.True(c.at(p)-p.state.spread.ConfirmedAt() >= settleTime-2*clock.Second) // reading the shortened log does not confirm the tables
 	}
 }
 
@@ -117,9 +116,9 @@
 	is.Equal(p.state.tables.Offset(), int64(1))
 }
 
-// A process is paused for minutes, its VM ID gets a new process, and the old one resumes. The
-// old process's reports are outdated. Peers that accepted them would treat a live VM as
-// leaving or the reverse, or take the old process's load for that of the new one.
+// A process is paused for minutes, its VM ID gets a new process, and the old one resumes. The old
+// process's reports are outdated. Peers that accepted them would treat a live VM as leaving or a
+// leaving one as live, or mistake the old process's load for the new one's.
 func TestTwoProcessesOneVM(t *testing.T) {
 	is := is.New(t)
 	c := newSettledCluster(t, 12, 3)
@@ -187,7 +186,7 @@
 	is.True(p.state.View().Ready())
 }
 
-// A version is held while most processes cannot read the log. Without the hold they would
+// A version is put on hold while most processes cannot read the log. Without the hold they would
 // keep sending requests to it, and each would have to detect by itself that it is bad.
 func TestHoldReachesProcessesWithoutLog(t *testing.T) {
 	is := is.New(t)
--- a/control/lease.go
+++ b/control/lease.go
@@ -12,7 +12,8 @@
 	return s
 }
 
-// reduceLease brings the engine next to this process into the state that the tables set.
+// reduceLease returns the effects that give the engine on this VM the versions and the role that
+// the tables set for its pool.
 func (s *State) reduceLease(e event.Event) (effects []event.Effect, changed bool) {
 	switch e.(type) {
 	case event.Tick, event.EngineReported, event.AppendDone, event.WeightsDone, event.OrderDone:
--- a/control/loop.go
+++ b/control/loop.go
@@ -52,7 +52,7 @@
 	}
 }
 
-// Offer queues an event whose loss a later one makes up for, such as a load report. It
+// Offer queues an event that may be lost because a later one replaces it, such as a load report. It
 // drops the event if the queue is full, so that requests never wait for control.
 func (l *Loop) Offer(e event.Event) {
 	select {
--- a/control/size_test.go
+++ b/control/size_test.go
@@ -69,7 +69,8 @@
 	return c
 }
 
-// reduceSecond applies the events that an entry gets in one second at that size.
+// reduceSecond applies the events that an entry gets in one second at the size of the two-year
+// target.
 func reduceSecond(s *State, n int) (effects int) {
 	now := clock.Millis(n) * clock.Second
 	reduce := func(e event.Event) {
@@ -98,8 +99,8 @@
 	return effects
 }
 
-// reduceJudgeEvidence applies the evidence that a judge gets in one second: each entry
-// reports six counts to it every 18 s.
+// reduceJudgeEvidence applies the outcome counts that a judge (a process that sums the counts of a
+// version) gets in one second: each entry reports six counts to it every 18 s.
 func reduceJudgeEvidence(s *State, n int) {
 	const every, counts = 18, 6
 	now := clock.Millis(n) * clock.Second
@@ -147,8 +148,8 @@
 	runtime.KeepAlive(s)
 }
 
-// BenchmarkSecond measures one second of an entry's events at the size of the two-year
-// target, without and with the evidence that a judge gets.
+// BenchmarkSecond measures one second of an entry's events at the size of the two-year target,
+// without and with the outcome counts that a judge gets.
 func BenchmarkSecond(b *testing.B) {
 	for name, reduceMore := range map[string]func(*State, int){"entry": func(*State, int) {}, "judge": reduceJudgeEvidence} {
 		b.Run(name, func(b *testing.B) {
--- a/control/spread_test.go
+++ b/control/spread_test.go
@@ -16,13 +16,13 @@
 	maxNodeRate = 16 << 10 // bytes per second
 )
 
-// An operator publishes a change, but some processes use the old tables for long: most cannot
-// read the log, peers are unreachable, or a region is partitioned. The script has the exact
-// maximum time until the change was in force in all reachable processes, the bytes per second
-// of a process, and the staleness at the end.
+// An operator publishes a change, but some processes use the old tables for long: most cannot read
+// the log, peers are unreachable, or a region is partitioned. The script records the exact maximum
+// time until the change was in force in all reachable processes, the bytes per second of a process,
+// and the staleness at the end.
 func TestTimeInForce(t *testing.T) { runSpreadScript(t, "testdata/spread") }
 
-// The same with the 380 entries and 1,000 endpoints of the two-year target.
+// The same test with the 380 entries and 1,000 endpoints of the two-year target.
 func TestBaselineTimeInForce(t *testing.T) {
 	if testing.Short() || os.Getenv("BENCH_CHECK") == "" {
 		t.Skip("make bench-check runs this")
@@ -38,14 +38,14 @@
 		c := newCluster(n, zones)
 		c.publish()
 		c.run(settleTime, nil)
-		which := injectFailure(c, d.Cmd)
+		reachable := injectFailure(c, d.Cmd)
 		c.run(settleTime, nil)
-		return measure(t, c, which)
+		return measure(t, c, reachable)
 	})
 }
 
 // injectFailure causes a failure and returns which processes stay reachable; nil means all.
-func injectFailure(c *cluster, failure string) (which func(*proc) bool) {
+func injectFailure(c *cluster, failure string) (reachable func(*proc) bool) {
 	switch failure {
 	case "all-read":
 	case "one-zone-reads":
@@ -62,7 +62,7 @@
 	return nil
 }
 
-func measure(t *testing.T, c *cluster, which func(*proc) bool) string {
+func measure(t *testing.T, c *cluster, reachable func(*proc) bool) string {
 	t.Helper()
 	const changes = 4
 	c.maxBytes()
@@ -70,7 +70,7 @@
 	startedAt := c.now
 	for range changes {
 		c.publish()
-		spent := c.run(measureTime/changes, c.inForce(which))
+		spent := c.run(measureTime/changes, c.inForce(reachable))
 		slowest = max(slowest, spent)
 		c.run(measureTime/changes-spent, nil)
 	}
@@ -78,7 +78,7 @@
 	seconds := int((c.now - startedAt) / clock.Second)
 	stale := clock.Millis(0)
 	for _, p := range c.procs {
-		if !p.dead && (which == nil || which(p)) {
+		if !p.dead && (reachable == nil || reachable(p)) {
 			stale = max(stale, c.at(p)-p.state.spread.ConfirmedAt())
 		}
 	}
@@ -86,7 +86,7 @@
 		t.Errorf("in force after %v, %d bytes/s; at most 6 s and %d are allowed", slowest, highest/seconds, maxNodeRate)
 	}
 	out := fmt.Sprintf("in force everywhere after at most %d ms\nbytes a second: mean %d, most %d\nstaleness at most %d ms\n", slowest, mean/seconds, highest/seconds, stale)
-	if which == nil {
+	if reachable == nil {
 		return out
 	}
 	c.partitioned = func(_, _ *proc) bool { return false }
