--- a/checkpoint/checkpoint.go
+++ b/checkpoint/checkpoint.go
@@ -21,7 +21,7 @@
 	// recordsPerCheckpoint is the number of records after a checkpoint that makes the next
 	// one due, so that a starting process has few records to read.
 	recordsPerCheckpoint = 256
-	// rankDelay is the additional wait of each rank before it appends.
+	// rankDelay is how much longer the process of each rank waits than that of the rank before it.
 	rankDelay = 30 * clock.Second
 	// maxRanks is the maximum number of processes that may append the same checkpoint.
 	maxRanks = 4
@@ -33,18 +33,18 @@
 	self string
 	// entries holds the IDs of the live entries.
 	entries []string
-	// lastOffset is the offset of the last checkpoint seen. lastSeenAt is when this process
-	// saw it, or its first tick if it has seen none.
+	// lastOffset is the offset of the last checkpoint seen. lastSeenAt is when this process saw it,
+	// or the time of its first tick if it has seen none.
 	lastOffset  int64
 	lastSeenAt  clock.Millis
 	initialized bool
 	// triggeredAt is when this process saw recordsPerCheckpoint records since the last
 	// checkpoint, or that the log no longer retains that checkpoint; 0 if neither.
 	triggeredAt clock.Millis
-	// firstOffset is the latest offset at which the log was seen to start.
+	// firstOffset is the highest first offset of the log that this process has seen.
 	firstOffset int64
-	// lastAppendAt is when this process last appended since the last checkpoint seen; 0 if
-	// it has not.
+	// lastAppendAt is when this process last appended a checkpoint; 0 if it has not appended one
+	// since the last checkpoint seen.
 	lastAppendAt clock.Millis
 	appends      int
 }
--- a/checkpoint/checkpoint_test.go
+++ b/checkpoint/checkpoint_test.go
@@ -32,9 +32,9 @@
 	return appendedAt
 }
 
-// No change is published for long, and the log's retention would drop the tables. One
-// process must append a checkpoint each Interval, and those of the next ranks only if it
-// did not, or every entry would append one.
+// No change is published for a long time, and the log's retention would drop the tables. One
+// process must append a checkpoint each Interval. The processes of the next ranks must append one
+// only if it did not; otherwise every entry would append one.
 func TestOneProcessAppendsFirst(t *testing.T) {
 	is := is.New(t)
 	var tables table.State
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -1,6 +1,7 @@
 // Package lease reconciles the engine beside an endpoint process with the versions and the role
-// that the tables set for its pool. It sends one order at a time, each under a lease whose offset
-// on the log is the order's fencing number.
+// that the tables set for its pool. It sends one order at a time to load a version, unload a
+// version or change the role. Each order is sent under a lease, whose offset on the log is the
+// order's fencing number.
 package lease
 
 import (
@@ -16,8 +17,8 @@
 )
 
 const (
-	// Lifetime is how long a lease is valid. It counts from before the request, so that the lease
-	// expires here no later than any other process assumes.
+	// Lifetime is how long a lease is valid. The time starts before the lease is requested, so that
+	// the lease expires here no later than any other process assumes.
 	Lifetime = 30 * clock.Second
 	// OrderLifetime is the longest time that an order may still take effect after its lease expired
 	// or its reply was lost.
@@ -35,7 +36,7 @@
 type Env struct {
 	VM    string
 	Epoch uint64
-	// Versions are those that the engine must load, without withdrawn ones.
+	// Versions lists the versions that the engine must load. It contains no withdrawn ones.
 	Versions []string
 	// Withdrawn reports whether a version is withdrawn. It must not be nil.
 	Withdrawn func(version string) bool
@@ -262,10 +263,10 @@
 	return max(s.ordersBlockedUntil, s.startedAt+OrderLifetime)
 }
 
-// nextOrder returns the next order towards the tables; ok is false if there is none. Withdrawn
-// versions are unloaded first. New versions are loaded before old ones are unloaded, so that a pool
-// that swaps versions keeps its capacity, unless the engine lacks room. A version that still serves
-// requests stays loaded until they have ended.
+// nextOrder returns the next order that brings the engine closer to the state set in the tables; ok
+// is false if none is needed. Withdrawn versions are unloaded first. New versions are loaded before
+// old ones are unloaded, so that a pool that swaps versions keeps its capacity, unless the engine
+// lacks room. A version that still serves requests stays loaded until they have ended.
 func (s *State) nextOrder(env Env) (o event.SendOrder, ok bool) {
 	var missing, surplus []string
 	for _, v := range env.Versions {
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -89,14 +89,14 @@
 }
 
 // engineModel models the engine and the log for two processes of one VM. Either process may be
-// paused for any time and then send an order that it decided on before.
+// paused for any time and then send an order that it decided on before the pause.
 type engineModel struct {
 	checksFencing bool
 	log           []provider.Record
 	epochs        []uint64
-	// seen is the highest fence that the engine acted on.
+	// seen is the highest fencing number that the engine acted on.
 	seen int64
-	// accepted are the fences of the orders that the engine acted on, in order.
+	// accepted holds the fencing numbers of the orders that the engine acted on, in this sequence.
 	accepted []int64
 }
 
@@ -163,8 +163,8 @@
 }
 
 // All endpoints of a pool need a new version at once, and the weight store allows five fetches per
-// second. Without a growing and spread delay they would send it hundreds of requests. The numbers
-// are the same in each run.
+// second. Without retry delays that grow and that differ between endpoints, they would send it
+// hundreds of requests. The test uses no random numbers, so each run makes the same requests.
 func TestWeightFetchesBackOffUnderRateLimit(t *testing.T) {
 	is := is.New(t)
 	const endpoints, perSecond = 40, 5
--- a/lease/newer.go
+++ b/lease/newer.go
@@ -6,9 +6,10 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// HasNewer reports whether records of the lease stream have a lease of a VM after a fencing number,
-// either of another incarnation of its process or of the same one, whose order was delayed. Records
-// that are not leases are skipped.
+// HasNewer reports whether records of the lease stream contain a lease of a VM that is newer than a
+// fencing number. The newer lease belongs to another incarnation of the VM's process, or to the
+// same incarnation if its order with that number was delayed. Records that are not leases are
+// skipped.
 func HasNewer(records []provider.Record, vm string, fence int64) bool {
 	for _, r := range records {
 		l := &wire.Lease{}
--- a/settings/check.go
+++ b/settings/check.go
@@ -21,7 +21,7 @@
 	Reason string
 }
 
-// String formats the fault as a suffix of a file name.
+// String formats the fault so that it can be appended to the name of the file.
 func (f Fault) String() string {
 	text := ": "
 	if f.Line > 0 {
@@ -98,8 +98,8 @@
 	}
 }
 
-// checkValue checks the type of one value and of the values nested in it. It returns the fault of the
-// value itself and adds those of nested values.
+// checkValue checks the type of one value and of the values nested in it. It returns what is wrong
+// with the value itself, or an empty reason. Faults of nested values are added to the checker.
 func (c *checker) checkValue(key string, t reflect.Type, value any) (reason string) {
 	if t.Kind() != reflect.Struct && t.Kind() != reflect.Map {
 		return wrongType(t, value)
--- a/settings/options.go
+++ b/settings/options.go
@@ -122,8 +122,8 @@
 	certificateOptions("peers", "the interface for the system's own processes", func(s *Settings) Certificate { return s.TLS.Peers }, true),
 )
 
-// certificateOptions returns the options of one interface. Mutual TLS requires authorities beside a
-// certificate.
+// certificateOptions returns the options of one interface. Mutual TLS requires authorities in
+// addition to a certificate.
 func certificateOptions(name, iface string, files func(s *Settings) Certificate, mutual bool) []Option {
 	required, verified := "key", "callers of "+iface
 	if mutual {
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -67,8 +67,8 @@
 
 // Session configures the signing of session tokens.
 type Session struct {
-	// Keys holds the secrets by key name. The one named by Current signs new tokens; all of them
-	// verify.
+	// Keys holds the secrets by key name. The one named by Current signs new tokens; tokens signed
+	// with any of them are valid.
 	Keys    map[string]string `toml:"keys"`
 	Current string            `toml:"current"`
 	// Lifetime is how long an unused session lasts.
@@ -87,9 +87,10 @@
 	MaxConnections int `toml:"max-connections"`
 	// HeaderTimeout is the longest time until all headers of a request have arrived.
 	HeaderTimeout clock.Millis `toml:"header-timeout"`
-	// BodyTimeout is the longest time without new bytes of a request's body.
+	// BodyTimeout is how long an entry waits for the complete body of a chat request, or for
+	// further bytes of the body of a service request.
 	BodyTimeout clock.Millis `toml:"body-timeout"`
-	// WriteTimeout is the longest time in which a caller reads nothing of its answer.
+	// WriteTimeout is how long an entry waits for a caller that stops reading its answer.
 	WriteTimeout clock.Millis `toml:"write-timeout"`
 	// IdleTimeout is the longest time that a connection without a request stays open.
 	IdleTimeout clock.Millis `toml:"idle-timeout"`
--- a/table/state.go
+++ b/table/state.go
@@ -7,7 +7,8 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// maxOutcomes limits the number of outcomes kept to recognize retries; the oldest is dropped first.
+// maxOutcomes limits the number of outcomes retained to recognize retries; the oldest is dropped
+// first.
 const maxOutcomes = 1024
 
 // maxReasonBytes limits the stored reason of a rejected change.
--- a/table/table.go
+++ b/table/table.go
@@ -46,11 +46,11 @@
 	// InputCost and OutputCost are in micro-units of currency per 1000 tokens.
 	InputCost  int64 `toml:"input-cost"`
 	OutputCost int64 `toml:"output-cost"`
-	// Quality is the operators' prior of the mean rating, from 0 to 1.
+	// Quality is the mean rating that the operators expect before any is measured, from 0 to 1.
 	Quality float64 `toml:"quality"`
 	// Withdrawn versions receive no new requests, not even from sessions that use them.
 	Withdrawn bool `toml:"withdrawn"`
-	// Released is a counter. Raising it ends all holds placed on the version before.
+	// Released is a counter. Raising it ends all holds that were placed on the version until then.
 	Released int `toml:"released"`
 }
 
@@ -115,7 +115,8 @@
 	Cascade bool `toml:"cascade"`
 	// Explore is the largest fraction of requests used to explore versions of uncertain quality.
 	Explore float64 `toml:"explore"`
-	// WhenStale applies once the tables have been unconfirmed for longer than StaleAfter; 0 means never.
+	// WhenStale applies once the tables have been unconfirmed for longer than StaleAfter. If
+	// StaleAfter is 0, it never applies.
 	WhenStale  StaleRule    `toml:"when-stale"`
 	StaleAfter clock.Millis `toml:"stale-after"`
 	// Deadline limits the total time of a request.
@@ -124,11 +125,13 @@
 	Hold      HoldLimits   `toml:"hold"`
 }
 
-// Service is a plain service, served at /v1/services/{name}.
+// Service is a plain service, that is, one that is not a model. It is served at
+// /v1/services/{name}.
 type Service struct {
 	Pool          string   `toml:"pool"`
 	Organisations []string `toml:"organisations"`
-	// Repeatable lists the HTTP methods that are idempotent; requests with others run at most once.
+	// Repeatable lists the HTTP methods that are idempotent; requests with other methods run at
+	// most once.
 	Repeatable []string `toml:"repeatable"`
 	// Fee is the price of each call, in micro-units of currency.
 	Fee      int64        `toml:"fee"`
@@ -147,9 +150,10 @@
 	Versions []string `toml:"versions"`
 	// Zones restricts the pool to these availability zones; empty means all zones.
 	Zones []string `toml:"zones"`
-	// ColdWindow is how many requests an endpoint in cold start processes at once.
+	// ColdWindow is the maximum number of requests that an endpoint in cold start processes at
+	// once.
 	ColdWindow int `toml:"cold-window"`
-	// FullWindow is how many requests a warm endpoint processes at once.
+	// FullWindow is the maximum number of requests that a warm endpoint processes at once.
 	FullWindow int `toml:"full-window"`
 	// Queue is the maximum number of requests that wait for a slot at one endpoint; 0 means the value
 	// of FullWindow.
