--- a/clock/boot.go
+++ b/clock/boot.go
@@ -6,9 +6,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// Boot returns a clock that, unlike System, advances while the VM is suspended. Its zero
-// is the time of the call. With the monotonic clock a lease would outlive a suspension:
-// after the resume, the process would treat a confirmation from before it as recent.
+// Boot returns a clock that, unlike System, advances while the VM is suspended. Its zero is the
+// time of the call. With the monotonic clock a lease would outlive a suspension: after the VM
+// resumes, the process would treat a confirmation from before the suspension as recent.
 func Boot() Clock {
 	start := bootMillis()
 	return Clock{now: func() Millis { return bootMillis() - start }}
--- a/event/event.go
+++ b/event/event.go
@@ -42,8 +42,8 @@
 type DigestReceived struct {
 	Now    clock.Millis
 	Digest *wire.Digest
-	// Reply is true if the digest is the reply to an exchange that this process started at Sent by its
-	// own clock.
+	// Reply is true if the digest is the reply to an exchange that this process started. Sent is
+	// when it started the exchange, by its own clock.
 	Reply bool
 	Sent  clock.Millis
 }
@@ -125,8 +125,8 @@
 	Data   []byte
 }
 
-// Exchange exchanges digests with a peer. The node completes Digest with the process's state at the time of
-// sending; the reducer sets only the counts.
+// Exchange exchanges digests with a peer. The node completes Digest with the process's state at the
+// time of sending; the reducer sets only the outcome counts of versions.
 type Exchange struct {
 	VM      string
 	Address string
--- a/event/evidence.go
+++ b/event/evidence.go
@@ -2,8 +2,8 @@
 
 import "github.com/parsleydeal/parsleydeal/clock"
 
-// AnswerStarted reports the first token of an answer. Error rates are computed relative to started answers
-// instead of finished ones, as failed attempts end sooner than good answers.
+// AnswerStarted reports the first token of an answer. Error rates are computed relative to started
+// answers instead of finished ones, because failed attempts end sooner than good answers.
 type AnswerStarted struct {
 	Now          clock.Millis
 	Route        string
