--- a/control/failure_test.go
+++ b/control/failure_test.go
@@ -69,8 +69,8 @@
 	is.True(c.inForce(func(p *proc) bool { return p.state.View().Ready() })())
 }
 
-// The log comes back from an outage without its last records. A process that followed it
-// would revert to tables that operators have replaced.
+// The log comes back from an outage without its last records. A process that rebuilt its tables
+// from the shortened log would revert to tables that operators have replaced.
 func TestShortenedLog(t *testing.T) {
 	is := is.New(t)
 	c := newSettledCluster(t, 12, 3)
--- a/control/lease.go
+++ b/control/lease.go
@@ -5,8 +5,8 @@
 	"github.com/parsleydeal/parsleydeal/lease"
 )
 
-// WithPool sets the pool of the endpoint whose engine this process controls. The state of
-// an entry has none.
+// WithPool sets the pool of the endpoint whose engine this process controls. For an entry the pool
+// stays empty.
 func (s *State) WithPool(pool string) *State {
 	s.pool = pool
 	return s
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -248,7 +248,8 @@
 	}
 	s.lastID++
 	o.ID, o.Fence, o.Until, o.CompareFence = s.lastID, s.fence, s.now+OrderLifetime, !env.ChecksFencing
-	// The order times out here only after it can no longer be sent.
+	// This deadline is later than Until, so the order times out only after it can no longer be
+	// sent.
 	s.order = &order{SendOrder: o, deadline: s.now + 2*OrderLifetime}
 	return []event.Effect{o}
 }
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -124,7 +124,8 @@
 	// still valid. KeyLease is how long a confirmation lasts.
 	StrictKeys bool         `toml:"strict-keys"`
 	KeyLease   clock.Millis `toml:"key-lease"`
-	// RetryRatio and RetrySlack limit the attempts beyond the first in each RetryWindow.
+	// RetryRatio and RetrySlack limit the attempts beyond the first that a service gets in each
+	// RetryWindow to RetryRatio times its requests plus RetrySlack.
 	RetryRatio  float64      `toml:"retry-ratio"`
 	RetrySlack  float64      `toml:"retry-slack"`
 	RetryWindow clock.Millis `toml:"retry-span"`
