--- a/membership/members.go
+++ b/membership/members.go
@@ -17,7 +17,7 @@
 	suspected      map[string]bool
 	byPool         map[string][]provider.VM
 	byZone         map[string][]provider.VM
-	leavings       []*wire.Leaving
+	recentLeavingChanges       []*wire.Leaving
 	leavingChanges int
 }
 
@@ -57,23 +57,23 @@
 			m.suspected[id] = true
 		}
 	}
-	m.leavings = s.leavings()
+	m.recentLeavingChanges = s.recentLeavingChanges()
 	m.leavingChanges = s.leavingChanges
 	return &m
 }
 
-// maxLeavings bounds the leaving changes that one digest reports.
-const maxLeavings = 32
+// maxLeavingChanges bounds the leaving changes that one digest reports.
+const maxLeavingChanges = 32
 
-// leavings lists the recent leaving changes, sorted by VM ID and at most maxLeavings.
-func (s *State) leavings() (out []*wire.Leaving) {
+// recentLeavingChanges lists the recent leaving changes, sorted by VM ID and at most maxLeavings.
+func (s *State) recentLeavingChanges() (out []*wire.Leaving) {
 	for id, m := range s.flagged {
 		if m.leavingChanged && m.epoch != 0 && s.now-m.leavingChangedAt < leavingReportDuration {
 			out = append(out, &wire.Leaving{Vm: id, Epoch: m.epoch, Joined: !m.leaving})
 		}
 	}
 	slices.SortFunc(out, func(a, b *wire.Leaving) int { return strings.Compare(a.GetVm(), b.GetVm()) })
-	return out[:min(len(out), maxLeavings)]
+	return out[:min(len(out), maxLeavingChanges)]
 }
 
 // VMs returns all VMs sorted by ID. Callers must not change the slice.
@@ -92,8 +92,8 @@
 // Suspicion expires, so that the VM is tried again.
 func (m *Members) Suspected(vm string) bool { return m.suspected[vm] }
 
-// Leavings lists the recent leaving changes: processes that leave, and new ones that have joined.
-func (m *Members) Leavings() []*wire.Leaving { return m.leavings }
+// RecentLeavingChanges lists the recent leaving changes: processes that leave, and new ones that have joined.
+func (m *Members) RecentLeavingChanges() []*wire.Leaving { return m.recentLeavingChanges }
 
 // LeavingChanges returns the number of leaving changes so far.
 func (m *Members) LeavingChanges() int { return m.leavingChanges }
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -168,7 +168,7 @@
 		return false
 	}
 	s.sweptAt = s.now
-	changed = s.removeAbsent(s.now) || len(s.snapshot.leavings) != len(s.leavings())
+	changed = s.removeAbsent(s.now) || len(s.snapshot.recentLeavingChanges) != len(s.recentLeavingChanges())
 	for id, m := range s.flagged {
 		changed = m.expire(s.now) || changed
 		if !m.suspected && !m.absent && !m.leaving && !m.leavingChanged {
--- a/placement/advertisement.go
+++ b/placement/advertisement.go
@@ -136,8 +136,8 @@
 	return st.advertised
 }
 
-// leaves reports whether an endpoint has advertised, or another entry reported, that it leaves.
-func (st *endpointState) leaves(e *fleet.Endpoint, now clock.Millis) bool {
+// isLeaving reports whether an endpoint has advertised, or another entry reported, that it leaves.
+func (st *endpointState) isLeaving(e *fleet.Endpoint, now clock.Millis) bool {
 	advertised := st.advertisedBy(e)
 	return advertised.Leaving || advertised.leavingUntil > now
 }
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -222,7 +222,7 @@
 func (sel *Selector) candidates(s *fleet.Snapshot, q Query) (all []*fleet.Endpoint) {
 	for _, match := range q.preferences() {
 		for _, e := range s.Endpoints(q.Service) {
-			if s.Usable(e) && !q.Avoid[e.ID] && match(e) && !sel.stateOf(e.ID).leaves(e, q.Now) {
+			if s.Usable(e) && !q.Avoid[e.ID] && match(e) && !sel.stateOf(e.ID).isLeaving(e, q.Now) {
 				all = append(all, e)
 			}
 		}
