--- a/placement/advertisement_test.go
+++ b/placement/advertisement_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// rateLimitedSite has one endpoint that advertises a rate limit to all entries. Half of the
-// entries are in its zone.
+// rateLimitedSite has entries and one endpoint, which advertises a rate limit to all of them. Half
+// of the entries are in its zone.
 type rateLimitedSite struct {
 	fleet     *fleet.Snapshot
 	endpoint  *fleet.Endpoint
@@ -89,8 +89,8 @@
 	is.True(!other.Advertised(s.endpoint).HasRate) // repeated in full reports
 }
 
-// An entry without a quota must find by probing that a rate limit has ended if no report of it
-// arrives. The entries must not all probe at once.
+// If no report arrives that a rate limit has ended, an entry without a quota must find out by
+// probing. The entries must not all probe at once.
 func TestEntriesWithoutQuotaProbeInTurn(t *testing.T) {
 	is := is.New(t)
 	s := newRateLimitedSite(40, 1)
@@ -122,8 +122,8 @@
 	is.True(!sel.Advertised(e).HasRate)
 }
 
-// An endpoint restarts with the same ID. The advertisements of its previous incarnation must
-// not apply to the new one, nor must reports of them that arrive late.
+// An endpoint restarts with the same ID. The advertisements of its previous incarnation must not
+// apply to the new one, even if they arrive late in reports of other entries.
 func TestAdvertisementEndsWithItsIncarnation(t *testing.T) {
 	is := is.New(t)
 	old := fleetOf(1, func(_ int, e *fleet.Endpoint) { e.Incarnation = 5 }).Find("e0")
@@ -140,8 +140,8 @@
 	is.True(!other.Advertised(fresh).HasRate)
 }
 
-// The answers of a leaving endpoint overtake each other, and there is no other endpoint. It
-// must get no more requests until its next incarnation is registered.
+// The answers of a leaving endpoint arrive out of order, and there is no other endpoint. It must
+// get no more requests until its next incarnation is registered.
 func TestLeavingEndpointStaysLeaving(t *testing.T) {
 	is := is.New(t)
 	s := fleetOf(1, func(_ int, e *fleet.Endpoint) { e.Incarnation = 5 })
@@ -159,8 +159,8 @@
 	is.Equal(reason, Selected)
 }
 
-// Without reports, each entry would send a leaving endpoint one more request before it learns
-// that the endpoint leaves. A wrong report must not exclude an endpoint forever.
+// Without reports, each entry would send a leaving endpoint one more request before it learns that
+// the endpoint is leaving. A wrong report must not exclude an endpoint forever.
 func TestLeavingIsReportedToPeers(t *testing.T) {
 	is := is.New(t)
 	s := fleetOf(1, nil)
--- a/placement/load_test.go
+++ b/placement/load_test.go
@@ -11,12 +11,12 @@
 	"github.com/parsleydeal/parsleydeal/fleet"
 )
 
-// Guards against refusals while no endpoint is near its bound. Half of a site's zones are out
-// of service at 1.5 times the usual traffic: 31 entries with uneven traffic send 500 prompts
-// per second to 28 endpoints and learn of each other's work only from answers. Limited to even
-// shares of the cold start bound, entries refused callers. Hardly any prompt may be refused,
-// and no endpoint may get more per second than it could accept if it turned cold without
-// advertising it.
+// Guards against refusals while no endpoint is near its bound. Half of a site's zones are out of
+// service at 1.5 times the usual traffic: 31 entries with uneven traffic send 500 prompts per
+// second to 28 endpoints and learn of each other's work only from answers. When each entry was
+// limited to its even share of the cold start bound, entries refused callers. Hardly any prompt
+// may be refused, and no endpoint may get more per second than it could accept if it turned cold
+// without advertising it.
 func TestUnevenEntriesUseEndpointCapacity(t *testing.T) {
 	is := is.New(t)
 	const bound = 30
@@ -27,7 +27,7 @@
 		peak = max(peak, maxPerSecond(sends))
 	}
 	t.Logf("%d of %d refused, at most %d per second at one endpoint", refused, sent, peak)
-	is.True(refused*1000 < sent) // even shares: 2,130 of 10,012 refused
+	is.True(refused*1000 < sent) // limited to even shares, entries refused 2,130 of 10,012
 	is.True(peak <= bound)
 }
 
@@ -38,8 +38,9 @@
 	entries []*Selector
 	weights []int
 	bounds  float64
-	// freeAt holds when an endpoint will have prefilled all its prompts, outstanding and waiting
-	// the numbers of its requests and of those not prefilled, and arrivals when requests arrived.
+	// freeAt holds, by endpoint, when all its prompts will have been prefilled, outstanding the
+	// number of its requests, waiting the number of those not prefilled, and arrivals the times at
+	// which requests arrived.
 	freeAt      map[string]clock.Millis
 	outstanding map[string]int
 	waiting     map[string]int
@@ -94,9 +95,9 @@
 	return true
 }
 
-// shares returns an entry's shares in a site with two of four zones out of service. The entries
-// of a zone share half of its endpoints' bounds, and the entries of the zones out of service
-// count as local in every zone.
+// shares returns the shares of entry i by zone. Two of the four zones are out of service. The
+// entries of a zone divide half of the bounds of its endpoints among them; entries of the zones
+// out of service count as entries of every zone.
 func (sim *loadSimulation) shares(i int) map[string]Share {
 	out := make(map[string]Share)
 	for _, zone := range []string{"a", "b"} {
--- a/placement/obstacle.go
+++ b/placement/obstacle.go
@@ -6,8 +6,8 @@
 	"github.com/parsleydeal/parsleydeal/fleet"
 )
 
-// obstacle is a reason against sending a request to an endpoint. Those above unreachable rule
-// the endpoint out.
+// obstacle is a reason against sending a request to an endpoint. Endpoints with an obstacle
+// greater than unreachable are never selected.
 type obstacle int
 
 const (
@@ -31,7 +31,8 @@
 // contain it to show which limit applied.
 type ObstacleCounts [obstacleKinds]int
 
-// CountObstacles evaluates the same candidates as Select.
+// CountObstacles counts the candidates that Select would consider by their obstacle. It counts
+// nothing against their limits.
 func (sel *Selector) CountObstacles(s *fleet.Snapshot, q Query) (c ObstacleCounts) {
 	sel.mu.Lock()
 	defer sel.mu.Unlock()
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -21,7 +21,8 @@
 // Query describes a request that needs an endpoint.
 type Query struct {
 	Service string
-	// Version is the preferred version; empty for any. Rule defines which others may replace it.
+	// Version is the preferred version; empty for any. Rule defines which other versions may serve
+	// the request if the preferred one cannot.
 	Version string
 	Rule    upgrade.Rule
 	Zone    string
@@ -30,21 +31,22 @@
 	// ReachableOnly excludes endpoints that were recently unreachable even if there is no other.
 	ReachableOnly bool
 	Model         string
-	// Blocks are those of the prompt in order; the last one belongs to this request only.
+	// Blocks are the blocks of the prompt in order. The last one belongs to this request only; the
+	// others may be shared.
 	Blocks []Block
 	// Bytes is the size of the request's body.
 	Bytes int
-	// FullMesh is set if the entries of all zones report their work to this one, and not
-	// only those of its own zone.
+	// FullMesh is set if the entries of all zones, not only those of this entry's zone, report
+	// their work to this one.
 	FullMesh bool
-	// Bounds limit how much one entry sends.
+	// Bounds limit how many requests this entry sends to one endpoint.
 	Bounds Bounds
-	// FirstByteBudget is the maximum time for the wait and the prefill of the prompt; 0 for no
-	// limit.
+	// FirstByteBudget is the maximum time for the wait and the prefill of the prompt, after which
+	// the first byte would be late; 0 for no limit.
 	FirstByteBudget clock.Millis
 	Now             clock.Millis
 
-	// hashes holds the hashes of the blocks for the model, once computed.
+	// hashes holds the hashes of Blocks for Model; empty until hashed computes them.
 	hashes []uint32
 }
 
@@ -62,9 +64,9 @@
 
 // Bounds limit what all entries together send to one endpoint per second.
 type Bounds struct {
-	// Cold applies to endpoints that are or may be in cold start; each entry gets an even
-	// share. Warm applies to all others; each entry gets warmShareFactor even shares.
-	// 0 means no bound.
+	// Cold applies to endpoints that are or may be in cold start; each entry may use an even share
+	// of it. Warm applies to all other endpoints; each entry may use warmShareFactor times its
+	// even share. 0 means no bound.
 	Cold float64
 	Warm float64
 	// Shares holds this entry's share of these bounds and of advertised rates, by the
@@ -74,17 +76,17 @@
 
 // Share is an entry's share of a bound.
 type Share struct {
-	// Fraction is the fraction of the bound that Entries entries share. Index is this
-	// entry's number among them, from 0.
+	// Entries entries divide Fraction of the bound evenly among them. Index is this entry's number
+	// among them, from 0.
 	Fraction float64
 	Entries  int
 	Index    int
 }
 
-// Quota returns how many requests of a total this entry may send to an endpoint, 0 for none.
-// The remainder of the division goes to some of the entries, to different ones at each
-// endpoint. If there are more entries than requests, the entries beyond them have no quota:
-// if all of them had, all could use it in the same second.
+// Quota returns how many of total requests to an endpoint this entry may send; 0 for none. The
+// remainder of the division goes to some of the entries, to different ones at each endpoint. If
+// there are more entries than requests, some entries have no quota: with at least one request
+// each, all of them together could exceed the total within a second.
 func (s Share) Quota(total float64, id string) int {
 	n, shared := s.entries(), uint64(total*s.Fraction)
 	quota := shared / n
@@ -94,24 +96,26 @@
 	return int(quota)
 }
 
-// excluded counts the entries without a quota for an endpoint and returns the place of this
-// one among them, from 1. It must be called only for an entry without a quota.
+// excluded returns the number of entries without a quota for an endpoint, and the place of this
+// entry among them, from 1. It must be called only for an entry without a quota.
 func (s Share) excluded(total float64, id string) (place, entries clock.Millis) {
 	shared := uint64(total * s.Fraction)
 	return clock.Millis(s.position(id)-shared) + 1, clock.Millis(s.entries() - shared)
 }
 
-// position returns this entry's position at an endpoint, from 0. It differs by endpoint.
+// position returns this entry's place, from 0, in the order in which entries get quotas at an
+// endpoint. The order differs by endpoint so that the remainder of a division does not always go
+// to the same entries.
 func (s Share) position(id string) uint64 {
 	return (uint64(s.Index) + xxhash.Sum64String(id)) % s.entries()
 }
 
 func (s Share) entries() uint64 { return uint64(max(s.Entries, 1)) }
 
-// FirstByteBudget returns how long the first byte of a request may still take, given its
-// latency target and the time it has waited. A late prompt delays those queued behind it, so
-// that they are late as well; if it is rejected at once, its caller may retry in time. A
-// request that is nearly late gets a quarter of its target.
+// FirstByteBudget returns how long the first byte of a request may still take, given its latency
+// target and the time it has already waited. A prompt that will be late is better rejected at
+// once: it would also delay the prompts queued behind it, and its caller may still retry in time.
+// A request close to its target or past it still gets a quarter of the target.
 func FirstByteBudget(target, waited clock.Millis) clock.Millis { return max(target-waited, target/4) }
 
 // Reason is the result of a selection.
@@ -132,42 +136,45 @@
 
 // Weights of the cost, in milliseconds.
 const (
-	// loadCost is the cost of a full endpoint: about how much longer a stream of fifty events
-	// takes among 64 others than alone, at 0.1 ms per token and request.
+	// loadCost is the cost of an endpoint at load 1, where all its slots are taken. It is about
+	// how much longer a stream of fifty events takes among 64 concurrent streams than alone, at
+	// 0.1 ms per token and stream.
 	loadCost = 600.0
-	// crossZoneCost is the cost of sending to another zone, and crossZoneByteCost that of each
-	// byte. Traffic between zones is charged for; a kilobyte weighs as much as a hundredth of
-	// an endpoint's load.
+	// crossZoneCost is the cost of sending a request to another zone, and crossZoneByteCost the
+	// additional cost per byte of its body, since traffic between zones is charged for. A kilobyte
+	// costs about as much as a hundredth of an endpoint's load.
 	crossZoneCost     = 15.0
 	crossZoneByteCost = 0.008
-	// unreportedCost is the cost of an endpoint whose work is not reported to this entry:
-	// about the prefill of a long prompt on a large model, which may have been sent there a
-	// moment ago. Without it, entries send to unreported endpoints that look idle but were
-	// just filled by others, while their own endpoints are filled from elsewhere.
+	// unreportedCost is the cost of an endpoint whose work is not reported to this entry. It is
+	// about the prefill time of a long prompt on a large model, which another entry may have just
+	// sent there. Without it, entries send prompts to endpoints of other zones that look idle but
+	// were just filled, while entries of other zones fill theirs in the same manner.
 	unreportedCost = 600.0
-	// affinityCost spreads prompts over endpoints by hash, so that entries without reports
-	// from each other send prompts with the same blocks to the same place.
+	// affinityCost is the maximum cost by a hash of the endpoint and the shared block. It spreads
+	// blocks over the endpoints, and makes entries that get no reports from each other send
+	// prompts with the same block to the same endpoint.
 	affinityCost = 60.0
-	// affinityMinTokens is the minimum number of shared tokens for which prompts are sent to
-	// another zone. Saving the prefill of that many tokens once outweighs the transfer of the
-	// prompt's bytes.
+	// affinityMinTokens is the minimum number of shared tokens for which a prompt is sent to
+	// another zone for the sake of its cached blocks. Saving the prefill of that many tokens once
+	// outweighs the transfer of the prompt's bytes.
 	affinityMinTokens = 2000
-	// cachedTokenSaving is what a cached token saves beyond its prefill time: prefill delays
-	// all streams on the endpoint, and the repeated prefill of a shared block is charged for.
-	// The saving falls to 0 as the endpoint's load approaches lightLoad. Above that, streams
+	// cachedTokenSaving is what a cached token saves in addition to its prefill time: prefill
+	// delays all streams on the endpoint, and prefilling a shared block again costs money. The
+	// saving falls to 0 as the endpoint's load approaches lightLoad. At a higher load, streams
 	// gain more from another endpoint.
 	cachedTokenSaving = 0.05
 	lightLoad         = 0.25
 	// failureCost is the cost of an endpoint that fails every time.
 	failureCost = 2500.0
-	// maxLoad is the load from which an endpoint gets no more requests: the queue is half as
-	// long as the number of slots, and a request would wait about as long as it runs.
+	// maxLoad is the load, as a multiple of the slots, from which an endpoint gets no more
+	// requests. The queue is then half as long as the number of slots, and a request would wait
+	// about as long as it runs.
 	maxLoad = 1.5
 )
 
-// Select returns the endpoint with the lowest cost, or nil and the reason why there is none,
-// and counts the request against its limits. Another version is used only if the preferred
-// one has no endpoint. If an unproven version took the overflow of a full one, it would get
+// Select returns the endpoint with the lowest cost and counts the request against its limits. If
+// there is none, it returns nil and the reason. It uses another version only if the preferred one
+// has no endpoint at all, not if its endpoints are full: otherwise an unproven version would get
 // the most requests under the highest load.
 func (sel *Selector) Select(s *fleet.Snapshot, q Query) (e *fleet.Endpoint, reason Reason) {
 	sel.mu.Lock()
@@ -190,13 +197,14 @@
 
 // Expectation is the expected delay of a request at an endpoint.
 type Expectation struct {
-	// FirstByte is the time to the first byte, and Wait the part of it spent on prompts ahead.
+	// FirstByte is the time to the first byte, and Wait the part of it spent on prompts queued
+	// ahead.
 	FirstByte clock.Millis
 	Wait      clock.Millis
 }
 
-// Expect returns the expected delay at the endpoint that Select would find. ok is false if
-// there is none or only recently unreachable ones.
+// Expect returns the expected delay at the endpoint that Select would return, without counting the
+// request. ok is false if there is no endpoint that was reachable recently.
 func (sel *Selector) Expect(s *fleet.Snapshot, q Query) (x Expectation, ok bool) {
 	sel.mu.Lock()
 	defer sel.mu.Unlock()
@@ -264,9 +272,9 @@
 	}
 }
 
-// preferred returns the endpoint to which all entries send prompts with the same shared block
-// if none is known to have it cached. It returns nil if a candidate has, or if the prompt
-// shares too few tokens.
+// preferred returns the endpoint to which all entries send prompts with the same shared block as
+// long as this entry knows of no endpoint that has the block cached. It returns nil if one of the
+// candidates has it cached, or if the prompt shares too few tokens.
 func (sel *Selector) preferred(all []*fleet.Endpoint, q Query) (e *fleet.Endpoint) {
 	if !sel.usesAffinity(q) {
 		return nil
@@ -284,8 +292,9 @@
 	return e
 }
 
-// usesAffinity reports whether a prompt shares enough tokens to be sent to another zone for
-// them. In a full mesh, reports show where blocks are cached.
+// usesAffinity reports whether the prompt shares enough tokens to be sent to the preferred
+// endpoint, even in another zone. In a full mesh it is always false, since reports show which
+// endpoints have the blocks cached.
 func (sel *Selector) usesAffinity(q Query) bool {
 	return sel.affinityStrategy == decision.AllZones && !q.FullMesh && len(q.Blocks) > 1 && q.sharedTokens() >= affinityMinTokens
 }
@@ -293,8 +302,8 @@
 // sharedTokens counts the tokens of a prompt that other requests may share.
 func (q Query) sharedTokens() int { return tokensOf(q.Blocks[:len(q.Blocks)-1]) }
 
-// cost returns the cost of the request at an endpoint and the obstacle to sending it there.
-// preferred is set for the endpoint that preferred returned.
+// cost returns the cost of the request at an endpoint, and the obstacle to sending it there if
+// any. The argument preferred is true for the endpoint that Selector.preferred returned.
 func (sel *Selector) cost(s *fleet.Snapshot, e *fleet.Endpoint, q Query, preferred bool) (cost float64, o obstacle) {
 	st := sel.stateOf(e.ID)
 	load := sel.inflight.Load(e.ID, e.Slots, q.Now)
@@ -324,8 +333,8 @@
 	return cost + prompt, o
 }
 
-// promptCost returns the cost of a prompt's wait and prefill at an endpoint, and whether both
-// fit into the first-byte budget.
+// promptCost returns the cost of a prompt's wait and prefill at an endpoint, and whether both are
+// expected to fit into the first-byte budget.
 func (sel *Selector) promptCost(e *fleet.Endpoint, st *endpointState, q Query, load float64, preferred bool) (cost float64, inTime bool) {
 	uncached, own := sel.uncachedTokens(st, q), q.Blocks[len(q.Blocks)-1].Tokens
 	hasAffinity := (preferred || uncached <= own) && sel.usesAffinity(q) && withinEvenShare(e, st, q)
@@ -347,12 +356,12 @@
 	return cost + affinityCost*hashScore(e.ID, affinityBlock(q.Blocks)), true
 }
 
-// reported reports whether the entries that send most requests to an endpoint report their
-// work there to this one.
+// reported reports whether this entry gets reports from the entries that send most requests to the
+// endpoint, which are those of the endpoint's zone.
 func (q Query) reported(e *fleet.Endpoint) bool { return q.FullMesh || e.Zone == q.Zone }
 
-// affinityBlock returns the ID of the block that determines the preferred endpoint: the last
-// one that other requests may share.
+// affinityBlock returns the ID of the block by which the preferred endpoint is determined: the
+// last block that other requests may share.
 func affinityBlock(blocks []Block) string {
 	return blocks[max(len(blocks)-2, 0)].ID
 }
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -23,10 +23,10 @@
 	return f.Snapshot()
 }
 
-// Guards against entries that together crash an endpoint in cold start: it looks the least
-// loaded to all of them at once, and each must stay within its own share of the bound. This
-// holds if the endpoint registered the cold start, if its zone has just come back into service,
-// and if it was unreachable and answers again.
+// Guards against entries that together crash an endpoint in cold start: all of them see it as the
+// least loaded at once, so each must stay within its own share of the bound. The endpoint counts
+// as cold after it registered a cold start, after its zone came back into service, and after it
+// answers again having been unreachable.
 func TestEntriesTogetherRespectColdStartBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		entries := rapid.IntRange(1, 60).Draw(t, "entries")
@@ -184,7 +184,8 @@
 }
 
 // The endpoints of the current version are all at their bound while an unproven version has
-// capacity. It must not get the overflow: it would get the most requests under the highest load.
+// capacity. The unproven version must not take the overflow: it would get the most requests under
+// the highest load.
 func TestUnprovenVersionDoesNotTakeTheOverflow(t *testing.T) {
 	is := is.New(t)
 	s := fleetOf(2, func(i int, e *fleet.Endpoint) { e.Version = [...]string{"v1", "v2"}[i] })
@@ -199,9 +200,9 @@
 	is.Equal(counts, map[Reason]int{Selected: 5, Full: 15})
 }
 
-// An endpoint lost power and is still registered. After its backoff only one request may probe
-// it. The others would each wait for a connection that is never accepted, so they must go
-// elsewhere until the probe has ended.
+// An endpoint lost power and is still registered. After its backoff only one request may probe it.
+// The others must go elsewhere until the probe has ended, since each would wait for a connection
+// that is never accepted.
 func TestOneRequestProbesUnreachableEndpoint(t *testing.T) {
 	is := is.New(t)
 	s := fleetOf(2, nil)
@@ -296,8 +297,8 @@
 	}
 }
 
-// Guards against an entry that has just started and refuses a long prompt to a fast model at
-// every endpoint because it assumes the speed of a slow model.
+// Guards against an entry that has just started refusing a long prompt to a fast model at every
+// endpoint because it assumes the speed of a slow model.
 func TestUnmeasuredModelsRejectNothing(t *testing.T) {
 	is := is.New(t)
 	s := fleetOf(3, nil)
@@ -312,8 +313,9 @@
 	is.Equal(reason, Full)
 }
 
-// Guards against a panic while a prompt is refused for lack of capacity: its blocks were looked
-// up before they were hashed, and the caller's connection was closed without an answer.
+// Guards against a panic in CountObstacles when a prompt is refused for lack of capacity, which
+// closed the caller's connection without an answer. The blocks of the prompt must be hashed before
+// they are looked up.
 func TestCountObstaclesOfPromptWithoutCapacity(t *testing.T) {
 	is := is.New(t)
 	s := fleetOf(3, nil)
@@ -326,8 +328,9 @@
 	is.Equal(c[noObstacle], 1)
 }
 
-// A third of the endpoints are unreachable and the others full. An acceptable answer was dropped
-// in favour of a larger model's, whose request then found only unreachable endpoints.
+// A third of the endpoints are unreachable and the others are full. Unreachable endpoints must not
+// count as capacity: if they did, an acceptable answer would be dropped in favour of a larger
+// model's, whose request then finds only unreachable endpoints.
 func TestUnreachableEndpointIsNoCapacity(t *testing.T) {
 	is := is.New(t)
 	s := fleetOf(3, nil)
--- a/placement/prefix_cache.go
+++ b/placement/prefix_cache.go
@@ -9,7 +9,7 @@
 	// prefixTTL is how long a prompt block is assumed to stay in the cache of an endpoint
 	// after it was sent there.
 	prefixTTL = 20 * clock.Second
-	// maxBlocks is the number of entries above which old ones are evicted.
+	// maxBlocks is the number of stored blocks above which old ones are evicted.
 	maxBlocks = 20000
 )
 
@@ -22,19 +22,20 @@
 // hashOf returns the hash of a block for a model. Models do not share cached blocks.
 func (block Block) hashOf(model string) uint32 { return shortHash(model + "/" + block.ID) }
 
-// shortHash identifies an endpoint or a block in reports. One in a hundred thousand of the
-// blocks cached at a time collides with another; its prefill is then not foreseen.
+// shortHash returns the hash that identifies an endpoint or a block in reports. One in a hundred
+// thousand of the blocks cached at a time collides with another; a block with a collision may be
+// taken for cached, so its prefill is not expected.
 func shortHash(name string) uint32 { return uint32(xxhash.Sum64String(name)) }
 
 // prefixCache tracks which prompt blocks the endpoints have cached: those that this entry
 // sent there or another entry reported.
 type prefixCache struct {
-	// blocks holds when a block was last sent to an endpoint.
+	// blocks holds the time at which a block was last sent to an endpoint.
 	blocks map[blockKey]clock.Millis
-	// unreported holds, by endpoint, the shared blocks that this entry has sent since its
-	// last full report, except those that were known there recently. The last block of a
-	// prompt belongs to a single request or session, which stays with its entry, and is not
-	// reported.
+	// unreported holds, by endpoint, the shared blocks that this entry has sent since its last
+	// full report, except blocks that are known to have been sent there within half of prefixTTL.
+	// The last block of a prompt is not reported: it belongs to a single request or session, which
+	// stays with its entry.
 	unreported map[uint32][]uint32
 }
 
@@ -70,7 +71,8 @@
 	return ok && now-at <= prefixTTL
 }
 
-// evict drops entries older than half of prefixTTL when there are more than maxBlocks.
+// evict drops blocks that were last sent more than half of prefixTTL ago if there are more than
+// maxBlocks.
 func (c *prefixCache) evict(now clock.Millis) {
 	if len(c.blocks) <= maxBlocks {
 		return
--- a/placement/prefix_cache_test.go
+++ b/placement/prefix_cache_test.go
@@ -33,8 +33,9 @@
 
 func allZonesSelector() *Selector { return NewSelectorWith(strategiesOf("affinity", "everywhere")) }
 
-// Guards against repeated prefill of a long shared block on endpoint after endpoint by entries of
-// several zones that get no reports from each other.
+// Guards against repeated prefill of a long shared block on one endpoint after another: the
+// entries of several zones, which get no reports from each other, must all send its prompts to the
+// same endpoint.
 func TestAllZonesAgreeOnEndpointForSharedBlock(t *testing.T) {
 	is := is.New(t)
 	s := threeZones()
@@ -49,8 +50,9 @@
 	}
 }
 
-// A short shared block is not worth the transfer of the prompt to another zone. A hot shared block
-// must not bring an endpoint more requests than it could accept in an unadvertised cold start.
+// A short shared block is not worth the transfer of the prompt to another zone. An endpoint that
+// has a hot shared block cached must not get more requests for that reason than it could accept in
+// an unadvertised cold start.
 func TestAffinityIgnoresShortBlocksAndExceededShare(t *testing.T) {
 	is := is.New(t)
 	s := threeZones()
@@ -68,7 +70,7 @@
 		sel.Begin(e, hot).End()
 	}
 	preferred, _ := allZonesSelector().Select(s, hot)
-	is.True(preferred.Zone != "a") // otherwise the limit below would not be reached
+	is.True(preferred.Zone != "a") // in zone a its sends would not reach the limit below
 	is.True(sends[preferred.ID] <= 3)
 }
 
--- a/placement/report.go
+++ b/placement/report.go
@@ -22,8 +22,8 @@
 	// QueueLengthAge how old it is; 0 if the endpoint reported none since the last full report.
 	QueueLength    int
 	QueueLengthAge clock.Millis
-	// Advertisement is what the endpoint advertised, AdvertisementAge how old that is (0 if
-	// there is nothing to report), and Incarnation the start of the endpoint it belongs to.
+	// Advertisement is what the endpoint advertised, AdvertisementAge how long ago (0 if there is
+	// nothing to report), and Incarnation the endpoint's incarnation that advertised it.
 	Advertisement    Advertisement
 	AdvertisementAge clock.Millis
 	Incarnation      int64
@@ -38,12 +38,14 @@
 	receivedAt clock.Millis
 }
 
-// reportTTL is how long reported work counts. Its weight falls linearly to 0, as the endpoint
-// makes progress: the largest model prefills a long prompt in a second.
+// reportTTL is how long after its arrival reported work counts. Its weight falls linearly to 0
+// over this time, since the endpoint makes progress: the largest model prefills a long prompt in a
+// second.
 const reportTTL = clock.Second
 
-// urgentMinMillis is the prefill work, in milliseconds, from which a prompt is reported at
-// once. An entry that sends its own prompt behind such a one notices the delay.
+// urgentMinMillis is the minimum prefill work, in milliseconds, of a prompt that is reported at
+// once instead of with the next regular report. A wait of that length behind such a prompt is
+// noticeable.
 const urgentMinMillis = 40.0
 
 // Urgent returns a channel that receives a value when a report should be sent at once.
@@ -56,11 +58,11 @@
 	}
 }
 
-// Report returns what to report to other entries. A full report covers all endpoints where
-// this entry has work, with the shared blocks sent and the advertisements received since the
-// last full report. Any other report covers only endpoints whose work or advertisement has
-// changed. The next full report makes up for a lost one except for its blocks; a prompt with
-// these is prefilled once more at most.
+// Report returns what to report to other entries. A full report covers all endpoints where this
+// entry has work, with the shared blocks sent and the advertisements received since the last full
+// report. Any other report covers only endpoints whose work or advertisement has changed. If a
+// report is lost, the next full one repeats all of it but the blocks, which costs at most one more
+// prefill of each prompt that has them.
 func (sel *Selector) Report(now clock.Millis, full bool) (reports []EndpointReport) {
 	sel.mu.Lock()
 	defer sel.mu.Unlock()
@@ -86,8 +88,8 @@
 	return reports
 }
 
-// Receive takes in the reports of another entry. A full report replaces all earlier ones of
-// that entry.
+// Receive applies the reports of another entry. A full report replaces all earlier ones of that
+// entry.
 func (sel *Selector) Receive(entry string, reports []EndpointReport, full bool, now clock.Millis) {
 	sel.mu.Lock()
 	defer sel.mu.Unlock()
@@ -119,8 +121,9 @@
 	}
 }
 
-// reportedWork sums the work of other entries at an endpoint, weighted by the age of their
-// reports. pending is in milliseconds.
+// reportedWork sums the work that other entries reported at an endpoint, weighted by the age of
+// their reports: the pending prefill work in milliseconds and the number of prompts without a
+// first byte.
 func (sel *Selector) reportedWork(endpoint uint32, now clock.Millis) (pending, unanswered float64) {
 	for _, p := range sel.peers {
 		r, ok := p[endpoint]
--- a/placement/report_test.go
+++ b/placement/report_test.go
@@ -10,11 +10,11 @@
 	"github.com/parsleydeal/parsleydeal/decision"
 )
 
-// Guards against repeated prefill of shared blocks. Five entries send long prompts on eighty
-// subjects at a rate that the endpoints can just prefill if each shared block is prefilled
-// once. Without reports, entries prefill a subject's block again on endpoint after endpoint,
-// and prompts queue. With reports, repeated prefill must fall by at least a third and late
-// answers by half.
+// Guards against repeated prefill of shared blocks. A subject here is a shared block: five entries
+// send long prompts with eighty different ones, at a rate that the endpoints can just prefill if
+// each block is prefilled only once. Without reports, entries send prompts with the same block to
+// different endpoints, so that it is prefilled again and prompts queue. With reports, repeated
+// prefill must fall by at least a third and late answers by half.
 func TestReportsReducePrefill(t *testing.T) {
 	is := is.New(t)
 	without, with := simulateSubjects(false), simulateSubjects(true)
@@ -24,7 +24,7 @@
 	is.True(with.late*2 <= without.late)
 }
 
-// strategiesOf returns the default strategies except for one decision.
+// strategiesOf returns the default strategies but with the given strategy for the named decision.
 func strategiesOf(name, strategy string) decision.Strategies {
 	strategies, err := decision.Choose(map[string]string{name: strategy})
 	if err != nil {
@@ -33,10 +33,12 @@
 	return strategies
 }
 
-// subjectsResult counts the prompts, the shared tokens prefilled again and the late prompts.
+// subjectsResult counts the prompts, the tokens of shared blocks prefilled again and the late
+// prompts.
 type subjectsResult struct{ requests, repeated, late int }
 
-// simulateSubjects simulates twenty seconds of prompts for the largest model.
+// simulateSubjects simulates twenty seconds of prompts for the largest model. If exchange is true,
+// entries report to each other.
 func simulateSubjects(exchange bool) (out subjectsResult) {
 	const (
 		entries, endpoints, subjects = 5, 9, 80
@@ -130,8 +132,9 @@
 	is.Equal(pending, 0.0)
 }
 
-// Full reports contain shared blocks once and repeat pending work, so that a lost report is
-// made up for. A request's own block is never reported, as no other request shares it.
+// A full report must contain a shared block only once, but repeat pending work, so that it makes
+// up for a lost report. The last block of a prompt must never be reported, since no other request
+// shares it.
 func TestFullReportsRepeatPendingWork(t *testing.T) {
 	is := is.New(t)
 	s := fleetOf(1, nil)
--- a/placement/selector.go
+++ b/placement/selector.go
@@ -14,69 +14,70 @@
 const (
 	// failureWeight is the weight of one outcome in an endpoint's failure ratio.
 	failureWeight = 0.25
-	// failureHalfLife is the half-life of that ratio. It decays without new outcomes, so that
-	// a failed endpoint is tried again.
+	// failureHalfLife is the half-life of the failure ratio. The ratio decays even without new
+	// outcomes, so that a failed endpoint is tried again.
 	failureHalfLife = 4 * clock.Second
-	// sendWindow is the window over which sends are counted against Bounds. It is 0.2 s longer
-	// than the second that the bounds refer to: requests sent more than a second apart may
-	// arrive within one second if the first of them waited for its connection.
+	// sendWindow is the sliding window in which sent requests are counted against Bounds. The
+	// bounds are per second, and the window is 0.2 s longer: requests sent more than a second
+	// apart may arrive within one second if the first of them waited for its connection.
 	sendWindow = 1200 * clock.Millis(1)
 )
 
-// Selector selects endpoints. It keeps the state of each endpoint as seen in this process's
-// own traffic and in reports from other entries. It is safe for concurrent use.
+// Selector selects endpoints. It tracks the state of each endpoint from this process's traffic and
+// from reports of other entries. It is safe for concurrent use.
 type Selector struct {
 	mu       sync.Mutex
 	inflight *choice.Inflight
 	states   map[string]*endpointState
-	// byHash holds the same states by the hash of the endpoint's ID.
+	// byHash holds the elements of states by the hash of the endpoint's ID.
 	byHash   map[uint32]*endpointState
 	prefixes prefixCache
-	// peers holds the work that other entries reported, by entry.
+	// peers holds the work that other entries reported, by the reporting entry.
 	peers      map[string]peerReports
 	estimates  speedEstimates
 	strategies decision.Strategies
-	// affinityStrategy caches the strategy of decision.Affinity, which is needed for each endpoint.
+	// affinityStrategy caches the strategy of decision.Affinity, which is looked up for each
+	// candidate endpoint.
 	affinityStrategy decision.Strategy
 	// urgent holds a value when a long prompt must be reported to other entries at once.
 	urgent chan struct{}
-	// meanOtherWaiting is the mean number of waiting prompts per endpoint that no entry reports.
+	// meanOtherWaiting is the smoothed mean of otherWaiting over all endpoints.
 	meanOtherWaiting float64
 }
 
 // endpointState is the state of one endpoint.
 type endpointState struct {
-	// hash is that of the endpoint's ID.
+	// hash identifies the endpoint in reports.
 	hash uint32
-	// failures is the smoothed ratio of failures as of failuresAt.
+	// failures is the smoothed fraction of failed attempts at the time failuresAt.
 	failures   float64
 	failuresAt clock.Millis
-	// sends holds the send times of requests in ascending order, for as long as any limit
-	// looks back (rateWindow).
+	// sends holds the times at which requests were sent, in ascending order. Times older than
+	// rateWindow, the longest window of any limit, are dropped.
 	sends []clock.Millis
-	// assumedColdUntil is the time until which the endpoint is treated as cold because it
-	// was unreachable before.
+	// assumedColdUntil is the time until which the endpoint is treated as cold because it answered
+	// again after it had been unreachable.
 	assumedColdUntil clock.Millis
-	// unreachableCount counts consecutive failures to reach the endpoint or to get any byte
-	// from it. The endpoint is avoided until avoidUntil because of them.
+	// unreachableCount counts the consecutive failures to reach the endpoint or to get any byte
+	// from it. Because of these the endpoint is avoided until avoidUntil.
 	unreachableCount int
 	avoidUntil       clock.Millis
 	// lastSeenAt is when the endpoint last sent anything.
 	lastSeenAt clock.Millis
 	// advertised is the endpoint's last advertisement.
 	advertised advertisedState
-	// pendingMillis is the prefill work, in milliseconds, of the prompts that this entry sent
-	// and that have not had their first byte; unanswered is their number.
-	// changed is set when these differ from the last report.
+	// pendingMillis is the total prefill work, in milliseconds, of the prompts that this entry
+	// sent there and that have not had their first byte; unanswered is the number of these
+	// prompts. changed is set if they differ from the last report.
 	pendingMillis float64
 	unanswered    int
 	changed       bool
-	// otherWaiting is the number of prompts waiting as of queueLengthAt that neither this
-	// entry sent nor any other entry reported.
+	// otherWaiting is the number of prompts waiting there, at the time queueLengthAt, that were
+	// neither sent by this entry nor reported by another one.
 	otherWaiting float64
-	// queueLength is the number of all waiting prompts that the endpoint reported as of
-	// queueLengthAt. queueLengthUnreported is set when this entry got it from the endpoint
-	// and has not reported it to other entries yet.
+	// queueLength is the total number of waiting prompts that the endpoint reported, at the time
+	// queueLengthAt. queueLengthUnreported is set if the endpoint reported it to this entry, which
+	// has not reported it to other entries yet.
 	queueLength           int
 	queueLengthAt         clock.Millis
 	queueLengthUnreported bool
@@ -108,17 +109,18 @@
 	model          string
 	uncachedTokens int
 	prefillMillis  float64
-	// onlyPending is true if no other prompt of this entry was waiting there at the start.
+	// onlyPending is true if no other prompt of this entry was waiting at the endpoint at the
+	// start, so that the time to the first byte is a sample of the prefill speed.
 	onlyPending bool
-	// expectedWait is the known work before the first byte at the start, in milliseconds, and
-	// expectedFirstByte the expected time to the first byte.
+	// expectedWait is the known prefill work before the first byte, in milliseconds, and
+	// expectedFirstByte the expected time to the first byte; both as estimated at the start.
 	expectedWait      float64
 	expectedFirstByte clock.Millis
 	startedAt         clock.Millis
 	prefilled         bool
 }
 
-// ExpectedFirstByte returns the time to the first byte that was expected at the start.
+// ExpectedFirstByte returns the time from the start to the first byte, as estimated by Begin.
 func (w *Work) ExpectedFirstByte() clock.Millis { return w.expectedFirstByte }
 
 // Begin records that a request is sent to an endpoint. The caller must call End on the
@@ -143,8 +145,7 @@
 	return w
 }
 
-// FirstByte records that the first byte of the answer has arrived, which means that the
-// prefill of the prompt is done.
+// FirstByte records that the first byte of the answer has arrived: the prompt has been prefilled.
 func (w *Work) FirstByte(now clock.Millis) {
 	sel := w.selector
 	sel.mu.Lock()
@@ -178,11 +179,11 @@
 	w.finishPrefill()
 }
 
-// queueMillis estimates, in milliseconds, how long the prompts waiting at an endpoint take:
-// those of this entry, those that other entries reported, and the rest by their number.
-// Where other entries report their work, an endpoint without a recent queue length counts as
-// idle. Elsewhere it counts as average: treated as idle, it would get work from another zone
-// although entries of its own zone have filled it.
+// queueMillis estimates, in milliseconds, how long the prompts waiting at an endpoint take: those
+// of this entry, those reported by other entries, and the rest by their number. If the endpoint
+// has reported no queue length recently, the rest is taken to be 0 where other entries report
+// their work to this one, and average elsewhere: an endpoint assumed to be idle would get prompts
+// from other zones although entries of its own zone have filled it.
 func (sel *Selector) queueMillis(e *fleet.Endpoint, st *endpointState, q Query) float64 {
 	if sel.strategies.Disabled(decision.Waiting) {
 		return 0
@@ -205,7 +206,7 @@
 	st.queueLengthUnreported = true
 }
 
-// setQueueLength sets the queue length that an endpoint reported at a time.
+// setQueueLength applies a queue length that the endpoint reported at the time at.
 func (sel *Selector) setQueueLength(st *endpointState, waiting int, at, now clock.Millis) {
 	_, reported := sel.reportedWork(st.hash, now)
 	st.queueLength, st.queueLengthAt, st.queueLengthUnreported = waiting, at, false
@@ -216,12 +217,12 @@
 // otherWaitingWeight is the weight of one queue length in meanOtherWaiting.
 const otherWaitingWeight = 0.05
 
-// queueLengthHalfLife is the half-life of the weight of a reported queue length: the prefill
-// of a prompt takes a few hundred milliseconds.
+// queueLengthHalfLife is the half-life of the weight of a reported queue length. It is short
+// because the prefill of a prompt takes only a few hundred milliseconds.
 const queueLengthHalfLife = 500 * clock.Millis(1)
 
-// RecordLoad records the numbers of outstanding requests and of slots that an endpoint itself
-// reported.
+// RecordLoad records how many requests an endpoint has outstanding and how many slots it has, as
+// it reported itself.
 func (sel *Selector) RecordLoad(id string, outstanding, slots int, now clock.Millis) {
 	sel.inflight.RecordLoad(&wire.Load{Vm: id, Held: int32(outstanding), Window: int32(slots)}, now)
 }
@@ -231,14 +232,15 @@
 	// is avoided. The backoff doubles with each consecutive failure.
 	minUnreachableBackoff = 500 * clock.Millis(1)
 	maxUnreachableBackoff = 8 * clock.Second
-	// probeTimeout is how long other requests wait for the outcome of the one that probes an
-	// unreachable endpoint. It exceeds the time that a connection to a dead one takes to fail.
+	// probeTimeout is how long an unreachable endpoint is avoided by other requests while one
+	// request probes it. It exceeds the time that a connection attempt to a dead endpoint takes to
+	// fail.
 	probeTimeout = clock.Second
 )
 
-// RecordUnreachable records that an endpoint could not be reached or fell silent. It is
-// avoided for a backoff; then a single request probes it. If all requests did, each of them
-// would spend the time that it takes to find that the endpoint is still unreachable.
+// RecordUnreachable records that an endpoint could not be reached or stopped sending. The endpoint
+// is avoided for a backoff, after which a single request probes it: any further request would wait
+// as long as the probe only to find that the endpoint is still unreachable.
 func (sel *Selector) RecordUnreachable(id string, now clock.Millis) {
 	sel.mu.Lock()
 	st := sel.stateOf(id)
@@ -260,9 +262,9 @@
 	st.unreachableCount, st.avoidUntil = 0, 0
 }
 
-// assumedColdDuration is how long an endpoint that was unreachable and answers again is
-// treated as cold. It may have restarted, which its registration shows after at most one
-// heartbeat (1.2 s) and one interval between reads of the store (0.8 s).
+// assumedColdDuration is how long an endpoint that answers again after it was unreachable is
+// treated as cold. It may have restarted, which this entry learns from its registration after at
+// most one heartbeat (1.2 s) and one interval between reads of the store (0.8 s).
 const assumedColdDuration = 2 * clock.Second
 
 // ActiveSince reports whether an endpoint sent something after a time.
@@ -277,7 +279,7 @@
 	return now >= st.avoidUntil || sel.strategies.Disabled(decision.UnreachableEndpoints)
 }
 
-// RecordOutcome records the end of an attempt at an endpoint.
+// RecordOutcome records that an attempt at an endpoint has ended, and whether it failed.
 func (sel *Selector) RecordOutcome(id string, failed bool, now clock.Millis) {
 	sel.mu.Lock()
 	defer sel.mu.Unlock()
@@ -313,17 +315,17 @@
 	}
 }
 
-// warmShareFactor is the multiple of its even share of an endpoint's bound that an entry may
-// send to an endpoint not known to be cold. An entry of 31 has an even share of one request
-// per second. Limited to that, it would refuse callers whenever two requests coincide, and
-// would pass over endpoints that have a prompt's blocks cached.
+// warmShareFactor is the multiple of its even share of an endpoint's bound that an entry may send
+// to an endpoint not known to be cold. In a site with 31 entries, for example, an even share is
+// one request per second. Limited to that, an entry would refuse callers whenever two requests
+// coincide, and would pass over endpoints that have a prompt's blocks cached.
 const warmShareFactor = 4
 
 // withinBounds reports whether one more request stays within this entry's share of what an
-// endpoint may get in a second. An endpoint in cold start crashes if it gets well above its
-// bound, so the shares of all entries add up to that bound. An endpoint that turned cold
-// without advertising it is safe for another reason: as long as its load is like that of its
-// neighbours, placement gives it no more than them.
+// endpoint may get per second. An endpoint in cold start crashes if it gets well above its bound,
+// so the shares of all entries add up to that bound. This does not protect an endpoint that turned
+// cold without advertising it. There, selection by cost helps: an endpoint gets no more requests
+// than others that are equally loaded.
 func withinBounds(s *fleet.Snapshot, e *fleet.Endpoint, st *endpointState, q Query) bool {
 	total := q.Bounds.Warm * warmShareFactor
 	if s.Cold(e, q.Now) || st.assumedColdUntil > q.Now || st.advertisedBy(e).coldUntil > q.Now {
@@ -332,7 +334,7 @@
 	return total <= 0 || st.sentSince(q.Now-sendWindow) < q.Bounds.Shares[e.Zone].Quota(total, e.ID)
 }
 
-// sentSince counts the requests sent at a time or later.
+// sentSince counts the requests sent at or after the time at.
 func (st *endpointState) sentSince(at clock.Millis) (n int) {
 	for n < len(st.sends) && st.sends[len(st.sends)-1-n] >= at {
 		n++
@@ -340,14 +342,16 @@
 	return n
 }
 
-// withinEvenShare reports whether one more request stays within this entry's even share of
-// what a warm endpoint may get. If all entries prefer the same endpoint, as for a hot shared
-// block, placement does not keep its load like that of its neighbours.
+// withinEvenShare reports whether one more request stays within this entry's even share of what a
+// warm endpoint may get. It limits requests that are sent to an endpoint for its cached blocks: if
+// all entries prefer the same endpoint, selection by cost does not balance its load with that of
+// others.
 func withinEvenShare(e *fleet.Endpoint, st *endpointState, q Query) bool {
 	return q.Bounds.Warm <= 0 || st.sentSince(q.Now-sendWindow) < q.Bounds.Shares[e.Zone].Quota(q.Bounds.Warm, e.ID)
 }
 
-// prefillSavings is the cost saved by the cached tokens of a prompt beyond their prefill time.
+// prefillSavings returns what the cached tokens of a prompt save in addition to their prefill
+// time, in units of cost.
 func prefillSavings(q Query, uncached int) float64 {
 	return cachedTokenSaving * float64(tokensOf(q.Blocks)-uncached)
 }
@@ -373,7 +377,8 @@
 }
 
 // Prune drops the state of endpoints that are not in the snapshot. Recent advertisements are
-// kept, because a registration that lapsed during an outage of the store comes back.
+// retained, because a registration that lapses during an outage of the store is renewed
+// afterwards.
 func (sel *Selector) Prune(s *fleet.Snapshot, now clock.Millis) {
 	sel.mu.Lock()
 	defer sel.mu.Unlock()
--- a/placement/snapshot.go
+++ b/placement/snapshot.go
@@ -19,13 +19,13 @@
 	// of prompts that it is based on.
 	MillisPerToken float64
 	Samples        int
-	// ExcessMillis is how much longer first bytes take on average than the known work before
-	// them, in milliseconds.
+	// ExcessMillis is the mean difference, in milliseconds, between the actual time to the first
+	// byte and the time that the known work before it takes.
 	ExcessMillis float64
 }
 
-// Snapshot returns what an entry lacks that has just started: the blocks recently sent to
-// endpoints, limited to the newest ones, and the speeds of models.
+// Snapshot returns state for an entry that has just started: the blocks recently sent to
+// endpoints, at most the newest maxSnapshotBlocks, and the speeds of models.
 func (sel *Selector) Snapshot(now clock.Millis) (reports []EndpointReport, speeds []ModelSpeed) {
 	sel.mu.Lock()
 	defer sel.mu.Unlock()
@@ -51,8 +51,8 @@
 	return reports, speeds
 }
 
-// ApplySnapshot merges another entry's snapshot. The speed of a model is taken over only if it
-// is based on more samples than this entry's own.
+// ApplySnapshot merges another entry's snapshot into the state. A model's speed is adopted only if
+// it is based on more samples than this entry has.
 func (sel *Selector) ApplySnapshot(reports []EndpointReport, speeds []ModelSpeed, now clock.Millis) {
 	sel.mu.Lock()
 	defer sel.mu.Unlock()
