--- a/decision/decision.go
+++ b/decision/decision.go
@@ -1,6 +1,6 @@
-// Package decision defines the decisions of an entry that can be made by more than one strategy,
-// and the strategies. One build contains all strategies, so that operators can compare them on
-// their own site.
+// Package decision names the decisions of an entry that can be made by more than one strategy, and
+// the strategies. The program contains all of them, so that operators can choose and compare
+// strategies on their own site.
 package decision
 
 import (
@@ -16,10 +16,10 @@
 // ErrUnknown is returned for an unknown decision or strategy.
 var ErrUnknown = Errors.NewType("unknown")
 
-// Name is the name of a decision.
+// Name is the name of a decision, as used in settings.
 type Name string
 
-// Strategy is the name of a strategy for a decision.
+// Strategy is the name of a strategy for a decision, as used in settings.
 type Strategy string
 
 // Strategies of decisions that enable or disable a mechanism.
@@ -28,22 +28,24 @@
 	Off Strategy = "off"
 )
 
-// Decision is a decision with its strategies.
+// Decision describes a decision and lists its strategies.
 type Decision struct {
 	Name Name
-	// Load is the load pattern for which the decision matters.
+	// Load describes the load pattern under which the choice of strategy matters.
 	Load string
-	// Strategies holds the default first.
+	// Strategies lists the strategies, the default first.
 	Strategies []Strategy
 }
 
-// Decisions that enable or disable a mechanism.
+// Decisions whether to use a mechanism. Each comment describes what On does.
 const (
-	// ReportedWork counts the pending work that other entries report.
+	// ReportedWork includes the pending work that other entries report in the wait at an endpoint.
 	ReportedWork Name = "told-work"
-	// ReportedBlocks counts prompt blocks as cached that other entries report to have sent.
+	// ReportedBlocks treats the prompt blocks that other entries report to have sent to an
+	// endpoint as cached there.
 	ReportedBlocks Name = "told-parts"
-	// CachedBlocks charges only the prefill of blocks that an endpoint has not cached.
+	// CachedBlocks charges a prompt only for the prefill of blocks that the endpoint has not
+	// cached.
 	CachedBlocks Name = "kept-parts"
 	// Waiting adds the prefill time of the prompts waiting at an endpoint to its cost.
 	Waiting Name = "waiting"
@@ -51,29 +53,30 @@
 	LatePrompts Name = "late-prompts"
 	// UnreachableEndpoints avoids endpoints that could not be reached.
 	UnreachableEndpoints Name = "lost-endpoints"
-	// Failures avoids endpoints that failed recently.
+	// Failures makes endpoints that failed recently cost more.
 	Failures Name = "failures"
-	// UnreportedCost prefers endpoints whose work is reported to this entry.
+	// UnreportedCost prefers endpoints for which this entry gets reports of other entries' work.
 	UnreportedCost Name = "blind-cost"
-	// UrgentReports reports a long prompt at once instead of with the next periodic report.
+	// UrgentReports reports a long prompt to other entries at once instead of with the next
+	// periodic report.
 	UrgentReports Name = "urgent-reports"
 	// StayIfBusy abandons a slow endpoint only if another one has capacity.
 	StayIfBusy Name = "stay-if-busy"
 )
 
-// Decisions with several strategies.
+// Decisions between several strategies.
 const (
 	// Drop decides whether the smallest model's answer is dropped in favour of the largest one's.
 	Drop Name = "drop"
-	// FirstByteTimeout decides how long to wait for an endpoint that sends nothing.
+	// FirstByteTimeout decides how long to wait for the first byte of an endpoint.
 	FirstByteTimeout Name = "patience"
-	// Affinity decides where prompts with shared blocks go if it is not known which endpoint
-	// has these cached.
+	// Affinity decides where prompts with shared blocks go while it is not known which endpoint
+	// has the blocks cached.
 	Affinity Name = "affinity"
-	// Start decides what state of endpoints an entry starts with.
+	// Start decides with what state of the endpoints an entry starts.
 	Start Name = "start"
-	// EarlyRequests decides what happens to requests that arrive at an entry that has just started
-	// and has not loaded the state of its site yet.
+	// EarlyRequests decides what happens to requests that arrive at an entry before it has loaded
+	// the state of its site.
 	EarlyRequests Name = "early-requests"
 	// Connection decides how a request that may run only once gets its connection.
 	Connection Name = "connection"
@@ -81,29 +84,31 @@
 
 // Strategies of Start.
 const (
-	// Snapshot gets the cached prompt blocks and the speeds of models from another entry.
+	// Snapshot gets the cached prompt blocks of the endpoints and the speeds of models from
+	// another entry.
 	Snapshot Strategy = "snapshot"
-	// Empty starts without them.
+	// Empty starts without cached blocks and speeds.
 	Empty Strategy = "blank"
 )
 
 // Strategies of EarlyRequests.
 const (
-	// Hold holds requests until the state of the site is loaded, for at most a fraction of the
+	// Hold delays requests until the state of the site is loaded, for at most a fraction of the
 	// caller timeout.
 	Hold Strategy = "hold"
-	// Refuse refuses requests so that callers retry.
+	// Refuse refuses requests at once, so that callers retry.
 	Refuse Strategy = "refuse"
 )
 
 // Strategies of Drop.
 const (
-	// ByTime charges the larger model for the fraction of the remaining time that its first byte
-	// takes.
+	// ByTime weighs the value of a better answer against the larger model's price and its time,
+	// measured as the fraction of the remaining time that its first byte takes.
 	ByTime Strategy = "by-time"
-	// ByPressure does the same in proportion to the current load of endpoints.
+	// ByPressure does the same, but scales the charge for time by the current load of the
+	// endpoints.
 	ByPressure Strategy = "by-pressure"
-	// ByPrice does not charge the larger model for its time.
+	// ByPrice weighs the value of a better answer against the larger model's price only.
 	ByPrice Strategy = "by-price"
 	// ByRating drops an answer with a confidence below 50.
 	ByRating Strategy = "by-opinion"
@@ -113,28 +118,30 @@
 const (
 	// ByMean waits for a multiple of the route's mean time to the first byte.
 	ByMean Strategy = "by-mean"
-	// ByError waits for the expected time of this request plus a margin for the error of such
-	// expectations.
+	// ByError waits for the expected time to the first byte of this request plus a margin for the
+	// error of that estimate.
 	ByError Strategy = "by-error"
-	// CallerTimeout waits until the request's own timeout.
+	// CallerTimeout waits until the request's own timeout expires.
 	CallerTimeout Strategy = "endless"
 )
 
 // Strategies of Affinity.
 const (
-	// ByZone prefers an endpoint of the same zone by a hash of the blocks.
+	// ByZone prefers, by a hash of endpoint and shared block, one endpoint of the entry's own
+	// zone.
 	ByZone Strategy = "by-zone"
-	// AllZones prefers the first endpoint of all zones by that hash.
+	// AllZones prefers, by the same hash, one endpoint out of all zones.
 	AllZones Strategy = "everywhere"
-	// NoAffinity prefers none.
+	// NoAffinity prefers no endpoint.
 	NoAffinity Strategy = "none"
 )
 
 // Strategies of Connection.
 const (
-	// Watched watches a new connection for a short time before it sends on it.
+	// Watched waits a short time on a new connection, in case the endpoint resets it, before it
+	// sends the request.
 	Watched Strategy = "watched"
-	// Immediate sends on a new connection at once.
+	// Immediate sends the request on a new connection at once.
 	Immediate Strategy = "fresh"
 )
 
@@ -169,14 +176,15 @@
 	return All[i], true
 }
 
-// Strategies holds the chosen strategies. The zero value holds the defaults.
+// Strategies holds the chosen strategy of each decision. The zero value holds the defaults.
 type Strategies struct {
-	// chosen holds only known decisions and strategies.
+	// chosen holds only known decisions and strategies. A decision that is missing uses its
+	// default.
 	chosen map[Name]Strategy
 }
 
-// Choose returns the strategies given by the names of their decisions, and the defaults for all
-// others. The error is an ErrUnknown.
+// Choose returns the strategies that the argument gives by decision name, with the default for
+// each decision that it omits. The error is an ErrUnknown.
 func Choose(strategies map[string]string) (s Strategies, err error) {
 	s.chosen = make(map[Name]Strategy, len(strategies))
 	for _, name := range slices.Sorted(maps.Keys(strategies)) {
@@ -202,8 +210,9 @@
 	return d.Strategies[0]
 }
 
-// Disabled reports whether a mechanism is disabled.
+// Disabled reports whether the mechanism that a decision controls is disabled.
 func (s Strategies) Disabled(n Name) bool {
-	// This runs for each endpoint of each request, and most processes use only defaults.
+	// Fast path: this runs for each endpoint of each request, and most processes use only
+	// defaults.
 	return len(s.chosen) > 0 && s.For(n) == Off
 }
--- a/decision/decision_test.go
+++ b/decision/decision_test.go
@@ -7,8 +7,8 @@
 	"github.com/matryer/is"
 )
 
-// Guards against unknown names being ignored: a comparison would then measure no difference and
-// make a strategy look useless.
+// Guards against ignoring unknown names: a comparison of strategies would then compare the default
+// with itself and make a strategy look useless.
 func TestChooseRejectsUnknownNames(t *testing.T) {
 	is := is.New(t)
 	for _, names := range []map[string]string{{"told-part": "off"}, {"told-parts": "of"}, {"drop": "off"}, {"": ""}} {
