--- a/cascade/cascade_test.go
+++ b/cascade/cascade_test.go
@@ -15,9 +15,10 @@
 	return NewEscalator(decision.Strategies{}).ShouldEscalate(Answer{Confidence: confidence, Remaining: remaining}, LargerModel{FirstByte: firstByte, QueueWait: firstByte})
 }
 
-// Endpoints are overloaded, and the larger model's first byte takes all the remaining time. Answers
-// of the small model must be delivered unless they are hopeless. A lower load must never escalate
-// less, and a better answer must never be dropped where a worse one is delivered.
+// Endpoints are overloaded, and the larger model's first byte takes all the remaining time.
+// Answers of the small model must be delivered unless they are hopeless. If an answer is escalated
+// under some load it must also be escalated under a lower one, and if a good answer is escalated a
+// worse one must be too.
 func TestFewerAnswersAreEscalatedUnderLoad(t *testing.T) {
 	is := is.New(t)
 	is.True(escalates(50, 200, latencyTarget))
@@ -39,22 +40,22 @@
 	})
 }
 
-// A model reports no confidence in its answer. Without evidence against the answer it must be
-// delivered.
+// A model reports no confidence in its answer. Nothing shows that the answer is poor, so it must
+// be delivered.
 func TestAnswersWithoutConfidenceAreKept(t *testing.T) {
 	is := is.New(t)
 	is.True(!escalates(-1, 100, latencyTarget))
 }
 
-// The latency target has passed already. The larger model's answer would be late too, and is worth
-// no more than the one at hand unless that is poor.
+// The latency target has passed already. The larger model's answer would be late too, so
+// escalating is worth its price only if the answer at hand is poor.
 func TestLateAnswersAreDroppedOnlyWhenPoor(t *testing.T) {
 	is := is.New(t)
 	is.True(!escalates(60, 500, 0))
 }
 
-// Endpoints are busy but nothing waits for the larger model. If its time were charged all the same,
-// poor answers would be delivered for the sake of requests that are in time anyway.
+// Endpoints are busy but nothing waits for the larger model. Its time must not be charged then:
+// poor answers would be delivered for the sake of other requests that are in time anyway.
 func TestLargerModelIsChargedByItsQueueWait(t *testing.T) {
 	is := is.New(t)
 	e := NewEscalator(decision.Strategies{})
