--- a/upgrade/evidence.go
+++ b/upgrade/evidence.go
@@ -6,8 +6,9 @@
 	"github.com/parsleydeal/parsleydeal/rollout"
 )
 
-// Key groups outcomes by route and by version: Target is true for the new version. Delay is
-// true for the first-byte delays of dropped answers, which are counted separately.
+// Key groups outcomes by route and version. Target is true for the new version. If Delay is true,
+// the count covers not answers but the delays of the first byte of answers that were dropped
+// before their latency could be measured.
 type Key struct {
 	Route  string
 	Target bool
@@ -16,18 +17,18 @@
 
 // Count sums the outcomes of one key.
 type Count struct {
-	// Ended counts answers that ended, Bad those of them that failed.
+	// Ended counts answers that ended; Bad counts those of them that failed.
 	Ended int64
 	Bad   int64
-	// Timed counts answers whose latency could be measured, Slow those of them that exceeded
-	// each of SlowThresholds.
+	// Timed counts answers whose latency could be measured; Slow counts, for each of
+	// SlowThresholds, how many of these exceeded it.
 	Timed int64
 	Slow  [len(SlowThresholds)]int64
 }
 
 func (c Count) minus(o Count) Count { return c.plus(o, -1) }
 
-// plus returns c plus sign times o.
+// plus returns c + sign*o.
 func (c Count) plus(o Count, sign int64) Count {
 	c.Ended += sign * o.Ended
 	c.Bad += sign * o.Bad
@@ -38,47 +39,49 @@
 	return c
 }
 
-// Counts is what one process has counted since it started.
+// Counts holds the outcomes that one process has counted since it started.
 type Counts map[Key]Count
 
 // maxFailureRatio is the fraction of a good version's answers that may fail.
 const maxFailureRatio = 0.05
 
-// SlowThreshold defines a slow answer: one that took longer than Factor times a quantile of
-// the old version's answers.
+// SlowThreshold defines which answers are slow: those that take longer than Factor times a
+// quantile of the old version's latency.
 type SlowThreshold struct {
-	// Quantile is the fraction of the old version's answers below the quantile, from 0 to 1.
+	// Quantile is the fraction of the old version's answers that are faster than the quantile,
+	// from 0 to 1.
 	Quantile float64
 	Factor   float64
-	// limit is the fraction of a good version's answers that may exceed the threshold; for
-	// the old version itself it is 1-Quantile at a factor of 1.
+	// limit is the fraction of a good version's answers that may exceed the threshold. At a Factor
+	// of 1, the fraction for the old version itself is 1-Quantile.
 	limit float64
 }
 
-// SlowThresholds lists the definitions of a slow answer. A version that is several times
-// slower throughout is detected soonest by a high quantile, unless the old version has many
-// slow answers itself: where load makes the gaps in its streams vary several-fold, most of a
-// slow version's gaps hardly exceed the 0.8 quantile. A version that is only sometimes slow is
-// detected by a multiple, which few of the old version's answers exceed.
+// SlowThresholds lists the definitions of a slow answer. A high quantile soonest detects a new
+// version that is several times slower throughout. It fails if the old version has many slow
+// answers itself: under a load that makes the time between events vary several-fold, most events
+// of a slow version hardly exceed the 0.8 quantile, and a lower quantile detects it. A version
+// that is slow only sometimes is detected by a multiple of a quantile, which few of the old
+// version's answers exceed.
 var SlowThresholds = [...]SlowThreshold{
 	{Quantile: 0.65, Factor: 1, limit: 0.4},
 	{Quantile: 0.8, Factor: 1, limit: 0.25},
 	{Quantile: 0.8, Factor: 2.5, limit: 0.06},
 }
 
-// allRoutes is the key for the outcomes of all routes together.
+// allRoutes is the key in testsByRoute for all routes together.
 const allRoutes = ""
 
-// measure is one criterion by which a version may be bad: a sequential test of the new
-// version's rate, with the old version's samples as control. A version is bad only when its
-// rate exceeds the limit and is worse than the old version's.
+// measure is one criterion by which a version may be bad, such as its failure rate. It is a
+// sequential test of the new version with the old version as control: the version is bad only if
+// its rate exceeds the limit and is also worse than the old version's.
 type measure struct {
 	name  string
 	limit float64
-	// relative measures need answers of the old version to compare with, since an
-	// overload makes both versions slow.
+	// relative measures need answers of the old version to compare with, since an overload makes
+	// both versions slow.
 	relative bool
-	// sample extracts the measure's sample from a count.
+	// sample returns the part of a count that this measure tests.
 	sample func(c Count) rollout.Sample
 }
 
@@ -96,10 +99,10 @@
 	return rollout.Sample{N: float64(n), Bad: float64(bad)}
 }
 
-// routeTests holds the tests of one route, by measure.
+// routeTests holds the tests of the new version on one route, one for each of measures.
 type routeTests struct {
 	tests [len(measures)]rollout.Test
-	// old sums the old version's samples over the same time.
+	// old sums the old version's samples during the upgrade, by measure.
 	old [len(measures)]rollout.Sample
 }
 
@@ -116,8 +119,8 @@
 	}
 }
 
-// verdict returns the measure by which the new version is bad, or "" without sufficient
-// evidence.
+// verdict returns the name of the measure by which the new version is bad; "" if no measure has
+// sufficient evidence.
 func (r *routeTests) verdict() string {
 	for i, m := range measures {
 		if r.tests[i].Crossed(r.old[i], r.old[i].N > 0, m.relative) {
@@ -127,8 +130,8 @@
 	return ""
 }
 
-// suspicion returns the measure by which the new version seems to be bad on evidence that is
-// too weak for a verdict, or "".
+// suspicion returns the name of the measure by which the new version seems to be bad, although the
+// evidence is too weak for a verdict; "" if there is none.
 func (r *routeTests) suspicion() string {
 	for i, m := range measures {
 		if r.tests[i].Suspicious(r.old[i]) {
--- a/upgrade/order.go
+++ b/upgrade/order.go
@@ -12,7 +12,8 @@
 	Target string
 	// Duration is the time that the upgrade may take.
 	Duration clock.Millis
-	// Number identifies the order among those for a service; it increases.
+	// Number identifies the order among those for the same service; later orders have higher
+	// numbers.
 	Number int64
 }
 
@@ -32,25 +33,25 @@
 }
 
 const (
-	// pinnedRatio is the fraction of an order's duration during which sessions keep their
-	// version, so that the new version's share stays at that of new sessions.
+	// pinnedRatio is the fraction of an order's duration during which running sessions keep their
+	// version, so that only new sessions go to the new version.
 	pinnedRatio = 0.5
-	// fullTrafficRatio is the fraction of an order's duration after which the new version
-	// gets all traffic; the rest is for the old version's streams to end.
+	// fullTrafficRatio is the fraction of an order's duration after which the new version gets all
+	// traffic. The remaining time lets the old version's streams end.
 	fullTrafficRatio = 0.72
-	// firstExposureRatio is the fraction of the exposure allowed by operators that is used
-	// while sessions are pinned. The rest is for the later steps, in which a version that
-	// is bad only under load shows it.
+	// firstExposureRatio is the fraction of the exposure allowed by operators that is used while
+	// sessions are pinned. The rest is left for the later steps, which reveal a version that is
+	// bad only under load.
 	firstExposureRatio = 0.55
 )
 
-// stepShares lists the new version's shares between pinnedRatio and fullTrafficRatio, in
-// steps of equal length. In a 24 s upgrade a step lasts 1.76 s, long enough for 1.5 s of
-// evidence.
+// stepShares lists the new version's shares between pinnedRatio and fullTrafficRatio, in steps of
+// equal length. In a 24 s upgrade a step lasts 1.76 s, long enough to collect evidence for 1.5 s.
 var stepShares = [...]float64{0.2, 0.4, 0.7}
 
-// Share returns the fraction of a service's sessions that go to the new version. Elapsed is the
-// elapsed fraction of the order's duration, exposure the fraction allowed by operators.
+// Share returns the fraction of a service's sessions that go to the new version. elapsed is the
+// elapsed fraction of the order's duration; exposure is the fraction of sessions that operators
+// allow on the new version at first.
 func Share(elapsed, exposure float64) float64 {
 	first := exposure * firstExposureRatio
 	switch {
--- a/upgrade/rule.go
+++ b/upgrade/rule.go
@@ -4,26 +4,26 @@
 
 // Rule defines which versions of a service may answer.
 type Rule struct {
-	// Current is the version in use; empty when any may answer.
+	// Current is the version in use; empty if any version may answer.
 	Current string
 	// Target is the new version while an upgrade runs; empty otherwise.
 	Target string
-	// Banned is a version that was rolled back; empty when there is none.
+	// Banned is a version that was rolled back; empty if there is none.
 	Banned string
 	// Share is the fraction of sessions that go to the target.
 	Share float64
-	// Pinned is true while sessions keep their version.
+	// Pinned is true while running sessions keep their version.
 	Pinned bool
 }
 
-// RuleAt returns the rule of a running upgrade at an instant.
+// RuleAt returns the rule of a running upgrade at the time now.
 func RuleAt(o Order, startedAt, now clock.Millis, current string, exposure float64) Rule {
 	elapsed := float64(now-startedAt) / float64(max(o.Duration, 1))
 	return Rule{Current: current, Target: o.Target, Share: Share(elapsed, exposure), Pinned: elapsed < pinnedRatio}
 }
 
-// Version selects the version for a request. Fraction is a number in [0, 1) that is constant
-// for a session; last is the version that recently served the session, or "".
+// Version selects the version for a request. fraction is a number in [0, 1) that is constant for a
+// session; last is the version that last served the session, or "".
 func (r Rule) Version(fraction float64, last string) string {
 	if r.Target == "" {
 		return r.Current
@@ -37,7 +37,7 @@
 	return r.Current
 }
 
-// Allows reports whether a version may answer at all.
+// Allows reports whether a version may answer any request.
 func (r Rule) Allows(version string) bool {
 	if r.Banned != "" && version == r.Banned {
 		return false
--- a/upgrade/upgrade.go
+++ b/upgrade/upgrade.go
@@ -3,34 +3,34 @@
 import "github.com/parsleydeal/parsleydeal/clock"
 
 const (
-	// idleDuration is how long nothing must have run on the old version before the upgrade
-	// is complete. The state of peers is up to two of their reports old.
+	// idleDuration is how long nothing must have run on the old version before the upgrade is
+	// complete. What this process knows of its peers may be as old as two of their reports.
 	idleDuration = 700 * clock.Millis(1)
-	// completionMargin is how long before its deadline an upgrade is completed even though
-	// the old version is still in use. An order that is not completed in time counts as
-	// failed, while the streams that completion cuts continue on the new version.
+	// completionMargin is how long before its deadline an upgrade is completed even if the old
+	// version is still in use. Streams that this cuts off continue on the new version, whereas an
+	// order that is not completed in time counts as failed.
 	completionMargin = 1500 * clock.Millis(1)
 )
 
-// Upgrade tracks one order. It reads no clock.
+// Upgrade tracks the execution of one order. It reads no clock: callers pass the time.
 type Upgrade struct {
 	order     Order
 	startedAt clock.Millis
 	phase     Phase
-	// reason explains the verdict.
+	// reason is why the upgrade ended; empty while it runs.
 	reason string
 	// lastCounts holds the last cumulative counts of each process.
 	lastCounts   map[string]Counts
 	testsByRoute map[string]*routeTests
-	// withDelays covers all routes and includes the delays of dropped answers.
+	// withDelays holds tests over all routes that include the delays of dropped answers.
 	withDelays routeTests
 	// total sums all outcomes of the new version.
 	total Count
-	// idleSince is when the old version was first seen idle; 0 while it is in use.
+	// idleSince is when the old version became idle; 0 while it is in use.
 	idleSince clock.Millis
 }
 
-// New starts tracking an order that was given at startedAt.
+// New starts tracking an order that takes effect at startedAt.
 func New(o Order, startedAt clock.Millis) *Upgrade {
 	return &Upgrade{order: o, startedAt: startedAt, lastCounts: make(map[string]Counts), testsByRoute: make(map[string]*routeTests)}
 }
@@ -41,7 +41,7 @@
 // Phase returns the state of the upgrade.
 func (u *Upgrade) Phase() Phase { return u.phase }
 
-// Reason explains the verdict; it is empty while the upgrade runs.
+// Reason returns why the upgrade ended; empty while it runs.
 func (u *Upgrade) Reason() string { return u.reason }
 
 // Total sums the recorded outcomes of the new version.
@@ -50,18 +50,19 @@
 // Age returns the time since the order started.
 func (u *Upgrade) Age(now clock.Millis) clock.Millis { return now - u.startedAt }
 
-// AdjustStart applies an earlier start time reported by a peer, so that a process started
-// during an upgrade does not restart it.
+// AdjustStart applies the start time reported by a peer if it is earlier, so that a process
+// started during an upgrade does not start over with the shares.
 func (u *Upgrade) AdjustStart(at clock.Millis) {
 	u.startedAt = min(u.startedAt, at)
 }
 
-// ElapsedRatio returns the elapsed fraction of the order's duration; it exceeds 1 after the end.
+// ElapsedRatio returns the elapsed fraction of the order's duration; above 1 after its end.
 func (u *Upgrade) ElapsedRatio(now clock.Millis) float64 {
 	return float64(u.Age(now)) / float64(max(u.order.Duration, 1))
 }
 
-// Set applies a phase that was agreed elsewhere. A verdict is final.
+// Set applies a phase that another process decided on. It reports whether the phase changed; an
+// upgrade that has ended never changes.
 func (u *Upgrade) Set(p Phase, reason string) (changed bool) {
 	if u.phase != Running || p == Running {
 		return false
@@ -70,8 +71,9 @@
 	return true
 }
 
-// AddCounts records the cumulative counts of one process; missing keys have not changed. A
-// restarted process has another name, so that the counts of a process never decrease.
+// AddCounts records the cumulative counts of one process. Counts may omit keys that have not
+// changed. A restarted process must have another name, so that the counts of a process never
+// decrease.
 func (u *Upgrade) AddCounts(process string, counts Counts) {
 	last, ok := u.lastCounts[process]
 	if !ok {
@@ -105,10 +107,10 @@
 	return tests
 }
 
-// Judge decides whether the upgrade ends. It rolls back as soon as the new version is bad, or
-// when the new version's share is due to rise while the evidence makes it suspicious. It
-// completes once the old version is idle, or shortly before the deadline. Old is the number of
-// requests running on the old version in all processes.
+// Judge decides whether the upgrade ends, and reports whether it did. It rolls back as soon as the
+// new version is bad, or if the new version seems bad when its share is about to rise. It
+// completes the upgrade once the old version is idle, or shortly before the deadline. old is the
+// number of requests running on the old version in all processes.
 func (u *Upgrade) Judge(now clock.Millis, old int) (changed bool) {
 	if u.phase != Running {
 		return false
@@ -136,11 +138,12 @@
 }
 
 // minTimed is the number of timed answers of the new version below which the delays of dropped
-// answers are used too. Delays are weaker evidence: they are relative to a forecast of the
-// prompt's wait, which is rough.
+// answers are considered too. Delays are weaker evidence: a delay is measured against a forecast
+// of the prompt's wait, which is rough.
 const minTimed = 100
 
-// suspicion returns the measure by which the new version seems to be bad over all routes, or "".
+// suspicion returns the name of the measure by which the new version seems to be bad over all
+// routes; "" if there is none.
 func (u *Upgrade) suspicion() string {
 	if v := u.testsOf(allRoutes).suspicion(); v != "" || u.total.Timed >= minTimed {
 		return v
--- a/upgrade/upgrade_test.go
+++ b/upgrade/upgrade_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// Reports are repeated, with and without counts. If a repeated failure counted again, a good
-// version would be rolled back for a single failure reported ten times.
+// Processes report the same counts again, or reports without counts. If a repeated failure counted
+// again, a good version would be rolled back for a single failure reported ten times.
 func TestRepeatedReportsCountOnce(t *testing.T) {
 	is := is.New(t)
 	u := New(Order{Service: "s", Target: "v2", Duration: 20000}, 0)
@@ -76,7 +76,8 @@
 	}
 }
 
-// If the share fell while an order runs, sessions would move back to the old version.
+// The new version's share must never fall while an upgrade runs: sessions would move back to the
+// old version.
 func TestShareNeverFalls(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		exposure := rapid.Float64Range(0.01, 1).Draw(t, "exposure")
@@ -88,9 +89,10 @@
 	})
 }
 
-// A version takes eight times as long for two fifths of its requests and is as fast as the old
-// one for the rest. If an eighth of the traffic does not expose it, it is rolled back 4 s late,
-// when it already has nearly all. It must be found before its fiftieth slow answer.
+// A version takes eight times as long for two fifths of its requests and is as fast as the old one
+// for the rest. If it gets only an eighth of the traffic at first, it must still be found by then:
+// when it was found 4 s later, it already had nearly all traffic. It must be rolled back before
+// its fiftieth slow answer.
 func TestIntermittentlySlowVersionIsRolledBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		u, target := untilVerdict(t, 8, 61, 52, 40)
@@ -100,9 +102,9 @@
 	})
 }
 
-// A version has 71 to 204 ms between the events of its streams, under a load that gives the old
-// version 21 to 106 ms. All its answers exceed the old version's 0.65 quantile, but only three
-// quarters exceed the 0.8 quantile, which alone detects it too late.
+// A new version has 71 to 204 ms between the events of its streams, under a load where the old
+// version has 21 to 106 ms. All its answers exceed the old version's 0.65 quantile, but only three
+// quarters exceed the 0.8 quantile, which alone would detect the version too late.
 func TestSlowVersionIsRolledBackUnderLoad(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		u, target := untilVerdict(t, 8, 98, 70, 10)
@@ -123,8 +125,8 @@
 
 // Endpoints become unreachable while a slow version is rolled out, and half of the old version's
 // answers are slow as well. Nearly all answers of the new version are slow, but sixteen are too
-// few for a verdict. Without the weaker test its share rises, the old version becomes idle and
-// the upgrade completes.
+// few for a verdict. The version must be rolled back on suspicion alone; otherwise its share
+// rises, the old version becomes idle and the upgrade completes.
 func TestSuspiciousVersionIsRolledBackBeforeItsShareRises(t *testing.T) {
 	risen := 0
 	for seed := range uint64(200) {
@@ -137,8 +139,8 @@
 	}
 }
 
-// The same faults with a good version: both versions are equally slow. Few upgrades may be rolled
-// back without reason, each of which costs operators another order.
+// The same faults with a good version: both versions are equally slow. Hardly any upgrade may be
+// rolled back for no reason, since operators then have to order it again.
 func TestGoodVersionIsKeptDuringFaults(t *testing.T) {
 	rolledBack := 0
 	for seed := range uint64(500) {
@@ -151,9 +153,10 @@
 	}
 }
 
-// afterHalf feeds answers of a new version over half of an upgrade's duration, or until the
-// verdict, of which slow[i] percent exceed threshold i. For each of them there are eight answers of
-// the old version, of which slowOld[i] percent exceed threshold i.
+// afterHalf records the given number of answers of a new version over half of an upgrade's
+// duration, of which slow[i] percent exceed threshold i. For each of them it records eight answers
+// of the old version, of which slowOld[i] percent exceed threshold i. It stops early if the
+// upgrade ends.
 func afterHalf(seed uint64, answers int, slowOld [3]int, slow ...int) (u *Upgrade) {
 	const half = 10000
 	u = New(Order{Service: "s", Target: "v2", Duration: 2 * half}, 0)
@@ -172,9 +175,9 @@
 	return u
 }
 
-// untilVerdict feeds up to 2,000 answers of the old version, and after each n-th of them, n being
-// every, one of the new version. Of these, slow[i] percent exceed threshold i. It stops at the
-// verdict.
+// untilVerdict records up to 2,000 answers of the old version and, with every n-th of them (n is
+// the argument every), one of the new version. Of the new version's answers, slow[i] percent
+// exceed threshold i. It stops when the upgrade ends.
 func untilVerdict(t *rapid.T, every int, slow ...int) (u *Upgrade, target Count) {
 	u = New(Order{Service: "s", Target: "v2", Duration: 20000}, 0)
 	draw := uniform(t)
@@ -192,15 +195,15 @@
 	return u, target
 }
 
-// uniform returns a source of uniformly distributed numbers below 100; rapid's own draws prefer
-// small ones.
+// uniform returns a function that draws uniformly distributed numbers below 100. rapid's own draws
+// favour small numbers.
 func uniform(t *rapid.T) func() int {
 	r := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
 	return func() int { return r.IntN(100) }
 }
 
-// add counts an answer. Draw is a number below 100; the answer exceeds threshold i if it is below
-// slow[i].
+// add counts a timed answer. draw is a number below 100; the answer exceeds threshold i if draw is
+// below slow[i].
 func (c *Count) add(draw int, slow ...int) {
 	c.Ended++
 	c.Timed++
@@ -211,8 +214,9 @@
 	}
 }
 
-// withDelayedAnswers feeds equally many timed and dropped answers of a new version, and ten times
-// as many of an old one. It returns the upgrade after a judgement at half of its duration.
+// withDelayedAnswers records answers of a new version, for each timed one a dropped one, and ten
+// times as many of an old version. It returns the upgrade after a call of Judge at half of its
+// duration.
 func withDelayedAnswers(answers int64, slow, delayedSlow func(n int64) [len(SlowThresholds)]int64) *Upgrade {
 	u := New(Order{Service: "s", Target: "v2", Duration: 20000}, 0)
 	for i := range answers + 1 {
@@ -229,9 +233,9 @@
 	return u
 }
 
-// A slow version gets few requests, and most of its answers are dropped before their events can
-// be timed. Without the delays of dropped answers the upgrade completes on a handful of timed
-// answers.
+// A slow version gets few requests, and most of its answers are dropped before their events can be
+// timed. The delays of dropped answers must count as well: otherwise the upgrade completes on a
+// handful of timed answers.
 func TestDelaysDecideWhenFewAnswersAreTimed(t *testing.T) {
 	is := is.New(t)
 	all := func(n int64) [len(SlowThresholds)]int64 { return [len(SlowThresholds)]int64{n, n, 0} }
@@ -242,8 +246,9 @@
 	is.Equal(u.Phase(), Running)
 }
 
-// On a busy site forecasts of a prompt's wait are rough, and many first bytes of a good version
-// are late although its timed answers are not. The timed answers must decide there.
+// On a busy site forecasts of a prompt's wait are rough, so that many first bytes of a good
+// version come later than forecast although its timed answers are not slow. The timed answers must
+// decide there.
 func TestDelaysDoNotOutweighTimedAnswers(t *testing.T) {
 	is := is.New(t)
 	few := func(n int64) [len(SlowThresholds)]int64 { return [len(SlowThresholds)]int64{n / 3, n / 5, 0} }
