--- a/evidence/judge.go
+++ b/evidence/judge.go
@@ -10,14 +10,14 @@
 	"github.com/parsleydeal/parsleydeal/table"
 )
 
-// JudgeCount is the number of processes that sum the evidence on a version: one judges, the
-// others take over when it is unreachable.
+// JudgeCount is the number of judges of a version, which are the processes that sum its outcome
+// counts. One of them decides on holds; the others take over if it is unreachable.
 const JudgeCount = 3
 
-// Judges returns the IDs of the VMs that receive counts on a version, in the order in which they
-// act. All versions of a model have the same judges, since they are compared with each other.
-// Every process derives the same judges from the same VM list; while lists differ, more processes
-// judge, which is harmless.
+// Judges returns the IDs of the VMs whose processes judge a version, in the order in which they
+// take over from each other. All versions of a model have the same judges, since they are compared
+// with each other. Every process derives the same judges from the same VM list. While lists
+// differ, more processes judge a version, which is harmless.
 func Judges(vms []provider.VM, version string) (out []string) {
 	model, _, _ := table.SplitVersion(version)
 	type ranked struct {
--- a/evidence/state.go
+++ b/evidence/state.go
@@ -12,13 +12,13 @@
 
 // Bounds on memory.
 const (
-	// maxLocalKeys bounds the keys of this process's own counts. Beyond it the key that changed
-	// least recently is evicted, and its past evidence is no longer reported.
+	// maxLocalKeys bounds the keys of this process's own counts. At the bound, the key that
+	// changed least recently is evicted, and its counts are no longer reported.
 	maxLocalKeys = 2048
-	// maxPeerKeys bounds the keys stored for all other processes together. Beyond it all counts
-	// of the process whose last new evidence is oldest are evicted.
+	// maxPeerKeys bounds the keys stored for all other processes together. At the bound, all
+	// counts of the process that has sent no new evidence for longest are evicted.
 	maxPeerKeys = 100_000
-	// maxEvicted bounds the list of evicted processes; the oldest is removed first.
+	// maxEvicted bounds the list of evicted processes; at the bound, the oldest one is removed.
 	maxEvicted = 8192
 )
 
@@ -26,16 +26,17 @@
 const (
 	// reportInterval is the time between two new reports.
 	reportInterval = clock.Second
-	// reportWindow is how long a change is repeated, so that one lost report delays nothing.
+	// reportWindow is how long after a change the reports include it, so that the loss of one
+	// report delays nothing.
 	reportWindow = 10 * clock.Second
 	// maxReportChanged bounds the changed counts in one report.
 	maxReportChanged = 128
-	// reportUnchanged is how many further counts each report repeats in rotation, so that the
-	// loss of any number of reports is recovered eventually.
+	// reportUnchanged is how many other counts each report includes in rotation, so that every
+	// count arrives eventually however many reports are lost.
 	reportUnchanged = 8
 )
 
-// Delta is evidence that this process had not yet counted.
+// Delta is the increase of one key's counts that this process had not yet included in its sums.
 type Delta struct {
 	Key   Key
 	Stats Stats
@@ -54,23 +55,24 @@
 
 type sourceStats struct {
 	stats map[Key]Stats
-	// lastSequence is the sequence number of the last new evidence.
+	// lastSequence is the sequence number at which the source last sent new evidence. The source
+	// with the lowest one is evicted first.
 	lastSequence uint64
 }
 
-// State reduces the process's own evidence and what peers report.
+// State is the reducer of this process's own counts and of those that peers report.
 type State struct {
 	self source
 	now  clock.Millis
-	// local holds at most maxLocalKeys keys.
+	// local holds this process's own counts, with at most maxLocalKeys keys.
 	local map[Key]localStats
-	// peers never contains this process's own incarnation; its keys number at most maxPeerKeys
-	// in total.
+	// peers holds the counts of all other sources, with at most maxPeerKeys keys in total. It
+	// never contains this process's current incarnation.
 	peers    map[source]*sourceStats
 	peerKeys int
 	sequence uint64
-	// evicted holds sources whose counts were evicted. Their reports are ignored, since they
-	// would be counted a second time as new ones.
+	// evicted holds the sources whose counts were evicted. Their reports are ignored, since counts
+	// that were already added to the sums would be added again.
 	evicted       map[source]bool
 	evictionOrder []source
 	report        []*wire.Count
@@ -88,8 +90,8 @@
 	}
 }
 
-// Reduce applies an event and returns the evidence that is new. Changed reports whether Report
-// returns a new report.
+// Reduce applies an event and returns the increases of counts that it brought. changed is true if
+// Report returns a new report.
 func (s *State) Reduce(e event.Event) (deltas []Delta, changed bool) {
 	switch e := e.(type) {
 	case event.Tick:
@@ -149,8 +151,8 @@
 	delete(s.local, oldest)
 }
 
-// Merge applies a count from another process. Ok is false when it adds nothing: it is a repeat, is
-// outdated, is this process's own count echoed by a peer, or is invalid.
+// Merge applies a count from another process. ok is false if the count adds nothing because it is
+// a repeat, outdated, invalid, or this process's own count sent back by a peer.
 func (s *State) Merge(c *wire.Count) (d Delta, ok bool) {
 	k, stats := fromWire(c)
 	src := source{vm: c.GetVm(), epoch: c.GetEpoch()}
@@ -209,9 +211,9 @@
 // replaces them.
 func (s *State) Report() []*wire.Count { return s.report }
 
-// refreshReport builds a new report when it is due: the counts that changed within reportWindow,
-// newest first, and a few others in rotation. The selection depends on when work ended, never on
-// how it ended; otherwise errors would be received before the good answers beside them.
+// refreshReport builds a new report if one is due. It contains the counts that changed within
+// reportWindow, newest first, and a few others in rotation. The selection must not depend on
+// whether requests failed: otherwise errors would arrive before the good answers of the same time.
 func (s *State) refreshReport() (changed bool) {
 	if s.now-s.reportedAt < reportInterval || len(s.local) == 0 {
 		return false
--- a/evidence/state_test.go
+++ b/evidence/state_test.go
@@ -11,8 +11,8 @@
 )
 
 // Reports of three processes, each with two incarnations, arrive in any order, some repeatedly and
-// some never. If a repeated or late one counted again, a good version would be held for errors that
-// never occurred. The sum must always be that of the newest report of each incarnation.
+// some never. The sum must always be that of the newest report of each incarnation: if a repeated
+// or late report counted again, a good version would be held for errors that never occurred.
 func TestReportsCountOnceInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		is := is.New(t)
@@ -35,8 +35,8 @@
 	})
 }
 
-// A process's own counts come back through a peer, or a faulty peer sends impossible counts.
-// Neither may change the sums.
+// A process gets its own counts back from a peer, or impossible counts from a faulty peer. Neither
+// may change the sums.
 func TestEchoedAndInvalidCountsAreIgnored(t *testing.T) {
 	is := is.New(t)
 	s := NewState("judge", 7)
@@ -53,8 +53,8 @@
 	is.True(ok) // an earlier incarnation of this process counts
 }
 
-// One report is lost. Later ones must repeat its counts, or the judge would never receive them
-// once traffic has stopped.
+// One report is lost. Later ones must repeat its counts: otherwise the judge, the process that
+// sums the counts of a version, would never receive them once traffic has stopped.
 func TestLostReportIsRepeated(t *testing.T) {
 	is := is.New(t)
 	s := NewState("a", 1)
--- a/evidence/stats.go
+++ b/evidence/stats.go
@@ -1,5 +1,6 @@
-// Package evidence sums the outcomes of each version over all processes. Counts are cumulative per
-// process and epoch, so that lost, repeated and reordered reports are harmless.
+// Package evidence sums the outcomes of each version over all processes. Judges are the processes
+// that sum the outcome counts of a version and decide whether to hold it. Counts are cumulative
+// per process and epoch, so that lost, repeated and reordered reports are harmless.
 package evidence
 
 import (
@@ -8,7 +9,8 @@
 	"github.com/parsleydeal/parsleydeal/peer/wire"
 )
 
-// Key identifies what Stats are about.
+// Key identifies the requests that Stats count: those of an organisation on a route that a version
+// answered.
 type Key struct {
 	Route        string
 	Version      string
@@ -19,23 +21,24 @@
 type Stats struct {
 	// Started counts answers whose first token arrived.
 	Started int64
-	// Good counts attempts that ended with a complete answer, Errors those that failed through
-	// the version's fault. Slow counts the good ones that missed the route's latency objective.
+	// Good counts attempts that ended with a complete answer; Errors counts attempts that failed
+	// through the version's fault. Slow counts those of Good that missed the route's latency
+	// objective.
 	Good   int64
 	Errors int64
 	Slow   int64
-	// Ratings counts ratings, including those of Judged; RatingSum adds up their scores, from 0
-	// to 1 each.
+	// Ratings counts the rated answers, including those counted in Judged; RatingSum adds up their
+	// scores, which are between 0 and 1.
 	Ratings   int64
 	RatingSum float64
-	// Judged counts first answers of cascades, Passed those of them that were delivered, and
-	// PassedSum adds up the scores of the latter.
+	// Judged counts the rated first answers of cascades and Passed those of them that were
+	// delivered. PassedSum adds up the scores of the delivered ones.
 	Judged    int64
 	Passed    int64
 	PassedSum float64
 }
 
-// Plus returns the sum of both.
+// Plus returns the sum of s and o, field by field.
 func (s Stats) Plus(o Stats) Stats {
 	s.Started += o.Started
 	s.Good += o.Good
@@ -49,8 +52,8 @@
 	return s
 }
 
-// since returns what s counts beyond older stats of the same process; fields in which the older
-// ones are ahead are 0.
+// since returns s minus o, field by field, where o are older stats of the same process. Fields in
+// which o is greater are 0.
 func (s Stats) since(o Stats) Stats {
 	return Stats{
 		Started:   max(s.Started-o.Started, 0),
@@ -65,7 +68,7 @@
 	}
 }
 
-// valid reports whether stats from a peer are possible.
+// valid reports whether stats received from a peer are consistent.
 func (s Stats) valid() bool {
 	for _, n := range []int64{s.Started, s.Good, s.Errors, s.Slow, s.Ratings, s.Judged, s.Passed} {
 		if n < 0 {
