--- a/rollout/hold.go
+++ b/rollout/hold.go
@@ -1,5 +1,7 @@
-// Package rollout detects versions that turn bad during a roll-out or later, and holds them: a held
-// version gets no new work from any process.
+// Package rollout detects versions that turn bad during a roll-out or later, and holds them: a
+// held version gets no new work from any process. A judge is a process that sums the outcome
+// counts of a version and decides whether to hold it. It appends the hold to the log, from which
+// all processes read it.
 package rollout
 
 import (
@@ -26,7 +28,8 @@
 	Organisation string
 }
 
-// ID returns the ID of the log record for a hold of the scope at a release.
+// ID returns the ID of the log record for a hold of the scope. released is the version's release
+// number.
 func (s Scope) ID(released int64) string {
 	return "hold/" + s.Version + "/" + s.Organisation + "/" + itoa(released)
 }
@@ -40,7 +43,8 @@
 	return data, err
 }
 
-// Decode decodes a log record and checks the version's format.
+// Decode decodes a log record and checks that the name of its version is well-formed. The error is
+// an ErrMalformed.
 func Decode(data []byte) (h *wire.Hold, err error) {
 	defer func() {
 		if err != nil {
@@ -75,7 +79,7 @@
 	return Scope{Version: h.GetVersion(), Organisation: h.GetOrganisation()}
 }
 
-// Held reports whether a version gets no new work of an organisation.
+// Held reports whether a version gets no new work from an organisation.
 func (h *Holds) Held(version, organisation string) bool {
 	if h == nil || len(h.holds) == 0 {
 		return false
@@ -87,10 +91,11 @@
 	return one
 }
 
-// MaxDigestHolds bounds the holds in one message to a peer; readers of the log get all of them.
+// MaxDigestHolds bounds the holds in one message to a peer. Processes that read the log get all
+// holds from there.
 const MaxDigestHolds = 64
 
-// Logged returns the holds that are on the log, at most MaxDigestHolds, to be sent to peers.
+// Logged returns up to MaxDigestHolds of the holds that are on the log, to be sent to peers.
 func (h *Holds) Logged() (out []*wire.Hold) {
 	for _, x := range h.List() {
 		if x.GetOffset() >= 0 && len(out) < MaxDigestHolds {
--- a/rollout/judge.go
+++ b/rollout/judge.go
@@ -9,7 +9,8 @@
 	"github.com/parsleydeal/parsleydeal/table"
 )
 
-// addDelta adds evidence to the tests of its own organisation and of all organisations.
+// addDelta adds evidence to the test of its organisation and to the test over all organisations,
+// and evaluates both.
 func (s *State) addDelta(d evidence.Delta, env Env) (effects []event.Effect, changed bool) {
 	if env.Tables == nil {
 		return nil, false
@@ -60,7 +61,7 @@
 	return t
 }
 
-// limitsOf returns the rates up to which a version on a route is good.
+// limitsOf returns, by signal, the rate up to which a version on a route counts as good.
 func limitsOf(t *table.Tables, r table.Route, version string) (out [signalCount]float64) {
 	h := r.Hold.WithDefaults()
 	const minRate, maxRate = 0.001, 0.95
@@ -73,8 +74,9 @@
 	return out
 }
 
-// samplesOf splits stats by signal. Errors are compared with started answers instead of ended ones:
-// errors end sooner, so that the first seconds of a good version would show only its errors.
+// samplesOf splits stats by signal. Errors are compared with started answers instead of ended
+// ones: errors end sooner, so that in its first seconds even a good version would have mostly
+// errors among its ended answers.
 func samplesOf(stats evidence.Stats) (out [signalCount]Sample) {
 	out[signalErrors] = Sample{N: float64(stats.Started + stats.Errors), Bad: float64(stats.Errors)}
 	out[signalSlow] = Sample{N: float64(stats.Good), Bad: float64(stats.Slow)}
@@ -82,7 +84,8 @@
 	return out
 }
 
-// control sums the other versions of the same model on the same route for the same organisation.
+// control sums the samples of the versions to compare with: the others of the same model, on the
+// same route, for the same organisation.
 func (s *State) control(k evidence.Key, r table.Route) (out [signalCount]Sample) {
 	model, _, _ := table.SplitVersion(k.Version)
 	for _, m := range r.Models {
@@ -102,7 +105,7 @@
 	return out
 }
 
-// evaluate holds the version when a test of the key has crossed its threshold.
+// evaluate holds the version if a test of the key requires it.
 func (s *State) evaluate(k evidence.Key, r table.Route, limits [signalCount]float64, env Env) (effects []event.Effect, changed bool) {
 	t := s.tests[k]
 	if t == nil || s.Holds(env.Tables).Held(k.Version, k.Organisation) {
@@ -129,7 +132,8 @@
 	return nil, false
 }
 
-// soleOrganisation returns the only organisation for which the version goes wrong, or "".
+// soleOrganisation returns the organisation for which the version is bad if it is good for all
+// others; "" otherwise.
 func (s *State) soleOrganisation(all evidence.Key, i signal, limit float64) string {
 	worst, highest := "", threshold/2
 	for k, t := range s.tests {
@@ -153,12 +157,12 @@
 	return ""
 }
 
-// minOtherOutcomes is how many outcomes the other organisations must have, with a bad rate within
-// the limit, before a version is held for one organisation only.
+// minOtherOutcomes is how many outcomes the other organisations must have had, within the limit,
+// before a version is held for one organisation only.
 const minOtherOutcomes = 30
 
-// hold makes a hold pending. The last version that can serve a route is not held, since that would
-// refuse all its requests; operators are alerted instead.
+// hold makes a hold pending, to be appended to the log. The last version that can serve a route is
+// not held, since that would refuse all requests of the route; operators are alerted instead.
 func (s *State) hold(scope Scope, h *wire.Hold, env Env) (effects []event.Effect, changed bool) {
 	s.resetTests(scope)
 	if !replaceable(scope, env.Tables, s.Holds(env.Tables)) {
@@ -180,7 +184,8 @@
 	return effects, true
 }
 
-// replaceable reports whether every route that sends work to the version has an alternative.
+// replaceable reports whether every route that sends work to the scope's version can use another
+// version instead.
 func replaceable(scope Scope, t *table.Tables, holds *Holds) bool {
 	if t == nil {
 		return true
@@ -197,8 +202,8 @@
 	return slices.ContainsFunc(r.Models, func(m table.RouteModel) bool { return modelHasAlternative(t, m, r.QualityTarget, scope, holds) })
 }
 
-// hasControl reports whether another version of the same model gets work of the route, so that
-// there is something to compare with.
+// hasControl reports whether another version of the same model gets work on the route, so that the
+// version can be compared with it.
 func hasControl(t *table.Tables, r table.Route, scope Scope, holds *Holds) bool {
 	model, _, _ := table.SplitVersion(scope.Version)
 	return slices.ContainsFunc(r.Models, func(m table.RouteModel) bool {
@@ -206,8 +211,8 @@
 	})
 }
 
-// modelHasAlternative reports whether a model has another version in use whose configured quality
-// meets the target.
+// modelHasAlternative reports whether the model has another version in use whose configured
+// quality meets the target.
 func modelHasAlternative(t *table.Tables, m table.RouteModel, target float64, scope Scope, holds *Holds) bool {
 	for number, share := range m.Shares {
 		other := table.VersionName(m.Model, number)
--- a/rollout/state.go
+++ b/rollout/state.go
@@ -14,24 +14,26 @@
 )
 
 const (
-	// maxTests bounds the tests. Above it new organisations get no tests of their own; the test
-	// over all organisations continues.
+	// maxTests bounds the tests. At the bound, no tests for further organisations are added; the
+	// tests over all organisations continue to cover them.
 	maxTests = 8192
 	// maxHolds bounds the stored holds; further ones are ignored.
 	maxHolds = 4096
-	// takeoverDelay is how much later each next judge appends a hold that is not yet on the log.
+	// takeoverDelay is how much later than the judge before it each judge appends a hold that is
+	// not on the log yet.
 	takeoverDelay = 2 * clock.Second
-	// retryInterval is the delay before the first judge appends again. Each next judge waits this
-	// much longer.
+	// retryInterval is how long after an append the first judge appends the hold again if it has
+	// not read it from the log by then. Each judge waits this much longer than the one before it.
 	retryInterval = 2 * clock.Second
 	// renewInterval is the age at which a hold is appended to the log again, well within any
 	// retention period.
 	renewInterval = clock.Hour
-	// renewRetryInterval is the delay before a renewal is retried when the log did not show it.
+	// renewRetryInterval is how long after a renewal it is tried again if the renewed hold has not
+	// been read from the log.
 	renewRetryInterval = 10 * clock.Second
 )
 
-// signal is a kind of evidence.
+// signal is a kind of outcome by which a version may be bad.
 type signal int
 
 const (
@@ -55,7 +57,7 @@
 
 type tests [signalCount]Test
 
-// pending is a hold that this process decided on and has not yet read from the log.
+// pending is a hold that this process decided on and has not read from the log yet.
 type pending struct {
 	hold        *wire.Hold
 	dueAt       clock.Millis
@@ -68,16 +70,18 @@
 	readAt clock.Millis
 }
 
-// State reduces evidence to holds, and the hold stream to the holds in force.
+// State is the reducer of holds. It derives new holds from evidence, and the holds in force from
+// the hold stream of the log.
 type State struct {
-	// tests has an entry for each key and, with an empty organisation, one for each route and
-	// version over all organisations.
+	// tests holds the tests by key. A key with an empty organisation stands for all organisations.
 	tests map[evidence.Key]*tests
-	// logged holds the holds on the log, the highest release of each scope.
+	// logged holds the holds that are on the log; of several for one scope, the one with the
+	// highest release.
 	logged  map[Scope]logged
 	pending map[Scope]*pending
-	// alerted holds the release at which operators were last alerted to a version that could not
-	// be held. It is cleared at maxHolds, after which alerts may repeat.
+	// alerted holds, by scope, the release for which operators were last alerted that a bad
+	// version could not be held. It is cleared when it reaches maxHolds, after which alerts may
+	// repeat.
 	alerted map[Scope]int64
 	// cached is the set in force under cachedFor; nil when it must be recomputed.
 	cached    *Holds
@@ -94,11 +98,12 @@
 	}
 }
 
-// Holds returns the holds in force under the tables. They are applied in log order, and one that
-// would remove the last version of a route, given those before it, is not in force. Two judges may
-// find both versions of a model bad at once; without that rule the two holds together would refuse
-// the whole route. Pending holds of this process come last and apply before they are on the log, so
-// that a log outage does not keep a bad version in use here.
+// Holds returns the holds in force under the given tables. They are applied in log order, and a
+// hold that would leave a route without any version that can serve it is ignored. This is needed
+// because two judges may each find another version of the same model bad at the same time; both
+// holds together would refuse the whole route. Pending holds of this process are applied last.
+// They are in force before they are on the log, so that this process stops using a bad version
+// even if the log is unavailable.
 func (s *State) Holds(t *table.Tables) *Holds {
 	if s.cached != nil && s.cachedFor == t {
 		return s.cached
@@ -124,14 +129,15 @@
 	return scopes
 }
 
-// inForce reports whether the tables have not released the version since the hold. Offsets of two
-// log streams cannot be compared, so the release number decides.
+// inForce reports whether a hold is still in force: operators have not released the version again
+// since. It compares release numbers, because the offsets of the table stream and of the hold
+// stream cannot be compared.
 func inForce(t *table.Tables, scope Scope, h *wire.Hold) bool {
 	return t == nil || h.GetReleased() >= int64(t.Versions[scope.Version].Released)
 }
 
-// Reduce applies an event and the evidence that it carried. Changed reports whether the holds in
-// force may have changed.
+// Reduce applies an event and the evidence that it carried. changed is true if the holds in force
+// may have changed.
 func (s *State) Reduce(e event.Event, deltas []evidence.Delta, env Env) (effects []event.Effect, changed bool) {
 	switch e := e.(type) {
 	case event.LogRead:
@@ -170,9 +176,9 @@
 	return effects, changed
 }
 
-// receive applies holds that a peer has read from the log, for processes that read the log rarely
-// or cannot. Those already known are left unchanged: a peer's message does not show that the log
-// still has them.
+// receive applies holds that a peer has read from the log. It serves processes that read the log
+// rarely or cannot read it. A hold that is already stored is not touched, in particular not its
+// time of renewal: that a peer has it does not show that it is still on the log.
 func (s *State) receive(holds []*wire.Hold, env Env) (changed bool) {
 	for _, h := range holds[:min(len(holds), MaxDigestHolds)] {
 		old, seen := s.logged[scopeOf(h)]
@@ -186,8 +192,8 @@
 	return changed
 }
 
-// addLogged stores a hold from the log and reports whether it is new. A second record of the same
-// hold, from another judge or a retry, keeps the offset of the first.
+// addLogged stores a hold from the log and reports whether it is new. If a judge or a retry
+// appended the same hold again, the offset of its first record is retained.
 func (s *State) addLogged(h *wire.Hold, env Env) (isNew bool) {
 	scope := scopeOf(h)
 	old, seen := s.logged[scope]
@@ -209,7 +215,7 @@
 }
 
 // resetTests restarts the tests of a held scope, so that evidence from before the hold does not
-// count once the version is released again.
+// count after the version is released again.
 func (s *State) resetTests(scope Scope) {
 	for k, t := range s.tests {
 		if k.Version != scope.Version || scope.Organisation != "" && k.Organisation != scope.Organisation && k.Organisation != "" {
--- a/rollout/state_test.go
+++ b/rollout/state_test.go
@@ -48,7 +48,8 @@
 	return e
 }
 
-// judges returns the first and second judge of the version under test.
+// judges returns the first two judges of version m@2, the processes that sum its outcome counts
+// and decide whether to hold it.
 func judges() (first, second string) {
 	names := evidence.Judges(envOf("", 0, nil).VMs, "m@2")
 	return names[0], names[1]
@@ -56,10 +57,10 @@
 
 var bad = evidence.Stats{Started: 20, Errors: 20}
 
-// A version fails half of its requests. The first judge appends a hold to the log; every other
-// process reads it and gives the version no new work. A lost reply makes the record appear twice,
-// which must change nothing. The operators then publish a higher release, which must end the hold
-// for good, even when the first record is read again.
+// A version fails half of its requests. Its first judge appends a hold to the log; every other
+// process reads it and gives the version no new work. The log's reply to the append is lost, so
+// that the record appears twice, which must change nothing. The operators then publish a higher
+// release. It must end the hold for good, even when the first record is read again.
 func TestHoldFromEvidenceToRelease(t *testing.T) {
 	is := is.New(t)
 	first, _ := judges()
@@ -83,8 +84,9 @@
 	is.True(!other.Holds(tables(1)).Held("m@2", "anyone"))
 }
 
-// The first judge becomes unreachable, or its append fails, just after the evidence arrived. The
-// second one, which has the same counts, must append the hold.
+// The first judge becomes unreachable, or its append fails, just after the evidence arrived. In
+// the first case the second judge, which has the same counts, must append the hold; in the second,
+// the first judge must try again.
 func TestSecondJudgeTakesOver(t *testing.T) {
 	is := is.New(t)
 	first, second := judges()
@@ -102,8 +104,8 @@
 	is.Equal(len(appends(effects)), 1)
 }
 
-// A version is good for a million requests and then turns bad. The new failures must not have to
-// outweigh the good past.
+// A version is good for a million requests and then turns bad. It must be held soon: the good
+// outcomes must not offset the later failures.
 func TestVersionThatTurnsBadLateIsHeld(t *testing.T) {
 	is := is.New(t)
 	s := NewState()
@@ -154,8 +156,8 @@
 	is.Equal(len(effects), 1) // the report
 }
 
-// The expensive model fails on a route whose quality target the cheap one does not meet. Holding it
-// would leave the route with versions, none of which may answer.
+// The expensive model fails on a route whose quality target the cheap model does not meet. It must
+// not be held: the route would be left with versions that may not answer.
 func TestHoldLeavesAVersionThatMeetsTheTarget(t *testing.T) {
 	is := is.New(t)
 	target := tables(0)
@@ -170,7 +172,7 @@
 	is.Equal(len(s.Holds(target).List()), 0)
 }
 
-// A rating counts as bad by its difference from 1. The configured quality is 0.9: a mean rating of
+// A rating counts as bad by its difference from 1. The configured quality is 0.9. A mean rating of
 // 0.85 is tolerated, but when ratings fall to 0.6 the version must be held although no request
 // fails.
 func TestPoorRatingsHoldVersion(t *testing.T) {
@@ -195,7 +197,7 @@
 	effects, _ = s.Reduce(event.Tick{}, nil, envOf(first, renewInterval, tables(0)))
 	is.Equal(len(appends(effects)), 1)
 	effects, _ = s.Reduce(event.Tick{}, nil, envOf(first, renewInterval+1, tables(0)))
-	is.Equal(len(appends(effects)), 0) // once
+	is.Equal(len(appends(effects)), 0) // already renewed
 }
 
 // An invalid record on the stream must not prevent the holds after it.
@@ -209,9 +211,9 @@
 	is.True(other.Holds(tables(0)).Held("m@2", "o"))
 }
 
-// Two judges find one version bad each at the same time, and both holds reach the log. Together
-// they would refuse the whole route. Every process must ignore the later one, in whatever order it
-// received them.
+// One judge finds version m@1 bad and another one finds m@2 bad at the same time, and both holds
+// reach the log. Together they would refuse the whole route. Every process must ignore the hold
+// that is later on the log, in whatever order it received the two.
 func TestRacingHoldsLeaveOneVersion(t *testing.T) {
 	is := is.New(t)
 	one, err := Encode(&wire.Hold{Version: "m@1"})
@@ -224,9 +226,9 @@
 	is.True(!s.Holds(tables(0)).Held("m@1", "o"))
 }
 
-// A process that reads the log rarely must receive a hold from any peer that has read it there, but
-// not from one that only has it pending. A judge whose hold keeps coming back in digests must still
-// renew it on the log.
+// A process that reads the log rarely must receive a hold from any peer that has read it from the
+// log, but not from the judge on which it is still pending. A judge that keeps receiving its hold
+// from peers must still renew it on the log.
 func TestHoldIsReceivedInDigests(t *testing.T) {
 	is := is.New(t)
 	first, _ := judges()
--- a/rollout/tick.go
+++ b/rollout/tick.go
@@ -12,8 +12,8 @@
 	"github.com/parsleydeal/parsleydeal/provider"
 )
 
-// tick appends pending holds when it is this process's turn, and renews logged ones before the
-// log's retention ends.
+// tick appends pending holds to the log if it is this process's turn, and appends logged ones
+// again before the log's retention ends.
 func (s *State) tick(env Env) (effects []event.Effect, changed bool) {
 	if env.Tables == nil {
 		return nil, false
@@ -58,8 +58,8 @@
 	return effects
 }
 
-// judgeRank returns this process's position among the judges of a version, or their number if it is
-// none of them.
+// judgeRank returns this process's position among the judges of a version, from 0; the number of
+// judges if it is none of them.
 func judgeRank(env Env, version string) int {
 	judges := evidence.Judges(env.VMs, version)
 	if i := slices.Index(judges, env.Self); i >= 0 {
