--- a/quality/estimate.go
+++ b/quality/estimate.go
@@ -12,14 +12,15 @@
 )
 
 const (
-	// priorWeight is how many ratings the operators' quality setting counts as.
+	// priorWeight is the number of ratings that the quality configured by the operators is worth.
 	priorWeight = 40.0
-	// boundZScore is the distance of the bounds from the mean, in standard errors.
+	// boundZScore is the distance of an estimate's bounds from its mean, in standard errors.
 	boundZScore = 1.645
-	// minVariance keeps the bounds apart when the few ratings so far are all equal.
+	// minVariance is the minimum variance of scores. It keeps the bounds apart if the few ratings
+	// so far are all equal.
 	minVariance = 0.02
-	// maxEstimates bounds the keys with sums; versions beyond it are estimated from the
-	// operators' setting alone.
+	// maxEstimates bounds the keys with sums. Further versions are estimated only from the quality
+	// configured by the operators.
 	maxEstimates = 1024
 )
 
@@ -29,26 +30,27 @@
 	Version string
 }
 
-// Sum is the total of the ratings of a version on a route. The zero value has no ratings.
+// Sum is the sum of the ratings of a version on a route. The zero value has no ratings.
 type Sum struct {
 	Ratings   int64
 	RatingSum float64
-	// Judged counts the first answers of cascades that the rater judged, Passed those that it
-	// accepted. PassedSum is the sum of the scores of the accepted ones.
+	// Judged counts the first answers of cascades that were rated, and Passed those of them that
+	// the rater accepted. PassedSum is the sum of the scores of the accepted ones.
 	Judged    int64
 	Passed    int64
 	PassedSum float64
 }
 
-// State reduces evidence to sums. Judges receive the counts of all processes. Other processes
-// receive the judges' sums and keep the one with more ratings, so sums may arrive late, twice or
-// out of order.
+// State is the reducer of ratings. The judges of a version, which receive the counts of all
+// processes, sum its ratings and send the sums to other processes. Of several sums for a key, the
+// one with the most ratings is used, so that sums may arrive late, twice or out of order.
 type State struct {
-	// own sums the evidence that this process received, received holds the sums with the most
-	// ratings among those that other processes sent; each holds at most maxEstimates.
+	// own sums the evidence that this process received itself; received holds, of the sums that
+	// other processes sent, the one with the most ratings for each key. Each holds at most
+	// maxEstimates keys.
 	own      map[Key]Sum
 	received map[Key]Sum
-	// snapshot is nil when it must be built again.
+	// snapshot caches the result of Snapshot; nil if the sums have changed.
 	snapshot *Snapshot
 }
 
@@ -96,14 +98,16 @@
 	s.snapshot = nil
 }
 
-// plausible reports whether an estimate can be a sum of scores between 0 and 1.
+// plausible reports whether the sums received from a peer are consistent with scores between 0 and
+// 1.
 func plausible(x *wire.Estimate) bool {
 	within := func(sum float64, n int64) bool { return sum >= 0 && sum <= float64(n) }
 	return x.GetVersion() != "" && within(x.GetRatingSum(), x.GetRatings()) &&
 		within(float64(x.GetPassed()), x.GetJudged()) && within(x.GetPassedSum(), x.GetPassed())
 }
 
-// Snapshot returns the current sums; later events do not change the returned value.
+// Snapshot returns the current sums: for each key, the own or the received sum with more ratings.
+// Later events do not change the returned value.
 func (s *State) Snapshot() *Snapshot {
 	if s.snapshot != nil {
 		return s.snapshot
@@ -123,7 +127,7 @@
 	sums map[Key]Sum
 }
 
-// Sum returns the sum of a version on a route, the zero value when it has no ratings.
+// Sum returns the sum of a version on a route; the zero value if it has no ratings.
 func (sn *Snapshot) Sum(k Key) Sum {
 	if sn == nil {
 		return Sum{}
@@ -155,10 +159,11 @@
 	High float64
 }
 
-// estimate combines n scores with a prior. The operators' prior is trusted until there are
-// ratings: without any, the lower bound equals the mean. It falls below the mean as the first
-// ratings arrive and approaches it again as they become many. The upper bound lies above the mean
-// from the start, since the operators may have set the prior too low.
+// estimate combines the sum of n scores with a prior, the quality configured by the operators.
+// Without ratings the prior is trusted: the lower bound equals the mean. The lower bound falls
+// below the mean as the first ratings arrive, and approaches it again as they become many. The
+// upper bound is above the mean from the start, since the operators may have set the prior too
+// low.
 func estimate(prior, sum float64, n int64) Estimate {
 	total := priorWeight + float64(n)
 	mean := (priorWeight*prior + sum) / total
--- a/quality/plan.go
+++ b/quality/plan.go
@@ -6,12 +6,12 @@
 )
 
 const (
-	// maxExploreRatings is the number of ratings after which a version that probably misses the
-	// target is no longer explored.
+	// maxExploreRatings is the number of ratings from which a version that probably misses the
+	// target is no longer tried.
 	maxExploreRatings = 1000
 	// trialRatio is the fraction of requests that try a cheaper plan which probably meets the
-	// target. It doesn't count towards the route's explore fraction, since it costs no quality on
-	// average.
+	// target. It is separate from the route's explore fraction, since these trials cost no quality
+	// on average.
 	trialRatio = 0.25
 )
 
@@ -20,7 +20,7 @@
 	Version string
 	// Cost is the expected cost of one answer, in micro-units of currency.
 	Cost float64
-	// Prior is the quality that the operators set, between 0 and 1.
+	// Prior is the quality configured by the operators, between 0 and 1.
 	Prior float64
 	Sum   Sum
 }
@@ -35,34 +35,35 @@
 	return estimate(o.quality().Mean, float64(o.Sum.Passed), o.Sum.Judged)
 }
 
-// passedQuality estimates the quality of the answers that the rater accepted. It accepts none below
-// the target. The prior, for when it has accepted few, is halfway between the mean and 1.
+// passedQuality estimates the quality of the answers that the rater accepted. The rater accepts no
+// answer below the target. While it has accepted few, a prior halfway between the mean quality and
+// 1 is used.
 func (o Option) passedQuality(target float64) Estimate {
 	e := estimate(max((1+o.quality().Mean)/2, target), o.Sum.PassedSum, o.Sum.Passed)
 	return Estimate{Low: max(e.Low, target), Mean: max(e.Mean, target), High: e.High}
 }
 
-// Plan is a way to answer a request: either one version, or a cascade of a first version, whose
-// answer the rater judges, and a second one that answers again if the rater rejects it.
+// Plan describes how a request is answered: by one version, or by a cascade. In a cascade a first
+// version answers, and a second one answers again if the rater rejects the first answer.
 type Plan struct {
 	First string
-	// Second is empty unless the plan is a cascade.
+	// Second is the second version of a cascade; empty if the plan is not a cascade.
 	Second string
-	// Cost is the average cost of a request in micro-units of currency, rejected first answers
-	// included.
+	// Cost is the mean cost of a request in micro-units of currency, including rejected first
+	// answers.
 	Cost    float64
 	Quality Estimate
 	// Trial is true if the plan is not known to meet the target and was chosen to collect ratings.
 	Trial bool
-	// ratings is the number of ratings of the first version.
+	// ratings is the number of ratings of First.
 	ratings int64
 }
 
 // Cascade reports whether the plan has a second version.
 func (p Plan) Cascade() bool { return p.Second != "" }
 
-// Plans lists all plans that the options allow, cheapest first. Cascade allows plans of two
-// versions.
+// Plans lists the plans that the options allow, cheapest first. It includes cascades only if
+// cascade is true.
 func Plans(options []Option, target float64, cascade bool) (plans []Plan) {
 	for _, o := range options {
 		plans = append(plans, Plan{First: o.Version, Cost: o.Cost, Quality: o.quality(), ratings: o.Sum.Ratings})
@@ -91,15 +92,16 @@
 
 // Choose lists the plans that a request may use, best first: the cheapest one whose lower bound
 // meets the target, then the next cheapest ones, which are used if no endpoint can run the first.
-// Apart from a trial, no plan in the list misses the target, so high load never lowers the quality
-// below it. If the lower bounds of all plans miss the target, the list has only the plan with the
-// highest lower bound among those whose upper bound meets it. The list is empty if no plan can meet
-// the target.
+// Apart from a trial, all plans in the list meet the target, so that high load never lowers the
+// quality below it. If the lower bounds of all plans miss the target, the list has only the plan
+// with the highest lower bound among those whose upper bound meets it. The list is empty if no
+// plan can meet the target.
 //
-// Plans must be sorted by cost. Draw is a random number in [0, 1) that is fixed for the request.
-// Below trialRatio, the cheapest plan that probably meets the target but isn't known to do so is
-// put first as a trial; below explore, even one that probably misses the target but may meet it.
-// An explore of 0 turns trials off.
+// Plans must be sorted by cost. draw is a random number in [0, 1) that is fixed for the request.
+// If it is below trialRatio, the list starts with a trial: the cheapest plan that probably meets
+// the target although its lower bound misses it. If draw is below explore, the trial may be a plan
+// that probably misses the target but whose upper bound meets it. Without explore (0) there are no
+// trials.
 func Choose(plans []Plan, target, explore, draw float64) (out []Plan) {
 	for _, p := range plans {
 		if p.Quality.Low >= target {
@@ -121,7 +123,8 @@
 	return out
 }
 
-// mayTry reports whether a request with this draw may use the plan as a trial.
+// mayTry reports whether a request with this draw, as passed to Choose, may use the plan as a
+// trial.
 func (p Plan) mayTry(target, explore, draw float64) bool {
 	if p.Quality.Mean >= target {
 		return draw < trialRatio && explore > 0
@@ -129,8 +132,8 @@
 	return draw < explore && p.Quality.High >= target && p.ratings < maxExploreRatings
 }
 
-// closestToTarget returns the plan with the highest lower bound among those that may meet the
-// target.
+// closestToTarget returns the plan with the highest lower bound among those whose upper bound
+// meets the target; nil if there is none.
 func closestToTarget(plans []Plan, target float64) (out []Plan) {
 	for _, p := range plans {
 		if p.Quality.High < target {
--- a/quality/plan_test.go
+++ b/quality/plan_test.go
@@ -14,9 +14,8 @@
 
 var costlyOption = Option{Version: "dear@1", Cost: 10, Prior: 0.95}
 
-// Under load a request uses later plans of the list. If the list had plans that miss the target,
-// load would lower the quality below it. Only a trial may miss it, and only for draws that allow
-// one.
+// Under load a request uses later plans of the list, so none of them may miss the target, or load
+// would lower the quality below it. Only a trial may miss it, and only for draws that allow one.
 func TestNoPlanBelowTheTarget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		is := is.New(t)
@@ -43,8 +42,8 @@
 	})
 }
 
-// A cascade seems cheap by its first step. If the rater rejects most first answers, requests pay
-// for both versions, and the costly version alone is cheaper.
+// A cascade whose first version is cheap seems cheap. If the rater rejects most first answers,
+// requests pay for both versions, and the costly version alone is cheaper.
 func TestCascadeCostIncludesFailedFirstStep(t *testing.T) {
 	is := is.New(t)
 	poor := cheapOption
@@ -57,8 +56,8 @@
 	is.True(first.Cost > 1+0.25*10 && first.Cost < 1+0.35*10)
 }
 
-// The operators set the quality of the cheap version too high. Once there are ratings that show it,
-// the version must not be used although its prior still meets the target.
+// The operators configured too high a quality for the cheap version. Once enough ratings show it,
+// the version must not be used, although its configured quality still meets the target.
 func TestRatingsOutweighThePrior(t *testing.T) {
 	is := is.New(t)
 	overrated := cheapOption
@@ -68,8 +67,9 @@
 	is.Equal(Choose(Plans([]Option{overrated, costlyOption}, 0.85, false), 0.85, 0, 0)[0].First, "dear@1")
 }
 
-// Judges' sums reach an entry twice, late, and from a judge that restarted and has fewer ratings.
-// The entry must keep the sum with the most ratings.
+// The judges, which sum the ratings of a version, send the sums to an entry. They arrive twice,
+// late, and from a judge that restarted and has fewer ratings. The entry must retain the sum with
+// the most ratings.
 func TestSumWithMostRatingsIsKept(t *testing.T) {
 	is := is.New(t)
 	s := NewState()
--- a/quality/sampler.go
+++ b/quality/sampler.go
@@ -11,32 +11,35 @@
 const (
 	// samplesPerSecond bounds the answers that one entry sends to the rater.
 	samplesPerSecond = 4.0
-	// sampleBurst is how many answers it may send at once.
+	// sampleBurst is the capacity of the token bucket: how many answers may be sent to the rater
+	// at once.
 	sampleBurst = 20.0
-	// establishedRatings is how many ratings make a version an established one.
+	// establishedRatings is the number of ratings from which a version is an established one.
 	establishedRatings = 400
-	// establishedReserve is the fraction of the bucket that established versions leave to new ones.
+	// establishedReserve is the fraction of the bucket that is reserved for other than established
+	// versions.
 	establishedReserve = 0.7
-	// establishedInterval is the number of answers of established versions per sampled one.
+	// establishedInterval is the number of answers of established versions of which one is
+	// sampled.
 	establishedInterval = 10
 )
 
 // Sampler chooses the answers that are sent to the rater. It bounds their rate with a token bucket
-// and prefers versions with few ratings. It chooses before the answer exists, so the sample is not
-// biased by the outcome. It is safe for concurrent use.
+// and prefers versions with few ratings. It decides before the answer exists, so that the outcome
+// does not bias the sample. It is safe for concurrent use.
 type Sampler struct {
 	mu         sync.Mutex
 	tokens     float64
 	refilledAt clock.Millis
-	// establishedAnswers counts the answers of established versions.
+	// establishedAnswers counts the answers of established versions, sampled or not.
 	establishedAnswers int
 }
 
 // NewSampler returns a sampler with a full bucket.
 func NewSampler() *Sampler { return &Sampler{tokens: sampleBurst} }
 
-// Sample reports whether the next answer is to be rated. Ratings is the number of ratings of the
-// version; a version on trial is sampled like a new one.
+// Sample reports whether the next answer of a version is to be rated. ratings is the number of the
+// version's ratings so far. In a trial, an established version is sampled like a new one.
 func (s *Sampler) Sample(now clock.Millis, ratings int64, trial bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
