--- a/membership/member.go
+++ b/membership/member.go
@@ -10,19 +10,19 @@
 )
 
 const (
-	// minSuspicion is how long a VM is suspected after the first failed call. Each consecutive
-	// failure doubles the duration, up to maxSuspicion.
+	// minSuspicion is how long a VM is suspected after a failed call. Each consecutive failure
+	// doubles the duration, up to maxSuspicion.
 	minSuspicion = clock.Second
 	maxSuspicion = 30 * clock.Second
-	// retiredEpochSilence is how long the current epoch must be silent before messages of a
-	// retired one are accepted again.
+	// retiredEpochSilence is how long no message with the current epoch must have arrived before
+	// messages with a retired one are accepted again.
 	retiredEpochSilence = 5 * clock.Second
-	// maxRetired bounds the stored retired epochs of one VM; the oldest is dropped first.
+	// maxRetired bounds the stored retired epochs of one VM; the oldest one is dropped.
 	maxRetired = 4
-	// leavingReportDuration is how long digests report a leaving change.
+	// leavingReportDuration is how long after a leaving change digests report it.
 	leavingReportDuration = 30 * clock.Second
-	// maxLeavingDuration is when leaving expires if the VM stays listed. A process that leaves has
-	// ended by then; if it hasn't, its gate refuses requests.
+	// maxLeavingDuration is how long a VM counts as leaving if it stays listed. A process that was
+	// leaving has normally ended by then; if not, its gate refuses requests.
 	maxLeavingDuration = 10 * clock.Minute
 )
 
@@ -40,20 +40,19 @@
 	epoch uint64
 	// retired holds at most maxRetired epochs of previous processes.
 	retired []uint64
-	// lastSeenAt is when the last message of the current process arrived, at first when the VM was
-	// listed.
+	// lastSeenAt is when the last message of the current process arrived; before the first one,
+	// when the VM was first listed.
 	lastSeenAt clock.Millis
 	// answered is true once a message of the VM has arrived.
 	answered bool
-	// leaving is true if the VM's process reported that it leaves; it is valid for the current
-	// epoch only.
+	// leaving is true if the VM's process reported that it is leaving. It is reset when another
+	// process runs on the VM.
 	leaving bool
-	// leavingChanged is true for leavingReportDuration after a leaving change, which is a process
-	// that leaves or a new one that has joined. leavingChangedAt is the time of the last such
-	// change.
+	// leavingChanged is true for leavingReportDuration after a leaving change: the process started
+	// to leave, or a new one took its place. leavingChangedAt is the time of the last such change.
 	leavingChanged   bool
 	leavingChangedAt clock.Millis
-	// absent is true while the list lacks the VM, since absentAt.
+	// absent is true while the VM is missing from the list, which it has been since absentAt.
 	absent   bool
 	absentAt clock.Millis
 	// failures counts the failed calls since the last message.
@@ -90,9 +89,10 @@
 }
 
 // fromCurrentProcess reports whether a message with this epoch is from the current process on the
-// VM; 0 is unknown and accepted. Two processes may send messages for one VM if an old one was
-// paused and resumes beside its successor. Its messages are outdated by the whole pause, so a
-// retired epoch is accepted only after retiredEpochSilence without a message of the current one.
+// VM. An epoch of 0 is unknown and accepted. If a process was paused and resumes after another one
+// has replaced it, both send messages for the VM. Those of the old process are outdated, so a
+// retired epoch is accepted only if no message with the current one has arrived for
+// retiredEpochSilence.
 func (m *member) fromCurrentProcess(now clock.Millis, epoch uint64) bool {
 	if epoch == 0 || epoch == m.epoch || m.epoch == 0 && !slices.Contains(m.retired, epoch) {
 		return true
@@ -100,8 +100,8 @@
 	return !slices.Contains(m.retired, epoch) || now-m.lastSeenAt >= retiredEpochSilence
 }
 
-// recordContact records that a message of the VM arrived, which ends suspicion. It reports whether
-// the snapshot changes.
+// recordContact records that a message from the VM arrived, which ends suspicion. It reports
+// whether the snapshot must change.
 func (m *member) recordContact(now clock.Millis, epoch uint64) (changed bool) {
 	if !m.fromCurrentProcess(now, epoch) {
 		return false
@@ -117,8 +117,8 @@
 	return changed
 }
 
-// switchEpoch makes the process of another epoch the current one. It reports whether the VM had a
-// process before.
+// switchEpoch makes the process with another epoch the current one. It reports whether it replaced
+// a known process.
 func (m *member) switchEpoch(now clock.Millis, epoch uint64) (changed bool) {
 	m.retireEpoch()
 	changed = len(m.retired) > 0
@@ -137,9 +137,9 @@
 	m.leavingChangedAt = now
 }
 
-// applyJoin applies a peer's report that a new process has started on the VM. Without it, a VM
-// whose process left and was replaced under the same address would stay unused: no entry sends to
-// a leaving VM, so none would receive a message of its new process.
+// applyJoin applies a peer's report that a new process has started on the VM. It is needed if a
+// process left and was replaced under the same address: no entry sends to a leaving VM, so none
+// would receive a message of the new process, and the VM would stay unused.
 func (m *member) applyJoin(now clock.Millis, epoch uint64) (changed bool) {
 	if epoch == 0 || epoch == m.epoch || slices.Contains(m.retired, epoch) {
 		return false
@@ -147,8 +147,8 @@
 	return m.switchEpoch(now, epoch)
 }
 
-// applyLeaving applies a report that the VM's process leaves. A report with another epoch is about
-// a previous process and is ignored.
+// applyLeaving applies a report that the VM's process is leaving. A report with another epoch is
+// about a previous process and is ignored.
 func (m *member) applyLeaving(now clock.Millis, epoch uint64) (changed bool) {
 	if m.leaving || epoch != 0 && m.epoch != 0 && epoch != m.epoch || slices.Contains(m.retired, epoch) {
 		return false
@@ -161,8 +161,8 @@
 	return true
 }
 
-// applyLoad stores a load if it is newer than the stored one. Answers may arrive out of order, so
-// a late one with a lower sequence is dropped.
+// applyLoad stores a load if it is newer than the stored one, since answers may arrive out of
+// order. It reports whether it did.
 func (m *member) applyLoad(l *wire.Load) (stored bool) {
 	if l.GetEpoch() != 0 && l.GetEpoch() != m.epoch {
 		return false
@@ -174,8 +174,8 @@
 	return true
 }
 
-// newer reports whether l is newer than old, a load of the same epoch. A load without epoch and
-// sequence counts as newer.
+// newer reports whether l is newer than old, which is a load of the same epoch. A load without
+// epoch and sequence number is taken to be newer.
 func newer(l, old *wire.Load) bool {
 	if l.GetEpoch() == 0 && l.GetSequence() == 0 {
 		return true
@@ -186,7 +186,7 @@
 	return l.GetSequence() > old.GetSequence()
 }
 
-// recordFailure records a failed call. It reports whether the snapshot changes.
+// recordFailure records a failed call to the VM. It reports whether the snapshot must change.
 func (m *member) recordFailure(now clock.Millis) (changed bool) {
 	duration := minSuspicion << min(m.failures, 5)
 	m.failures++
@@ -196,8 +196,8 @@
 	return changed
 }
 
-// expire ends suspicion, leaving and the report of a leaving change once they have expired. It
-// reports whether the snapshot changes.
+// expire ends suspicion, leaving and the report of a leaving change if their time is over. It
+// reports whether the snapshot must change.
 func (m *member) expire(now clock.Millis) (changed bool) {
 	if m.suspected && now >= m.suspectUntil {
 		m.suspected = false
--- a/membership/members.go
+++ b/membership/members.go
@@ -9,21 +9,22 @@
 )
 
 // Members is an immutable snapshot of the VMs for request handling, except that Load returns the
-// newest loads.
+// newest loads. Callers must not change the slices that its methods return.
 type Members struct {
-	vms            []provider.VM
-	sharedLoads    map[string]*sharedLoad
-	leaving        map[string]bool
-	suspected      map[string]bool
-	byPool         map[string][]provider.VM
-	byZone         map[string][]provider.VM
-	recentLeavingChanges       []*wire.Leaving
-	leavingChanges int
+	vms                  []provider.VM
+	sharedLoads          map[string]*sharedLoad
+	leaving              map[string]bool
+	suspected            map[string]bool
+	byPool               map[string][]provider.VM
+	byZone               map[string][]provider.VM
+	recentLeavingChanges []*wire.Leaving
+	leavingChanges       int
 }
 
 func emptyMembers() *Members { return &Members{} }
 
-// newSnapshot returns a snapshot of the VMs by pool and zone, without leaving and suspicion.
+// newSnapshot returns a snapshot of the VMs by pool and zone, without the leaving and suspected
+// ones marked.
 func (s *State) newSnapshot() *Members {
 	m := &Members{
 		vms:         make([]provider.VM, 0, len(s.order)),
@@ -44,7 +45,7 @@
 	return m
 }
 
-// withFlags returns a copy of a snapshot with the current leaving and suspected VMs.
+// withFlags returns a copy of a snapshot with the VMs marked that are leaving or suspected now.
 func (s *State) withFlags(old *Members) *Members {
 	m := *old
 	m.leaving = make(map[string]bool)
@@ -62,10 +63,11 @@
 	return &m
 }
 
-// maxLeavingChanges bounds the leaving changes that one digest reports.
+// maxLeavingChanges bounds the leaving changes in one digest.
 const maxLeavingChanges = 32
 
-// recentLeavingChanges lists the recent leaving changes, sorted by VM ID and at most maxLeavings.
+// recentLeavingChanges lists the recent leaving changes, sorted by VM ID and at most
+// maxLeavingChanges of them.
 func (s *State) recentLeavingChanges() (out []*wire.Leaving) {
 	for id, m := range s.flagged {
 		if m.leavingChanged && m.epoch != 0 && s.now-m.leavingChangedAt < leavingReportDuration {
@@ -79,27 +81,29 @@
 // VMs returns all VMs sorted by ID. Callers must not change the slice.
 func (m *Members) VMs() []provider.VM { return m.vms }
 
-// Pool returns the endpoint VMs of a pool sorted by ID, leaving ones included.
+// Pool returns the endpoint VMs of a pool sorted by ID, including those that are leaving.
 func (m *Members) Pool(name string) []provider.VM { return m.byPool[name] }
 
 // Zone returns the VMs of an availability zone sorted by ID.
 func (m *Members) Zone(name string) []provider.VM { return m.byZone[name] }
 
-// Leaving reports whether the VM leaves, according to the platform's list or its own process.
+// Leaving reports whether the VM is leaving, according to the platform's list or to its own
+// process.
 func (m *Members) Leaving(v provider.VM) bool { return v.Leaving || m.leaving[v.ID] }
 
-// Suspected reports whether recent calls to the VM failed and no message of it arrived since.
-// Suspicion expires, so that the VM is tried again.
+// Suspected reports whether recent calls to the VM failed and no message from it has arrived
+// since. Suspicion expires, so that the VM is tried again.
 func (m *Members) Suspected(vm string) bool { return m.suspected[vm] }
 
-// RecentLeavingChanges lists the recent leaving changes: processes that leave, and new ones that have joined.
+// RecentLeavingChanges lists the recent leaving changes: processes that are leaving, and new ones
+// that have taken the place of such a process.
 func (m *Members) RecentLeavingChanges() []*wire.Leaving { return m.recentLeavingChanges }
 
-// LeavingChanges returns the number of leaving changes so far.
+// LeavingChanges returns the number of leaving changes since this process started.
 func (m *Members) LeavingChanges() int { return m.leavingChanges }
 
-// Load returns the newest known load of a VM, or nil. It never blocks, and later calls may return
-// a newer load.
+// Load returns the newest known load of a VM, or nil. It does not block. Unlike the other methods,
+// it may return another value when called again.
 func (m *Members) Load(vm string) *wire.Load {
 	if s := m.sharedLoads[vm]; s != nil {
 		return s.load.Load()
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -1,6 +1,6 @@
-// Package membership tracks which VMs there are and which of them may receive new work. Its
-// sources are the platform's VM list, which is updated with a delay, the messages of the processes
-// themselves and the results of calls to them.
+// Package membership tracks which VMs exist and which of them may receive new work. Its sources
+// are the platform's VM list, which is updated with a delay, the messages of the processes on the
+// VMs and the results of calls to them.
 package membership
 
 import (
@@ -13,54 +13,55 @@
 )
 
 const (
-	// maxVMs bounds the VMs tracked; further ones of a longer list are ignored.
+	// maxVMs bounds the tracked VMs; further ones in the list are ignored.
 	maxVMs = 8192
-	// absentRetention is how long a VM that is missing from the list is retained after its last
-	// message, or after it was first missing if that is later.
+	// absentRetention is how long a VM that is missing from the list is retained: since its last
+	// message, or since it was first missing if that is later.
 	absentRetention = 30 * clock.Second
-	// outageRetention is how long VMs are retained after more than half of them are missing from
-	// the list at once, which is probably a fault of the list.
+	// outageRetention is how long VMs are retained if more than half of them are missing from the
+	// list at once, which probably is a fault of the list.
 	outageRetention = 10 * clock.Minute
 	// sweepInterval is the time between two checks for expired state.
 	sweepInterval = clock.Second
 )
 
-// State is the reducer of the VMs.
+// State is the reducer of membership events.
 type State struct {
 	// self is this process's VM ID. Failed calls and leaving changes reported by peers don't apply
 	// to it.
 	self string
-	// vms holds at most maxVMs. A VM is removed once it has been missing from the list and silent
-	// for absentRetention.
+	// vms holds at most maxVMs VMs. A VM is removed once it has been missing from the list for
+	// absentRetention without any message.
 	vms map[string]*member
 	// order holds the IDs of vms, sorted.
 	order []string
-	// leavingChanges counts the leaving changes.
+	// leavingChanges counts the leaving changes: a process started to leave, or a new one took its
+	// place.
 	leavingChanges int
-	// flagged holds the members that are absent, leaving, suspected or have a recent leaving
-	// change, so that a tick need not check all members.
+	// flagged holds the members that are absent, leaving or suspected or have a recent leaving
+	// change. Only these are checked at a tick.
 	flagged map[string]*member
-	// vmsChanged is true while vms has changes that the snapshot lacks.
+	// vmsChanged is true if vms has changes that are not in the snapshot yet.
 	vmsChanged bool
 	// snapshot is replaced when it changes.
 	snapshot *Members
 	// listedAt is when the last list that was not empty arrived.
 	listedAt clock.Millis
-	// shrunkAt is when more than half of the VMs were first missing from the list; 0 if they are
-	// not.
+	// shrunkAt is when more than half of the VMs were first missing from the list; 0 if at most
+	// half of them are missing.
 	shrunkAt clock.Millis
 	sweptAt  clock.Millis
 	now      clock.Millis
 	polls    polls
 }
 
-// New returns the state of the process on VM self, without any VMs.
+// New returns the state of the process on VM self. It has no VMs until the first list arrives.
 func New(self string) State {
 	return State{self: self, vms: make(map[string]*member), flagged: make(map[string]*member), snapshot: emptyMembers()}
 }
 
-// Reduce applies one event and reports whether Members returns a new snapshot. A load alone makes
-// no new snapshot, since snapshots share the loads.
+// Reduce applies one event. changed is true if Members returns a new snapshot. A new load alone
+// does not change the snapshot, since all snapshots share the loads.
 func (s *State) Reduce(e event.Event) (effects []event.Effect, changed bool) {
 	switch e := e.(type) {
 	case event.Tick:
@@ -83,10 +84,10 @@
 	return effects, changed
 }
 
-// applyList applies the platform's list. If it is empty, or more than half of the VMs are missing
-// at once, the fault is far more often in the list than in the VMs, and removing the VMs would
-// refuse every request although all endpoints are healthy. The VMs are retained then, and only
-// failed calls and the VMs' own messages exclude them.
+// applyList applies the platform's list. If the list is empty, or more than half of the VMs are
+// missing at once, the list is far more often wrong than the VMs are gone, and removing them would
+// refuse every request although all endpoints are healthy. In this case the VMs are retained, and
+// only failed calls and messages of the VMs themselves exclude a VM.
 func (s *State) applyList(e event.VMsListed) (changed bool) {
 	if len(e.VMs) == 0 {
 		return false
@@ -126,7 +127,7 @@
 	}
 }
 
-// applyListed applies one VM of the list.
+// applyListed applies the entry for one VM in the platform's list.
 func (s *State) applyListed(now clock.Millis, v provider.VM) (changed bool) {
 	m := s.vms[v.ID]
 	if m == nil {
@@ -217,7 +218,8 @@
 	return changed
 }
 
-// recordUse records that the VM answered a request of this process, so that it may be polled.
+// recordUse records that the VM answered a request of this process, which makes it subject to
+// polls.
 func (s *State) recordUse(e event.LoadReceived) {
 	m := s.vms[e.Load.GetVm()]
 	if m == nil {
@@ -241,7 +243,8 @@
 	return changed
 }
 
-// recordLeavingChange counts a leaving change, which is reported to peers. It returns changed.
+// recordLeavingChange records a leaving change, to be reported to peers, if changed is true. It
+// returns changed.
 func (s *State) recordLeavingChange(m *member, changed bool) bool {
 	if changed {
 		s.leavingChanges++
@@ -259,8 +262,8 @@
 	return m.recordFailure(e.Now)
 }
 
-// refreshSnapshot replaces the snapshot. It runs when a VM is added, removed, leaves or is
-// suspected, but not for a load alone.
+// refreshSnapshot replaces the snapshot. It runs when a VM is added or removed, starts to leave or
+// is suspected, but not for a new load alone.
 func (s *State) refreshSnapshot() {
 	if s.vmsChanged {
 		s.order = s.order[:0]
--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -13,8 +13,8 @@
 	"github.com/parsleydeal/parsleydeal/provider"
 )
 
-// Each script goes through failures of the list, of a VM or of a message, and shows the resulting
-// members.
+// Each script is a sequence of failures of the list, of a VM or of a message, with the expected
+// members after each step.
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		s := New("self")
@@ -88,8 +88,8 @@
 	return b.String()
 }
 
-// Every answer carries a load. In a large site, a new snapshot for each would cost more than
-// everything else that control does.
+// Every answer carries a load, which must not cause a new snapshot: in a large site, this would
+// cost more than everything else that control does.
 func TestLoadReportBuildsNoSnapshot(t *testing.T) {
 	is := is.New(t)
 	s := newLargeState()
@@ -101,8 +101,8 @@
 	is.True(allocs < 1)
 }
 
-// Polls beyond the budget would make a node exceed its share of the network, and polls of busy
-// endpoints would only repeat the loads that came with answers.
+// The number of polls must stay within its bound, or a process would exceed its share of the
+// network. Busy endpoints must not be polled: their loads already come with answers.
 func TestPollsAreBounded(t *testing.T) {
 	is := is.New(t)
 	s := newLargeState()
--- a/membership/poll.go
+++ b/membership/poll.go
@@ -8,28 +8,28 @@
 )
 
 const (
-	// pollAfterSilence is how long an endpoint may send no message before it is polled.
+	// pollAfterSilence is how long an endpoint must have sent no message before it is polled.
 	pollAfterSilence = 3 * clock.Second
-	// useDuration is how long after its last answer an endpoint counts as used by this process.
+	// useDuration is how long after its last answer to this process an endpoint counts as used.
 	useDuration = 5 * clock.Minute
-	// maxPollsPerTick bounds the polls of one tick, and so their network traffic.
+	// maxPollsPerTick bounds the polls sent in one tick and thereby their network traffic.
 	maxPollsPerTick = 1
 	// maxChecksPerTick bounds the VMs checked in one tick.
 	maxChecksPerTick = 32
 )
 
-// polls plans the polls of silent endpoints.
+// polls plans the polls of endpoints that have sent no message for a while.
 type polls struct {
-	// used holds the members that answered recently; at most all members.
+	// used holds the members that answered this process within useDuration.
 	used []*member
 	// next is the index in used of the member checked last.
 	next int
 }
 
-// poll starts exchanges with silent endpoints that this process uses, to get their loads. Answers
-// to requests carry loads, so busy endpoints are never polled. The polls are spread by a hash of
-// process and VM over pollAfterSilence, so that those of many entries don't reach an endpoint at
-// once, and those of one entry aren't sent in a burst.
+// poll requests the load of endpoints that this process uses and that have sent no message for a
+// while. Answers to requests carry loads, so busy endpoints are never polled. The polls are spread
+// over pollAfterSilence by a hash of process and VM, so that polls of many entries don't reach an
+// endpoint at once and one entry doesn't send its polls in a burst.
 func (s *State) poll() (effects []event.Effect) {
 	p := &s.polls
 	for checked := 0; checked < maxChecksPerTick && len(p.used) > 0 && len(effects) < maxPollsPerTick; checked++ {
