--- a/spread/counts.go
+++ b/spread/counts.go
@@ -15,28 +15,32 @@
 )
 
 const (
-	// minReportInterval is the interval at which an entry of a small site reports to a judge.
+	// minReportInterval is the minimum interval between two reports of an entry to a judge, which
+	// applies in a small site. The judges of a version are the processes that sum its outcome
+	// counts.
 	minReportInterval = clock.Second
-	// judgeBytesPerSecond bounds the traffic of a judge with all entries, where bytesPerMessage is the
-	// size of one message and its reply.
+	// judgeBytesPerSecond bounds the traffic between a judge and all entries; bytesPerMessage is
+	// the size of one message with its reply.
 	judgeBytesPerSecond = 12 << 10
 	bytesPerMessage     = 600
 	// countsPerMessage bounds the counts of one message to a judge.
 	countsPerMessage = 6
-	// maxReported bounds the keys stored as reported; above it all are cleared and reported again.
+	// maxReported bounds the keys stored in reported. At the bound all are dropped, so that their
+	// counts are reported again.
 	maxReported = 4096
 )
 
-// CountReporter plans which evidence is reported to which judge and when. Counts are cumulative,
-// so a lost, repeated or late report does no harm.
+// CountReporter plans which outcome counts this process reports to which judge, and when. Counts
+// are cumulative, so a lost, repeated or late report does no harm.
 type CountReporter struct {
 	self string
-	// reported holds the last reported count of each key and the round it was reported in.
+	// reported holds, by key, the count reported last and the round of that report.
 	reported map[evidence.Key]reportedCount
 	round    int
-	// nextAt is the time of the next message by model.
+	// nextAt is, by model, the time at which the counts of its versions are next sent to the
+	// judges.
 	nextAt map[string]clock.Millis
-	// plans holds the judges and the report interval by model, as computed from plannedMembers.
+	// plans holds the plan for each model. It was computed from plannedMembers.
 	plans          map[string]plan
 	plannedMembers *membership.Members
 }
@@ -52,13 +56,13 @@
 	interval clock.Millis
 }
 
-// NewCountReporter returns the state of process self that has reported nothing yet.
+// NewCountReporter returns the state of the process on VM self before any report.
 func NewCountReporter(self string) CountReporter {
 	return CountReporter{self: self, reported: make(map[evidence.Key]reportedCount), nextAt: make(map[string]clock.Millis)}
 }
 
-// Reduce plans the messages due at a tick and ignores all other events. Report is this process's
-// own evidence.
+// Reduce returns the messages due at a tick; it ignores all other events. report holds this
+// process's own outcome counts.
 func (s *CountReporter) Reduce(e event.Event, report []*wire.Count, m *membership.Members) (effects []event.Effect) {
 	t, ok := e.(event.Tick)
 	if !ok || len(report) == 0 {
@@ -88,7 +92,7 @@
 	return effects
 }
 
-// due lists the models whose evidence is to be reported now, sorted.
+// due lists, sorted, the models whose counts are to be sent now.
 func (s *CountReporter) due(now clock.Millis, report []*wire.Count) (models []string) {
 	for _, c := range report {
 		model := modelOf(c)
@@ -108,9 +112,10 @@
 	return model
 }
 
-// plan returns the judges of a model and the report interval. The interval grows with the number of
-// entries: if 380 entries reported every second, a judge would exceed its share of the network. The
-// reports of the entries are spread over the interval, so that a judge receives some at any time.
+// plan returns the judges of a model and the interval of reports to them. The interval grows with
+// the number of entries: if 380 entries reported every second, a judge would exceed its share of
+// the network. Entries report at different times within the interval, so that a judge receives
+// reports evenly.
 func (s *CountReporter) plan(model string, m *membership.Members) plan {
 	if p, ok := s.plans[model]; ok {
 		return p
@@ -135,9 +140,9 @@
 	return out
 }
 
-// selectCounts returns the counts of one message. It takes from each version in turn the counts
-// that changed and were reported least recently, so that a new version with few requests is not
-// crowded out by the one it replaces.
+// selectCounts returns the counts for one message. It goes through the versions in turn and takes
+// from each the changed count that was reported longest ago, so that a new version with few
+// requests is not crowded out by the one it replaces.
 func (s *CountReporter) selectCounts(model string, report []*wire.Count) (counts []*wire.Count) {
 	byVersion := make(map[string][]*wire.Count)
 	var versions []string
@@ -182,15 +187,15 @@
 	}
 }
 
-// recentlyReported reports whether a count was reported unchanged within the last rounds. After
-// that it is reported again, in case the message was lost.
+// recentlyReported reports whether the count has not changed since it was reported in one of the
+// last rounds. It is reported again after these rounds, in case the message was lost.
 func (s *CountReporter) recentlyReported(c *wire.Count) bool {
 	const repeatRounds = 4
 	old := s.reported[keyOf(c)]
 	return old.count != nil && s.round-old.round < repeatRounds && total(old.count) == total(c)
 }
 
-// total returns a sum that grows with any new evidence.
+// total returns a number that grows whenever any of the counts does.
 func total(c *wire.Count) int64 {
 	return c.GetStarted() + c.GetGood() + c.GetErrors() + c.GetRatings() + c.GetJudged()
 }
--- a/spread/peers.go
+++ b/spread/peers.go
@@ -12,18 +12,19 @@
 )
 
 const (
-	// maxDirectReaders is the number of processes up to which all of them read the log.
+	// maxDirectReaders is the maximum number of processes in a site where all of them read the
+	// log.
 	maxDirectReaders = 16
-	// readersPerZone is how many processes of a zone read the log in larger sites.
+	// readersPerZone is how many processes of each zone read the log in larger sites.
 	readersPerZone = 2
-	// readerInterval is the number of exchanges per one with a reader of the own zone.
+	// readerInterval is the number of exchanges of which one is with a log reader of the own zone.
 	readerInterval = 4
-	// otherZoneInterval is the number of exchanges per one with a peer in another zone.
+	// otherZoneInterval is the number of exchanges of which one is with a peer in another zone.
 	otherZoneInterval = 3
 )
 
-// RendezvousTop returns the n VMs with the highest rendezvous hash for a duty, highest first;
-// fewer if there are fewer VMs. All processes get the same result from the same VMs.
+// RendezvousTop returns the n VMs with the highest rendezvous hash for a duty, highest first, or
+// all VMs if there are fewer. All processes get the same result from the same VMs.
 func RendezvousTop(duty string, n int, vms []provider.VM) []provider.VM {
 	best := make([]provider.VM, 0, n+1)
 	scores := make([]uint64, 0, n+1)
@@ -42,8 +43,8 @@
 	return best
 }
 
-// eligible returns the VMs that may have a duty: those that are neither leaving nor suspected. A
-// process never suspects itself.
+// eligible returns the VMs that may take on a duty: those that are neither leaving nor suspected.
+// A process never suspects itself.
 func eligible(m *membership.Members, vms []provider.VM) (out []provider.VM) {
 	for _, v := range vms {
 		if !m.Leaving(v) && !m.Suspected(v.ID) {
@@ -53,8 +54,9 @@
 	return out
 }
 
-// preferEndpoints removes the entries if there are enough endpoints. An entry may also be a judge,
-// and both duties together would exceed its share of the network.
+// preferEndpoints returns only the endpoints if there are at least readersPerZone of them, and all
+// VMs otherwise. An entry may also be a judge, and both duties together would exceed its share of
+// the network.
 func preferEndpoints(vms []provider.VM) (out []provider.VM) {
 	for _, v := range vms {
 		if v.Role == provider.EndpointRole {
@@ -67,9 +69,10 @@
 	return out
 }
 
-// readers returns the processes of this zone that read the log. All processes of the zone call
-// them in turn. So an unreachable reader is also suspected by the next one in rank, which then
-// reads in its place until the reader replies again.
+// readers returns the processes of this zone that read the log. All processes of the zone exchange
+// messages with them regularly. If a reader is unreachable, the process that ranks next therefore
+// suspects it too, counts itself among the readers and reads the log until the reader replies
+// again.
 func (s *State) readers(m *membership.Members) []provider.VM {
 	if s.readersOf != m {
 		s.readersOf = m
@@ -78,7 +81,7 @@
 	return s.readerVMs
 }
 
-// follow returns an effect when this process must start or stop reading the log.
+// follow returns an effect if this process must start or stop reading the log.
 func (s *State) follow(m *membership.Members) (effects []event.Effect) {
 	on := !s.started || len(m.VMs()) <= maxDirectReaders
 	if !on {
@@ -91,8 +94,8 @@
 	return []event.Effect{event.Follow{Stream: provider.ConfigStream, On: on}}
 }
 
-// nextPeer selects the peer of the next exchange. A starting process prefers other zones, since the
-// processes of a partitioned zone would only confirm one another.
+// nextPeer selects the peer of the next exchange. A starting process takes every other peer from
+// another zone: in a partitioned zone, processes would otherwise only confirm each other's state.
 func (s *State) nextPeer(m *membership.Members) (v provider.VM, ok bool) {
 	seed := s.exchanges
 	switch {
@@ -114,7 +117,7 @@
 	}
 }
 
-// sameZonePeer draws a peer of the own zone, or any peer if the zone has no other process.
+// sameZonePeer draws a peer of this process's zone, or any peer if the zone has no other process.
 func (s *State) sameZonePeer(seed uint64, m *membership.Members) (v provider.VM, ok bool) {
 	anyVM := func(provider.VM) bool { return true }
 	if v, ok = s.drawPeer(seed, anyVM, m.Zone(s.zone), m); ok {
@@ -128,9 +131,9 @@
 	return s.drawPeer(seed, func(v provider.VM) bool { return v.Zone != s.zone }, m.VMs(), m)
 }
 
-// drawPeer draws a few VMs by hash and returns the best one: a preferred peer rather than another
-// one, and a suspected peer only if no other was drawn. Suspected peers remain possible so that
-// two halves of a partitioned network find each other again.
+// drawPeer draws a few VMs by hash and returns the best one. Peers that are not suspected come
+// before suspected ones, and preferred ones before others. Suspected peers are not excluded, so
+// that the two sides of a network partition find each other again.
 func (s *State) drawPeer(seed uint64, preferred func(provider.VM) bool, vms []provider.VM, m *membership.Members) (v provider.VM, ok bool) {
 	const tries = 12
 	best := 0
--- a/spread/spread.go
+++ b/spread/spread.go
@@ -2,8 +2,8 @@
 // processes don't read the log, and never moves a process back to an older revision.
 //
 // A few processes of each availability zone read the log. A process that receives new records
-// notifies a few peers at once, and every process starts an exchange with one peer each second.
-// The one that is behind fetches the records from the other.
+// notifies a few peers at once. In addition, every process starts an exchange with one peer each
+// second, in which the one that is behind fetches the missing records from the other.
 package spread
 
 import (
@@ -19,29 +19,30 @@
 const (
 	// exchangeInterval is the time between two exchanges that a process starts.
 	exchangeInterval = clock.Second
-	// startingExchangeInterval is the same while the process is starting.
+	// startingExchangeInterval is the time between two exchanges while the process is starting.
 	startingExchangeInterval = 300 * clock.Millis(1)
 	// fetchTimeout is the timeout of a fetch of records from a peer.
 	fetchTimeout = 3 * clock.Second
 	// fanOut is how many peers are notified of an update at once.
 	fanOut = 4
-	// maxAhead bounds the stored peers that are ahead; the oldest is dropped first.
+	// maxAhead bounds the stored peers that have read further than this process; the oldest one is
+	// dropped.
 	maxAhead = 8
-	// minStartReplies is how many peers must reply before a process starts without the log.
+	// minStartReplies is how many peers must have replied before a process starts without the log.
 	minStartReplies = 3
 )
 
-// NeverConfirmed is the confirmation time of tables that were never confirmed; it is before any
-// clock time.
+// NeverConfirmed is the confirmation time of tables that were never confirmed to be current. It is
+// before any clock time.
 const NeverConfirmed = clock.Millis(-1 << 50)
 
-// Local is the state that the process itself has reduced.
+// Local is the state of other reducers of this process that State depends on.
 type Local struct {
-	// Offset is the next offset of the log to reduce.
+	// Offset is the offset of the next log record to apply.
 	Offset int64
 	// HasTables is true once tables are in force.
 	HasTables bool
-	// Holds is the set of holds in force. Its pointer changes when the set does.
+	// Holds is the set of holds in force. The pointer changes whenever the set does.
 	Holds *rollout.Holds
 }
 
@@ -57,7 +58,7 @@
 	confirmedAt clock.Millis
 	// started is true once the process has the tables in force; it is never reset.
 	started bool
-	// following is the last Follow effect, once followSent is true.
+	// following is the value of On in the last Follow effect; valid once followSent is true.
 	following  bool
 	followSent bool
 	draining   bool
@@ -65,18 +66,19 @@
 	exchangeAt clock.Millis
 	// exchanges counts the periodic exchanges started; it selects the next peer.
 	exchanges uint64
-	// notifications counts the peers drawn for notifications; it selects the next one.
+	// notifications counts the peers drawn to be notified of updates; it selects the next one.
 	notifications uint64
-	// startReplies holds the zone, by VM ID, of each started peer that replied while this process
-	// was starting.
+	// startReplies holds the peers that replied while this process was starting and had themselves
+	// started: their zones by VM ID.
 	startReplies map[string]string
-	// ahead holds at most maxAhead peers that have read further.
+	// ahead holds at most maxAhead peers that have read further than this process.
 	ahead []peerAhead
-	// fetching is the VM that records are being fetched from, with a timeout at fetchUntil; "" if
-	// none.
+	// fetching is the VM from which records are being fetched, "" if none. The fetch times out at
+	// fetchUntil.
 	fetching   string
 	fetchUntil clock.Millis
-	// readerVMs holds the readers of this zone, as computed from readersOf.
+	// readerVMs holds the processes of this zone that read the log. It was computed from
+	// readersOf.
 	readerVMs []provider.VM
 	readersOf *membership.Members
 	// holds is Local.Holds as of the last event.
@@ -97,16 +99,17 @@
 	return State{self: self, zone: zone, confirmedAt: NeverConfirmed, startReplies: make(map[string]string)}
 }
 
-// Started reports whether the process has the tables in force, according to the log or to several
-// peers.
+// Started reports whether the process has the tables in force, as confirmed by the log or by
+// several peers.
 func (s *State) Started() bool { return s.started }
 
 // ConfirmedAt returns the latest time, on this process's clock, at which the tables were known to
 // be current; NeverConfirmed if there is none.
 func (s *State) ConfirmedAt() clock.Millis { return s.confirmedAt }
 
-// Reduce applies one event. The tables must have reduced it before, so that l includes it. Changed
-// is true if Started or ConfirmedAt changed, so that a new view must be published.
+// Reduce applies one event. The tables must have been updated by the event before, so that l
+// includes it. changed is true if Started or ConfirmedAt changed, so that a new view must be
+// published.
 func (s *State) Reduce(e event.Event, l Local, m *membership.Members) (effects []event.Effect, changed bool) {
 	started, confirmed := s.started, s.confirmedAt
 	grown := l.Offset > s.offset || l.Holds != s.holds
@@ -146,8 +149,9 @@
 	return nil
 }
 
-// logRead confirms the tables if this process is at the log's head. A log that ends before the
-// process's offset was truncated: the process keeps its offset and confirms nothing.
+// logRead records that the tables are current if this process has applied the log up to its head.
+// If the log ends before this process's offset, it was truncated: the offset stays, and nothing is
+// confirmed.
 func (s *State) logRead(e event.LogRead) {
 	if e.Stream != provider.ConfigStream {
 		return
@@ -162,10 +166,10 @@
 
 // digestReceived compares a peer's offset with this process's own.
 //
-// Staleness is sent as a duration. The age of a reply is at most the peer's staleness plus the
-// round trip time. Each of the two is measured on one clock, so clocks of different processes are
-// never compared. A digest that is not a reply may have been delayed for an unknown time, so it
-// confirms nothing.
+// A peer's staleness is the time since its tables were last confirmed to be current. It is sent as
+// a duration. The age of a reply is at most this staleness plus the round trip time. Each of the
+// two is measured on one clock, so clocks of different processes are never compared. A digest that
+// is not a reply may have been delayed for an unknown time, so it confirms nothing.
 func (s *State) digestReceived(e event.DigestReceived, m *membership.Members) {
 	d := e.Digest
 	if d.GetVm() == s.self {
@@ -191,7 +195,8 @@
 	}
 }
 
-// addAhead records a peer that has read further. A peer without a known address is ignored.
+// addAhead records a peer that has read further than this process. A peer without a known address
+// is ignored.
 func (s *State) addAhead(vm, address string, offset int64, m *membership.Members) {
 	if v, ok := m.Find(vm); ok {
 		address = v.Address
@@ -238,7 +243,8 @@
 	}
 }
 
-// fetch requests the missing records from the peer that has read furthest, one fetch at a time.
+// fetch requests the missing records from the peer that has read furthest. Only one fetch runs at
+// a time.
 func (s *State) fetch() (effects []event.Effect) {
 	best := peerAhead{offset: s.offset}
 	remaining := s.ahead[:0]
@@ -260,10 +266,10 @@
 	return []event.Effect{event.FetchRecords{VM: best.vm, Address: best.address, From: s.offset}}
 }
 
-// tryStart ends the starting phase without the log if enough peers have replied, one of them in
-// another availability zone if there is one, and this process has read as far as the furthest of
-// them. Fewer peers could all be behind, which this process can't detect, since it has no disk
-// that keeps its offset across restarts.
+// tryStart ends the starting phase without the log. Enough peers must have replied, including one
+// in another availability zone if there is one, and this process must have read as far as the
+// furthest of them. If fewer replied, all of them could be behind. This process could not detect
+// that, since it does not store its offset across restarts.
 func (s *State) tryStart(l Local, m *membership.Members) {
 	if s.started || !l.HasTables || len(s.ahead) > 0 {
 		return
@@ -286,8 +292,8 @@
 	s.started = true
 }
 
-// hasUpdates reports whether peers must be notified at once: of new records or holds, or of a
-// process that leaves or joins again.
+// hasUpdates reports whether peers must be notified at once, because there are new records or
+// holds (grown is true) or new leaving changes.
 func (s *State) hasUpdates(grown bool, m *membership.Members) bool {
 	changed := m.LeavingChanges() > s.leavingChanges
 	s.leavingChanges = m.LeavingChanges()
@@ -319,17 +325,18 @@
 	return effects
 }
 
-// Snapshot is an immutable snapshot of State for request handling and for peers.
+// Snapshot is an immutable part of State, for request handling and for messages to peers.
 type Snapshot struct {
 	VM    string
 	Zone  string
 	Epoch uint64
 	Tail  Tail
-	// Starting is true until the process has the tables in force.
+	// Starting is true until the process is known to have the tables in force.
 	Starting bool
 }
 
-// Digest returns the digest that a process sends its peers, without its load.
+// Digest returns the digest that the process sends to its peers, without its load. staleness is
+// the time since the tables were last confirmed to be current.
 func (sn Snapshot) Digest(revision int64, staleness clock.Millis, leaving bool, m *membership.Members) *wire.Digest {
 	return &wire.Digest{
 		Vm: sn.VM, Zone: sn.Zone, Epoch: sn.Epoch,
--- a/spread/tail.go
+++ b/spread/tail.go
@@ -13,29 +13,30 @@
 	maxReplyBytes = 256 << 10
 )
 
-// Tail holds the last records of a stream for peers that are behind. It is immutable; Add returns
+// Tail holds the last records of a stream, for peers that are behind. It is immutable; Add returns
 // a new value. The zero value is an empty tail at offset 0.
 type Tail struct {
-	// from is the offset of the first record; the records up to end are complete.
+	// from is the offset of the first record and end the offset after the last one; no record
+	// between them is missing.
 	from    int64
 	end     int64
 	records []*wire.Record
 	bytes   int
-	// restarts counts the checkpoints at which the tail restarted.
+	// restarts counts the calls of Restart.
 	restarts int
 }
 
-// Restart returns an empty tail that starts at an offset. The records before it are part of the
-// checkpoint that the process has just loaded.
+// Restart returns an empty tail that starts at an offset. The process calls it after it has loaded
+// a checkpoint, which includes the records before that offset.
 func (t Tail) Restart(offset int64) Tail {
 	return Tail{from: offset, end: offset, restarts: t.restarts + 1}
 }
 
-// Restarts returns how often the tail restarted. When it changes, a reader of the log must go back
-// to End, because it has read past records that could not be reduced.
+// Restarts returns how often the tail was restarted. When it changes, the process must read the
+// log again from End, because it has read past records that could not be applied.
 func (t Tail) Restarts() int { return t.restarts }
 
-// From returns the first offset from which the records are complete.
+// From returns the first offset from which the tail has all records.
 func (t Tail) From() int64 { return t.from }
 
 // End returns the offset after the last record.
