--- a/zone/zone.go
+++ b/zone/zone.go
@@ -12,25 +12,26 @@
 )
 
 const (
-	// rampStartFraction is the fraction of its share that a zone gets when it returns.
+	// rampStartFraction is the fraction of its share of work that a zone gets when it returns.
 	rampStartFraction = 0.1
 	// minRampDuration is how long a zone takes to ramp up to its full share. The duration doubles
 	// with each return within stableDuration of the last one, up to maxRampDuration.
 	minRampDuration = 20 * clock.Second
 	maxRampDuration = 5 * clock.Minute
-	// stableDuration is how long after its last return a zone's returns are no longer counted.
+	// stableDuration is how long after its last return a zone counts as stable, so that the next
+	// ramp is short again.
 	stableDuration = 10 * clock.Minute
-	// maxZones bounds the zones tracked; further ones get their full share at once.
+	// maxZones bounds the tracked zones; further ones get their full share at once.
 	maxZones = 256
 )
 
-// zoneState is the state of one zone.
+// zoneState is whether a zone is down, and its last ramp.
 type zoneState struct {
 	down bool
-	// returns counts the returns that were no more than stableDuration apart.
+	// returns counts the consecutive returns of the zone that were at most stableDuration apart.
 	returns int
-	// returnedAt is the time of the last return and rampDuration the length of its ramp, 0 for a
-	// zone that was never down.
+	// returnedAt is the time of the last return and rampDuration the duration of its ramp; 0 if
+	// the zone was never down.
 	returnedAt   clock.Millis
 	rampDuration clock.Millis
 }
@@ -40,14 +41,14 @@
 	// zones holds at most maxZones zones.
 	zones map[string]*zoneState
 	ramps *Ramps
-	// tables and members are those of the last Reduce. Both are immutable, so the zones need no
-	// check while the pointers are the same.
+	// tables and members are the arguments of the last Reduce. Both are immutable, so nothing has
+	// changed if the pointers are the same.
 	tables  *table.Tables
 	members *membership.Members
 }
 
-// NewState returns a state without zones. Zones that are up when they are first seen get their full
-// share, since the process can't know whether they have just returned.
+// NewState returns a state without zones. Zones that are up when they are first seen get their
+// full share, since the process cannot know whether they have just returned.
 func NewState() State {
 	return State{zones: make(map[string]*zoneState), ramps: &Ramps{}}
 }
@@ -74,8 +75,8 @@
 	return changed
 }
 
-// down reports whether a zone gets no work: operators took it out of service, or it has no listed
-// endpoint that is neither leaving nor suspected.
+// down reports whether a zone gets no work: operators took it out of service, or all its listed
+// endpoints are leaving or suspected, or it has none.
 func down(name string, t *table.Tables, m *membership.Members) bool {
 	if t.ZoneOut(name) {
 		return true
@@ -142,7 +143,7 @@
 	return min(rampStartFraction+(1-rampStartFraction)*elapsed, 1)
 }
 
-// Names lists the zones with a ramp, completed ones included, sorted.
+// Names lists, sorted, the zones that have a ramp, even if the ramp has ended.
 func (r *Ramps) Names() []string {
 	if r == nil {
 		return nil
--- a/zone/zone_test.go
+++ b/zone/zone_test.go
@@ -38,8 +38,8 @@
 	f.reduceAt(now)
 }
 
-// Operators put a zone back into service whose engines are all cold. If it got its full share at
-// once, its gates would refuse a third of all requests.
+// Operators put a zone back into service whose engines are all cold. Its share must rise slowly:
+// with the full share at once, its gates would refuse a third of all requests.
 func TestReturningZoneRampsUp(t *testing.T) {
 	is := is.New(t)
 	f := newFixture()
@@ -52,9 +52,9 @@
 	is.Equal(f.state.Ramps().Fraction("a", 5000), 1.0)
 }
 
-// A zone's network switch fails: none of its endpoints can be reached, while the tables and the list
-// still include them. When they become reachable the zone must ramp up as a whole. A single endpoint
-// that returns causes no ramp; its gate bounds what it takes.
+// A zone's network switch fails: none of its endpoints can be reached, while the tables and the VM
+// list still include them. When they become reachable again the zone must ramp up as a whole. If
+// only one endpoint returns there must be no ramp; its gate limits what it accepts.
 func TestUnreachableZoneRampsUpOnRecovery(t *testing.T) {
 	is := is.New(t)
 	f := newFixture()
