--- a/view/status.go
+++ b/view/status.go
@@ -14,7 +14,7 @@
 	Bad          float64 `json:"bad"`
 	Limit        float64 `json:"limit"`
 	Judge        string  `json:"judge"`
-	// Logged is false if only this process knows of the hold, because it is not in the log yet.
+	// Logged is false if the hold is not on the log yet, so that only this process knows of it.
 	Logged bool `json:"logged"`
 }
 
@@ -30,8 +30,8 @@
 	return out
 }
 
-// RampsStatus returns the fraction of its traffic share that each recovered zone gets, below 1.
-// Zones that get their full share are left out.
+// RampsStatus returns, by zone, the fraction of its share of work that a zone which is ramping up
+// gets. Zones that get their full share are omitted.
 func (v *View) RampsStatus(now clock.Millis) map[string]float64 {
 	out := make(map[string]float64)
 	for _, name := range v.zones.Names() {
--- a/view/view.go
+++ b/view/view.go
@@ -1,4 +1,4 @@
-// Package view holds the immutable snapshot of the control state that requests are routed by.
+// Package view provides the immutable snapshot of the control state by which requests are routed.
 // The control loop publishes a new snapshot for each change.
 package view
 
@@ -24,12 +24,13 @@
 	draining    bool
 	// holds may be nil in tests.
 	holds *rollout.Holds
-	// counts is the evidence that this process reports to others.
+	// counts holds the outcome counts of versions in this process, as reported to the judges,
+	// which are the processes that sum them and decide on holds.
 	counts []*wire.Count
 	// quality may be nil in tests.
 	quality *quality.Snapshot
-	// subsets holds the endpoints that this entry works with, by pool; nil in processes other
-	// than entries.
+	// subsets holds, by pool, the endpoints that this entry sends to; nil in processes other than
+	// entries.
 	subsets map[string][]provider.VM
 	// zones may be nil in tests.
 	zones  *zone.Ramps
@@ -43,7 +44,7 @@
 	return &View{tables: tables, revision: revision, confirmedAt: confirmedAt, members: members, draining: draining}
 }
 
-// WithEvidence returns a copy of the view with the holds in force, the evidence that this
+// WithEvidence returns a copy of the view with the holds in force, the outcome counts that this
 // process reports and the ratings of versions.
 func (v *View) WithEvidence(holds *rollout.Holds, counts []*wire.Count, q *quality.Snapshot) *View {
 	c := *v
@@ -53,26 +54,25 @@
 	return &c
 }
 
-// WithSubsets returns a copy of the view with the endpoints of each pool that this entry works
-// with.
+// WithSubsets returns a copy of the view with the endpoints of each pool that this entry sends to.
 func (v *View) WithSubsets(subsets map[string][]provider.VM) *View {
 	c := *v
 	c.subsets = subsets
 	return &c
 }
 
-// WithZones returns a copy of the view with the zones that have recovered recently.
+// WithZones returns a copy of the view with the ramps of zones that have returned to service.
 func (v *View) WithZones(ramps *zone.Ramps) *View {
 	c := *v
 	c.zones = ramps
 	return &c
 }
 
-// Zones returns the zones that have recovered recently; it may be nil in tests.
+// Zones returns the ramps of zones that have returned to service; may be nil in tests.
 func (v *View) Zones() *zone.Ramps { return v.zones }
 
-// Subset returns the endpoints of a pool that this entry works with, or the full pool. Callers
-// must not modify the result.
+// Subset returns the endpoints of a pool that this entry sends to, or the full pool if full is
+// true or there is no subset. Callers must not modify the result.
 func (v *View) Subset(pool string, full bool) []provider.VM {
 	if vms, ok := v.subsets[pool]; ok && !full {
 		return vms
@@ -80,29 +80,29 @@
 	return v.members.Pool(pool)
 }
 
-// Holds returns the versions that get no new work.
+// Holds returns the holds in force: which versions get no new work. It may be nil in tests.
 func (v *View) Holds() *rollout.Holds { return v.holds }
 
-// Quality returns the ratings of the versions.
+// Quality returns the ratings of the versions; may be nil in tests.
 func (v *View) Quality() *quality.Snapshot { return v.quality }
 
-// Counts returns the evidence that this process reports to others on the versions that it used.
+// Counts returns the outcome counts of versions in this process, as reported to the judges.
 func (v *View) Counts() []*wire.Count { return v.counts }
 
-// Tables returns the configuration in force; nil before the first one.
+// Tables returns the configuration in force; nil before any was received.
 func (v *View) Tables() *table.Tables { return v.tables }
 
-// Revision returns the log offset of the configuration; -1 before the first one.
+// Revision returns the log offset of the configuration; -1 before any was received.
 func (v *View) Revision() int64 { return v.revision }
 
-// ConfirmedAt returns when the revision was last confirmed to be current, on this process's
-// clock.
+// ConfirmedAt returns the time, on this process's clock, at which the revision was last confirmed
+// to be current; spread.NeverConfirmed if it never was.
 func (v *View) ConfirmedAt() clock.Millis { return v.confirmedAt }
 
 // Confirmed reports whether the revision was ever confirmed to be current.
 func (v *View) Confirmed() bool { return v.confirmedAt > spread.NeverConfirmed }
 
-// Members returns the VMs.
+// Members returns the VMs and which of them are leaving or suspected.
 func (v *View) Members() *membership.Members { return v.members }
 
 // Draining reports whether this process accepts no new work.
@@ -129,15 +129,15 @@
 // Tail returns the last records of the configuration, for peers that are behind.
 func (v *View) Tail() spread.Tail { return v.spread.Tail }
 
-// Digest returns the state that this process sends to its peers at the given time.
+// Digest returns the digest to send to peers; now is the current time on this process's clock.
 func (v *View) Digest(now clock.Millis) *wire.Digest {
 	d := v.spread.Digest(v.revision, now-v.confirmedAt, v.draining, v.members)
 	d.Holds = v.holds.Logged()
 	return d
 }
 
-// Started reports whether the process has the tables in force, as far as the log or several
-// peers could confirm it.
+// Started reports whether the process has the tables in force, as confirmed by the log or by
+// several peers.
 func (v *View) Started() bool { return v.tables != nil && !v.spread.Starting }
 
 // Ready reports whether the process may receive work.
