--- a/emulator/emulator_test.go
+++ b/emulator/emulator_test.go
@@ -15,8 +15,8 @@
 	"pgregory.net/rapid"
 )
 
-// scenario is a file in testdata: a load under which requests were once served badly, and the bounds that
-// must hold for it.
+// scenario is the content of a file in testdata. It describes a load under which requests were
+// once handled badly, and bounds that the result must stay within.
 type scenario struct {
 	Description string `toml:"story"`
 	// Strategies holds the strategies to use instead of the defaults.
@@ -24,8 +24,9 @@
 	Site       Site              `toml:"site"`
 	Load       Load              `toml:"load"`
 	Bounds     struct {
-		// Late is the maximum fraction of late answers, Refused that of refused requests, InZone
-		// the minimum fraction of prompts sent to the zone of their entry.
+		// Late is the maximum fraction of late answers and Refused that of refused requests.
+		// InZone is the minimum fraction of prompts sent to an endpoint in the zone of their
+		// entry.
 		Late    float64 `toml:"late"`
 		Refused float64 `toml:"refused"`
 		InZone  float64 `toml:"in-zone"`
@@ -37,8 +38,8 @@
 	} `toml:"bounds"`
 }
 
-// TestScenariosStayWithinBounds runs the loads in testdata; each file describes the failure it guards
-// against.
+// TestScenariosStayWithinBounds simulates the loads in testdata. Each file describes the failure
+// it guards against.
 func TestScenariosStayWithinBounds(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.toml")
 	is.New(t).NoErr(err)
@@ -72,8 +73,8 @@
 	return s
 }
 
-// Guards against results that differ between runs: the effect of a change could then not be
-// distinguished from noise.
+// Guards against results that differ between runs of the same simulation: the effect of a change
+// could not be distinguished from noise.
 func TestSameSeedGivesSameResult(t *testing.T) {
 	is := is.New(t)
 	s := readScenario(t, "testdata/six-zones.toml")
@@ -89,7 +90,7 @@
 	is.True(a != c)
 }
 
-// Guards against simulating an invalid site or load: the faulty value must be named and nothing run.
+// An invalid site or load must not be simulated, and the error must name the faulty value.
 func TestInvalidSiteOrLoadIsRejected(t *testing.T) {
 	for faulty, change := range map[string]func(s *scenario){
 		"endpoints":  func(s *scenario) { s.Site.Endpoints = 0 },
--- a/emulator/endpoint.go
+++ b/emulator/endpoint.go
@@ -13,10 +13,10 @@
 	slots int
 	// cacheCapacity is in tokens.
 	cacheCapacity int
-	// prefillFreeAt is when all prompts received so far are prefilled.
+	// prefillFreeAt is when the endpoint will have prefilled all prompts received so far.
 	prefillFreeAt float64
-	// outstanding is the number of requests that wait, are in prefill or stream. answerEnds holds the
-	// times at which their answers end and their slots become free.
+	// outstanding is the number of requests that are waiting, being prefilled or streaming.
+	// answerEnds holds the times at which their answers end and free their slots.
 	outstanding int
 	answerEnds  []float64
 	// lastUsed holds the time at which each cached block was last used, blockTokens its size, and
@@ -24,8 +24,9 @@
 	lastUsed     map[string]float64
 	blockTokens  map[string]int
 	cachedTokens int
-	// limits holds the rate limits that the endpoint advertises. limitReceivedAt is when each entry
-	// first received the limit in force, arrivals the times of their requests within limitWindow.
+	// limits holds the rate limits that the endpoint advertises. limitReceivedAt holds, by entry,
+	// when the entry first received the limit in force, and arrivals the times of all entries'
+	// requests within limitWindow.
 	limits          []Limit
 	limitReceivedAt map[string]clock.Millis
 	arrivals        []clock.Millis
@@ -35,8 +36,8 @@
 	return &endpoint{slots: s.Slots, cacheCapacity: s.CacheTokens, lastUsed: make(map[string]float64), blockTokens: make(map[string]int), limits: limits, limitReceivedAt: make(map[string]clock.Millis)}
 }
 
-// start starts a request. It returns the times of the first byte and of the end of the answer, and the
-// number of tokens to prefill.
+// start starts a request. It returns when the first byte and the end of the answer will be sent,
+// and the number of tokens to prefill.
 func (e *endpoint) start(now clock.Millis, m Model, blocks []placement.Block, events int) (first, end clock.Millis, uncached int) {
 	start := max(e.prefillFreeAt, float64(now), e.nextSlotAt(float64(now)))
 	uncached = e.prefill(start, m, blocks)
@@ -48,8 +49,8 @@
 	return clock.Millis(firstByteAt), clock.Millis(endAt), uncached
 }
 
-// nextSlotAt returns the time at which a slot is free for a further request, after those that have one or
-// wait for one.
+// nextSlotAt returns the time at which a slot becomes free for one more request, after all
+// requests that already have a slot or wait for one.
 func (e *endpoint) nextSlotAt(now float64) float64 {
 	e.answerEnds = slices.DeleteFunc(e.answerEnds, func(at float64) bool { return at <= now })
 	if len(e.answerEnds) < e.slots {
@@ -59,8 +60,8 @@
 	return e.answerEnds[len(e.answerEnds)-e.slots]
 }
 
-// prefill caches the blocks of a prompt and returns the number of tokens to prefill: those from the first
-// block on that is not cached.
+// prefill caches the blocks of a prompt and returns the number of tokens to prefill: those of all
+// blocks from the first one that is not cached.
 func (e *endpoint) prefill(now float64, m Model, blocks []placement.Block) (uncached int) {
 	missing := false
 	for _, b := range blocks {
--- a/emulator/limit.go
+++ b/emulator/limit.go
@@ -5,21 +5,22 @@
 	"github.com/parsleydeal/parsleydeal/placement"
 )
 
-// Bounds on the requests that an endpoint with an advertised rate limit may receive. Only entries that
-// have received the limit count.
+// Bounds on the requests that an endpoint with an advertised rate limit may receive. Requests of
+// entries that have not received the limit yet do not count.
 const (
-	// limitWindow is the duration of the sliding count of requests. limitSettleTime is the time between
-	// the start of a limit and the first check, limitReactionTime the time that an entry has to apply
-	// the limit once it has received it.
+	// limitWindow is the duration of the sliding window in which requests are counted.
+	// limitSettleTime is how long after the start of a limit the bound is first checked.
+	// limitReactionTime is how long after it received the limit an entry has to apply it.
 	limitWindow       = 4 * clock.Second
 	limitSettleTime   = 3 * clock.Second
 	limitReactionTime = 500 * clock.Millis(1)
-	// limitFactor multiplies the rate; limitSlack is added to the requests per window.
+	// In each window, limitFactor times the number of requests at the limit's rate plus limitSlack
+	// requests are allowed.
 	limitFactor = 1.5
 	limitSlack  = 5.0
 )
 
-// limitsOf returns the limits of the endpoint with an index in its zone.
+// limitsOf returns the rate limits of an endpoint; index is its number in its zone, from 0.
 func (l Load) limitsOf(index int) (limits []Limit) {
 	for _, x := range l.Limits {
 		if index < x.Endpoints {
@@ -29,7 +30,7 @@
 	return limits
 }
 
-// limitAt returns the limit in force at a time.
+// limitAt returns the rate limit in force at the time now; ok is false if there is none.
 func (e *endpoint) limitAt(now clock.Millis) (x Limit, ok bool) {
 	seconds := float64(now) / float64(clock.Second)
 	for _, x := range e.limits {
@@ -40,8 +41,8 @@
 	return x, false
 }
 
-// advertisement returns what the endpoint advertises in an answer to an entry, and records that the entry
-// has received it.
+// advertisement returns what the endpoint advertises in an answer to an entry, and records that
+// the entry received it.
 func (e *endpoint) advertisement(entry string, now clock.Millis) (ad placement.Advertisement) {
 	x, ok := e.limitAt(now)
 	if !ok {
@@ -54,8 +55,8 @@
 	return placement.Advertisement{Rate: x.Rate, HasRate: true}
 }
 
-// recordArrival records a request of an entry. It returns 1 if the request exceeds the bound on the limit
-// in force, else 0.
+// recordArrival records the arrival of a request from an entry. It returns 1 if the request
+// exceeds the bound on the rate limit in force, else 0.
 func (e *endpoint) recordArrival(entry string, now clock.Millis) (over int) {
 	x, ok := e.limitAt(now)
 	receivedAt, received := e.limitReceivedAt[entry]
--- a/emulator/queue.go
+++ b/emulator/queue.go
@@ -2,15 +2,15 @@
 
 import "github.com/parsleydeal/parsleydeal/clock"
 
-// event is an action scheduled for a point of virtual time. Events of the same time run in the order in
-// which they were scheduled, so that a simulation is deterministic.
+// event is an action scheduled for a point in virtual time. Events at the same time run in the
+// order in which they were scheduled, so that a simulation is deterministic.
 type event struct {
 	at       clock.Millis
 	sequence int
 	do       func(now clock.Millis)
 }
 
-// queue is a heap of events with the next one first.
+// queue is a heap of events with the earliest one first.
 type queue []event
 
 // Len implements heap.Interface, as do the methods below.
--- a/emulator/run.go
+++ b/emulator/run.go
@@ -13,12 +13,13 @@
 )
 
 const (
-	// reportInterval is the shortest time between two reports of an entry, fullReportInterval between
-	// two full ones. The limit on the bytes of reports permits about this with a dozen peers.
+	// reportInterval is the minimum time between two reports of an entry, and fullReportInterval
+	// between two full ones. In the product, a limit on the bytes of reports has about this effect
+	// with a dozen peers.
 	reportInterval     = 80 * clock.Millis(1)
 	fullReportInterval = 500 * clock.Millis(1)
-	// confidenceOffset is how far the mean confidence of a good answer is above 50 and that of a poor
-	// one below, in points; confidenceNoise is the standard deviation.
+	// confidenceOffset is how far the mean confidence in good answers is above 50, and that in
+	// poor answers below 50, in points. confidenceNoise is the standard deviation of both.
 	confidenceOffset = 13.0
 	confidenceNoise  = 10.0
 )
@@ -26,24 +27,26 @@
 // Result counts the outcomes of the requests.
 type Result struct {
 	Requests int
-	// InTime counts requests whose first byte met its latency target, Late those where it came later.
+	// InTime counts requests whose first byte met its latency target, and Late those whose first
+	// byte came later.
 	InTime int
 	Late   int
 	// Refused counts requests for which no endpoint was found.
 	Refused int
 	// Poor counts answers to requests that were too hard for the model that answered.
 	Poor int
-	// Escalated counts requests that were sent to the largest model as well.
+	// Escalated counts requests that were also sent to the largest model.
 	Escalated int
-	// InZone counts prompts sent to an endpoint in the zone of their entry, Sent all prompts.
+	// InZone counts prompts sent to an endpoint in the zone of their entry; Sent counts all
+	// prompts.
 	InZone int
 	Sent   int
-	// PrefillTokens is the number of prefilled tokens, RepeatedTokens the part in shared blocks that
-	// some endpoint had prefilled before.
+	// PrefillTokens is the number of prefilled tokens. RepeatedTokens is how many of them were in
+	// shared blocks that some endpoint had prefilled before.
 	PrefillTokens  int
 	RepeatedTokens int
-	// OverRate counts the requests that exceeded the advertised rate limit of an endpoint by more than
-	// the tolerance.
+	// OverRate counts the requests by which an endpoint received more than its advertised rate
+	// limit allows, including the tolerance.
 	OverRate int
 }
 
@@ -74,7 +77,7 @@
 	// reportedAt is the time of the last report to peers, fullReportAt that of the last full one.
 	reportedAt   clock.Millis
 	fullReportAt clock.Millis
-	// urgent is true while there is an urgent report that reportInterval still delays.
+	// urgent is true while an urgent report is delayed because reportInterval has not passed.
 	urgent bool
 }
 
@@ -116,11 +119,12 @@
 	return sim
 }
 
-// localFraction is the fraction of an endpoint's capacity that the entries of its zone share. The entries
-// of other zones share the rest.
+// localFraction is the fraction of an endpoint's capacity that is divided among the entries of its
+// zone. The rest is divided among the entries of other zones.
 const localFraction = 0.5
 
-// sharesOf returns the shares of the entry with an index in a zone, by the zone of endpoints.
+// sharesOf returns an entry's shares of the endpoints' capacity, by the zone of the endpoints.
+// index is the entry's number in its zone, from 0.
 func sharesOf(s Site, zone, index int) map[string]placement.Share {
 	shares := make(map[string]placement.Share)
 	for z := range s.Zones {
@@ -140,8 +144,8 @@
 	return shares
 }
 
-// exchangeReports lets entries report to their peers in the zone: as soon as reportInterval permits if
-// there is an urgent report, else a full report every fullReportInterval.
+// exchangeReports sends the reports that are due from each entry to the others in its zone. An
+// urgent report is due after reportInterval, a full report after fullReportInterval.
 func (sim *simulation) exchangeReports(now clock.Millis) {
 	for _, e := range sim.entries {
 		select {
@@ -188,7 +192,7 @@
 	entry  *entry
 	blocks []placement.Block
 	hard   bool
-	// model is the index of the current model.
+	// model is the index, in Site.Models, of the model that is to answer.
 	model     int
 	startedAt clock.Millis
 }
@@ -266,7 +270,7 @@
 	})
 }
 
-// countTokens counts the tokens of a prefill.
+// countTokens adds a prefill to the counts of prefilled and repeated tokens.
 func (sim *simulation) countTokens(m Model, shared placement.Block, uncached int) {
 	sim.result.PrefillTokens += uncached
 	key := m.Name + "/" + shared.ID
@@ -276,7 +280,8 @@
 	sim.prefilled[key] = true
 }
 
-// escalates decides whether the smallest model's answer is dropped in favour of the largest one's.
+// escalates decides whether the smallest model's answer is dropped and the request sent to the
+// largest model.
 func (sim *simulation) escalates(r *request, now clock.Millis) bool {
 	last := len(sim.site.Models) - 1
 	if r.model == last {
--- a/emulator/site.go
+++ b/emulator/site.go
@@ -1,13 +1,14 @@
-// Package emulator simulates a site in virtual time: callers, entries that decide with the product's own
-// packages, and endpoints that prefill and answer prompts. A simulation of a load described by an operator
-// or a test is deterministic for a seed, so that a change of a decision can be evaluated without a site.
+// Package emulator simulates a site in virtual time: callers, entries that make decisions with the
+// product's own packages, and endpoints that prefill and answer prompts. The load is described by
+// an operator or a test. A simulation is deterministic for a seed, so that the effect of changed
+// decisions can be evaluated without a site.
 //
-// The model covers these effects: an endpoint prefills prompts one after another, in a time that depends
-// on the model and the length; it caches shared blocks in a limited memory and streams answers in a limited
-// number of slots; entries report their work to each other within their zone only; the smallest model's
-// confidence in its answer is a noisy measure of how good the answer is; endpoints may advertise a rate
-// limit. It does not cover how concurrent streams slow each other, pre-emption, cold starts, faults,
-// upgrades and the store.
+// The model covers these effects: an endpoint prefills prompts one after another, in a time that
+// depends on the model and the length; it caches shared blocks in a limited memory and streams
+// answers in a limited number of slots; entries report their work to each other within their zone
+// only; the smallest model's confidence in its answer is a noisy measure of the answer's quality;
+// endpoints may advertise a rate limit. The model does not cover how concurrent streams slow each
+// other down, pre-emption, cold starts, faults, upgrades and the store.
 package emulator
 
 import (
@@ -18,17 +19,17 @@
 // Errors is the namespace of this package's errors.
 var Errors = errorx.NewNamespace("emulator")
 
-// ErrSite marks a site or load with invalid values.
+// ErrSite is returned for a site or load with an invalid value.
 var ErrSite = Errors.NewType("site")
 
 // Site describes the zones, entries and endpoints of a site.
 type Site struct {
 	Zones int `toml:"zones"`
-	// Entries and Endpoints are their numbers per zone.
+	// Entries and Endpoints are the numbers of entries and endpoints in each zone.
 	Entries   int `toml:"entries"`
 	Endpoints int `toml:"endpoints"`
-	// Slots is the number of answers that an endpoint streams at once, CacheTokens the size of its
-	// prefix cache in tokens.
+	// Slots is the number of answers that an endpoint can stream at once, CacheTokens the capacity
+	// of its prefix cache in tokens.
 	Slots       int `toml:"slots"`
 	CacheTokens int `toml:"memory"`
 	// Models is ordered by size, the smallest first.
@@ -38,8 +39,9 @@
 // Model is a model. Every endpoint serves all models.
 type Model struct {
 	Name string `toml:"name"`
-	// TokenMillis is the prefill time of one token, OverheadMillis the time to the first byte besides
-	// the prefill, EventMillis the time between two events of an answer; all in milliseconds.
+	// TokenMillis is the prefill time of one token, OverheadMillis the time to the first byte in
+	// addition to the prefill, and EventMillis the time between two events of an answer; all in
+	// milliseconds.
 	TokenMillis    float64 `toml:"token"`
 	OverheadMillis float64 `toml:"foot"`
 	EventMillis    float64 `toml:"event"`
@@ -48,7 +50,8 @@
 // Load describes the requests of callers.
 type Load struct {
 	Seed uint64 `toml:"seed"`
-	// Seconds is the duration of the load, PerSecond the request rate of all callers together.
+	// Seconds is the duration of the load. PerSecond is the rate of requests of all callers
+	// together.
 	Seconds   float64 `toml:"seconds"`
 	PerSecond float64 `toml:"per-second"`
 	Bursts    []Burst `toml:"bursts"`
@@ -56,34 +59,35 @@
 	Kinds     []Kind  `toml:"kinds"`
 }
 
-// Burst multiplies the request rate by Factor for a time. From and Until are in seconds from the start.
+// Burst multiplies the request rate by Factor between From and Until, in seconds from the start.
 type Burst struct {
 	From   float64 `toml:"from"`
 	Until  float64 `toml:"until"`
 	Factor float64 `toml:"factor"`
 }
 
-// Limit is a time in which the first endpoints of each zone advertise a rate limit in their answers. From
-// and Until are in seconds from the start.
+// Limit is a period in which the first endpoints of each zone advertise a rate limit in their
+// answers. It lasts from From until Until, in seconds from the start.
 type Limit struct {
 	From      float64 `toml:"from"`
 	Until     float64 `toml:"until"`
 	Endpoints int     `toml:"endpoints"`
-	// Rate is the number of requests per second that each of them accepts from all entries together.
+	// Rate is the number of requests per second that each of these endpoints accepts from all
+	// entries together.
 	Rate float64 `toml:"rate"`
 }
 
 // Kind is a kind of request.
 type Kind struct {
 	Name string `toml:"name"`
-	// Share is the weight of the kind among all requests.
+	// Share is the weight of this kind among the requests of all kinds.
 	Share float64 `toml:"share"`
 	// TargetMillis is the latency target of the first byte, in milliseconds.
 	TargetMillis int64 `toml:"aim-ms"`
-	// Subjects is the number of different shared blocks, of SharedTokens each. OwnTokens is the mean
-	// number of tokens of a prompt besides its shared block.
+	// Subjects is the number of different shared blocks, each of SharedTokens tokens. OwnTokens is
+	// the mean number of the other tokens of a prompt.
 	Subjects int `toml:"subjects"`
-	// HotFraction is the fraction of the requests that have the same subject.
+	// HotFraction is the fraction of requests that all have the same shared block.
 	HotFraction  float64 `toml:"hot"`
 	SharedTokens int     `toml:"shared"`
 	OwnTokens    int     `toml:"own"`
@@ -94,7 +98,7 @@
 
 func (k Kind) target() clock.Millis { return clock.Millis(k.TargetMillis) }
 
-// Check returns ErrSite if a site or load has invalid values.
+// Check returns an ErrSite if a value of the site or load is invalid.
 func Check(s Site, l Load) (err error) {
 	switch {
 	case s.Zones < 1, s.Entries < 1, s.Endpoints < 1:
