--- a/meter/meter.go
+++ b/meter/meter.go
@@ -10,15 +10,15 @@
 	"github.com/parsleydeal/parsleydeal/refusal"
 )
 
-// maxSeries bounds the time series per metric; requests beyond it are counted
-// under the route "other". Routes come from the tables only, never from what
-// callers send.
+// maxSeries bounds the time series of each metric. Requests beyond it are counted under the route
+// "other". Route names are taken only from the tables, never from what callers send.
 const maxSeries = 2048
 
 // codeWhole is the code of a request whose answer was sent in full.
 const codeWhole = "whole"
 
-// Meter counts requests by route and code.
+// Meter counts requests by route and outcome code, and records the durations of successful
+// requests by route. It is safe for concurrent use.
 type Meter struct {
 	set *metrics.Set
 	mu  sync.Mutex
@@ -41,10 +41,10 @@
 	}
 }
 
-// Begin counts a request as active until the returned function end is called with
-// its outcome: the route, which is empty if the request was not admitted, the
-// number of attempts, and nil or the error that the caller got. End must be called
-// exactly once. The duration of failed requests is not recorded.
+// Begin counts a request as active until the caller calls the returned function end. The arguments
+// of end are the request's route (empty if it was not admitted), the number of its attempts, and
+// the error that its caller got, or nil. end must be called exactly once. The duration of failed
+// requests is not recorded.
 func (m *Meter) Begin() (end func(route string, attempts uint32, err error)) {
 	start := time.Now()
 	m.active.Inc()
