--- a/choice/affinity.go
+++ b/choice/affinity.go
@@ -19,7 +19,7 @@
 type Affinity struct {
 	mu    sync.Mutex
 	order *list.List
-	// entries holds at most maxPrefixes elements of order.
+	// entries holds the elements of order by prefix hash, at most maxPrefixes.
 	entries map[uint64]*list.Element
 }
 
--- a/choice/inflight.go
+++ b/choice/inflight.go
@@ -113,7 +113,8 @@
 	s.reportedAt = now
 }
 
-// applyControlLoad applies a load report received by control if answers have brought none recently.
+// applyControlLoad applies a load report that control received, unless an answer has brought one
+// within answerLoadMaxAge.
 func (s *endpointState) applyControlLoad(l *wire.Load, now clock.Millis) {
 	if l == nil || s.generation == l.GetGeneration() && s.sequence == l.GetSequence() {
 		return
--- a/choice/version.go
+++ b/choice/version.go
@@ -32,8 +32,9 @@
 	return xxhash.Sum64(b[:])
 }
 
-// versionAtHash returns the version, among those that the filter accepts, whose share contains the
-// hash, or "" if there is none.
+// versionAtHash selects one of the versions that the filter accepts. Their shares divide the range
+// of hashes among them, and the version in whose part the hash lies is selected; "" if the filter
+// accepts none.
 func versionAtHash(m table.RouteModel, hash uint64, accept func(version string) bool) (version string) {
 	numbers := make([]string, 0, len(m.Shares))
 	sum := 0.0
--- a/choice/version_test.go
+++ b/choice/version_test.go
@@ -25,7 +25,7 @@
 		before := SelectVersion(tables, nil, m, "o", hash)
 		after := SelectVersion(tables, holds, m, "o", hash)
 		is.Equal(SelectVersion(tables, holds, m, "other", hash), before)
-		is.True(before == "m@3" || after == before) // sessions on other versions stay
+		is.True(before == "m@3" || after == before) // requests of versions that are not held keep their version
 		unheld[before]++
 		held[after]++
 	}
--- a/decision/decision.go
+++ b/decision/decision.go
@@ -60,7 +60,7 @@
 	// UrgentReports reports a long prompt to other entries at once instead of with the next
 	// periodic report.
 	UrgentReports Name = "urgent-reports"
-	// StayIfBusy abandons a slow endpoint only if another one has capacity.
+	// StayIfBusy keeps waiting for a slow endpoint unless another one has capacity.
 	StayIfBusy Name = "stay-if-busy"
 )
 
@@ -78,7 +78,7 @@
 	// EarlyRequests decides what happens to requests that arrive at an entry before it has loaded
 	// the state of its site.
 	EarlyRequests Name = "early-requests"
-	// Connection decides how a request that may run only once gets its connection.
+	// Connection decides how to send a request that may run only once on a new connection.
 	Connection Name = "connection"
 )
 
@@ -201,7 +201,7 @@
 	return s, nil
 }
 
-// For returns the strategy of a decision, which must be in All.
+// For returns the chosen strategy of a decision, or its default. The decision must be in All.
 func (s Strategies) For(n Name) Strategy {
 	if strategy, ok := s.chosen[n]; ok {
 		return strategy
--- a/emulator/queue.go
+++ b/emulator/queue.go
@@ -16,7 +16,7 @@
 // Len implements heap.Interface, as do the methods below.
 func (q queue) Len() int { return len(q) }
 
-// Less orders events by time, then by sequence.
+// Less orders events by time, and those of the same time by sequence number.
 func (q queue) Less(i, j int) bool {
 	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].sequence < q[j].sequence
 }
--- a/emulator/run.go
+++ b/emulator/run.go
@@ -72,7 +72,7 @@
 	zone      string
 	selector  *placement.Selector
 	escalator *cascade.Escalator
-	// shares holds the entry's share of the capacity of endpoints, by their zone.
+	// shares holds the entry's share of the capacity of endpoints, by the zone of the endpoints.
 	shares map[string]placement.Share
 	// reportedAt is the time of the last report to peers, fullReportAt that of the last full one.
 	reportedAt   clock.Millis
@@ -170,7 +170,7 @@
 	}
 }
 
-// generateRequests generates the requests of one millisecond.
+// generateRequests starts the requests that callers send in the millisecond now.
 func (sim *simulation) generateRequests(now clock.Millis) {
 	rate := sim.load.PerSecond / float64(clock.Second)
 	seconds := float64(now) / float64(clock.Second)
--- a/evidence/state_test.go
+++ b/evidence/state_test.go
@@ -47,10 +47,10 @@
 		{Vm: "a", Epoch: 1, Errors: 5},
 	} {
 		_, ok := s.Merge(c)
-		is.True(!ok) // adds nothing
+		is.True(!ok) // the count adds nothing
 	}
 	_, ok := s.Merge(&wire.Count{Vm: "judge", Epoch: 6, Version: "m@1", Errors: 5})
-	is.True(ok) // an earlier incarnation of this process counts
+	is.True(ok) // counts of an earlier incarnation of this process are added
 }
 
 // One report is lost. Later ones must repeat its counts: otherwise the judge, the process that
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -33,7 +33,7 @@
 	// vms holds at most maxVMs VMs. A VM is removed once it has been missing from the list for
 	// absentRetention without any message.
 	vms map[string]*member
-	// order holds the IDs of vms, sorted.
+	// order holds the keys of vms, sorted.
 	order []string
 	// leavingChanges counts the leaving changes: a process started to leave, or a new one took its
 	// place.
@@ -43,9 +43,9 @@
 	flagged map[string]*member
 	// vmsChanged is true if vms has changes that are not in the snapshot yet.
 	vmsChanged bool
-	// snapshot is replaced when it changes.
+	// snapshot is the current snapshot. It is immutable and is replaced for each change.
 	snapshot *Members
-	// listedAt is when the last list that was not empty arrived.
+	// listedAt is when the last non-empty list arrived.
 	listedAt clock.Millis
 	// shrunkAt is when more than half of the VMs were first missing from the list; 0 if at most
 	// half of them are missing.
@@ -147,7 +147,7 @@
 	return true
 }
 
-// removeAbsent removes the VMs that have been missing from the list for long enough.
+// removeAbsent removes the VMs that have been missing from the list for their retention time.
 func (s *State) removeAbsent(now clock.Millis) (changed bool) {
 	if s.shrunkAt != 0 && now-s.shrunkAt < outageRetention {
 		return false
@@ -280,5 +280,5 @@
 // Members returns the current snapshot. Later events do not change it, except for its loads.
 func (s *State) Members() *Members { return s.snapshot }
 
-// ListedAt returns when the last list that was not empty arrived, 0 before the first.
+// ListedAt returns when the last non-empty list arrived; 0 before the first one.
 func (s *State) ListedAt() clock.Millis { return s.listedAt }
--- a/membership/poll.go
+++ b/membership/poll.go
@@ -14,15 +14,16 @@
 	useDuration = 5 * clock.Minute
 	// maxPollsPerTick bounds the polls sent in one tick and thereby their network traffic.
 	maxPollsPerTick = 1
-	// maxChecksPerTick bounds the VMs checked in one tick.
+	// maxChecksPerTick bounds the VMs that are checked for a due poll in one tick.
 	maxChecksPerTick = 32
 )
 
 // polls plans the polls of endpoints that have sent no message for a while.
 type polls struct {
-	// used holds the members that answered this process within useDuration.
+	// used holds the members that answered requests of this process. Those that did so more than
+	// useDuration ago are removed when they are checked.
 	used []*member
-	// next is the index in used of the member checked last.
+	// next is the index in used of the member checked last; the next tick continues after it.
 	next int
 }
 
--- a/placement/advertisement_test.go
+++ b/placement/advertisement_test.go
@@ -86,7 +86,7 @@
 	other := NewSelector()
 	other.RecordAdvertisement(s.endpoint, Advertisement{Rate: 1, HasRate: true}, 0, 1)
 	other.Receive("first", first.Report(600, true), true, 610)
-	is.True(!other.Advertised(s.endpoint).HasRate) // repeated in full reports
+	is.True(!other.Advertised(s.endpoint).HasRate) // full reports repeat that the limit has ended
 }
 
 // If no report arrives that a rate limit has ended, an entry without a quota must find out by
@@ -188,7 +188,7 @@
 	sel.RecordAdvertisement(s.Find("e0"), Advertisement{PauseFor: 470}, 20, 30)
 	for now, want := range map[clock.Millis]Reason{1000: Full, 2000: Full, 2001: Selected} {
 		_, reason := sel.Select(s, Query{Service: "s", Version: "v1", Zone: "a", Now: now})
-		is.Equal(reason, want) // at each time
+		is.Equal(reason, want)
 	}
 }
 
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -186,7 +186,7 @@
 	return e, reason
 }
 
-// HasCapacity reports whether Select would find an endpoint that was not recently unreachable.
+// HasCapacity reports whether Select would find an endpoint that was reachable recently.
 func (sel *Selector) HasCapacity(s *fleet.Snapshot, q Query) bool {
 	sel.mu.Lock()
 	defer sel.mu.Unlock()
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -58,7 +58,8 @@
 	})
 }
 
-// coldFleet returns a fleet of one endpoint that is or may be cold for the next two seconds.
+// coldFleet returns a fleet of one endpoint that is or may be cold for the next two seconds. cause
+// is the reason: registered, returned (its zone came back into service) or unreachable.
 func coldFleet(cause string) (s *fleet.Snapshot, wasUnreachable bool) {
 	f := fleet.New()
 	e := &fleet.Endpoint{ID: "e0", Service: "s", Address: "10.0.0.1:1", Zone: "a", Version: "v1", Slots: 64}
@@ -179,7 +180,7 @@
 			requests++
 		}
 	}
-	is.True(requests < 60) // an equal share is 100
+	is.True(requests < 60) // an even share would be 100
 	is.True(requests > 0)
 }
 
@@ -343,7 +344,7 @@
 	is.True(!sel.HasCapacity(s, q))
 	_, ok := sel.Expect(s, q)
 	is.True(!ok)
-	e, reason := sel.Select(s, q) // without any answer, an unreachable endpoint is better than none
+	e, reason := sel.Select(s, q) // with no answer at hand, an unreachable endpoint is better than none
 	is.Equal(reason, Selected)
 	is.Equal(e.ID, "e2")
 }
--- a/placement/prefix_cache_test.go
+++ b/placement/prefix_cache_test.go
@@ -21,7 +21,7 @@
 	sel.Begin(s.Find("e1"), Query{Model: "m", Blocks: []Block{{"long", 30000}}}) // 150 ms of prefill
 	e, _ := sel.Select(s, q)
 	is.Equal(e.ID, "e1")
-	sel.Begin(s.Find("e1"), Query{Model: "m", Blocks: []Block{{"longer", 300000}}}) // 1.5 s more
+	sel.Begin(s.Find("e1"), Query{Model: "m", Blocks: []Block{{"longer", 300000}}}) // 1.5 s more of prefill
 	e, _ = sel.Select(s, q)
 	is.True(e.ID != "e1")
 }
@@ -85,7 +85,7 @@
 	old.Begin(e, q).FirstByte(60)
 	old.Begin(s.Find("e3"), Query{Model: "m", Blocks: []Block{{"stale", 1900}, {"own", 9}}, Now: -prefixTTL}).End()
 	reports, speeds := old.Snapshot(100)
-	is.Equal(len(reports), 1) // stale blocks are left out
+	is.Equal(len(reports), 1) // stale blocks are omitted
 	for id := range s.All() {
 		started.stateOf(id)
 	}
--- a/placement/selector.go
+++ b/placement/selector.go
@@ -39,7 +39,8 @@
 	// affinityStrategy caches the strategy of decision.Affinity, which is looked up for each
 	// candidate endpoint.
 	affinityStrategy decision.Strategy
-	// urgent holds a value when a long prompt must be reported to other entries at once.
+	// urgent holds a value while something must be reported to other entries at once: a long
+	// prompt or a changed advertisement.
 	urgent chan struct{}
 	// meanOtherWaiting is the smoothed mean of otherWaiting over all endpoints.
 	meanOtherWaiting float64
@@ -214,7 +215,7 @@
 	sel.meanOtherWaiting += otherWaitingWeight * (st.otherWaiting - sel.meanOtherWaiting)
 }
 
-// otherWaitingWeight is the weight of one queue length in meanOtherWaiting.
+// otherWaitingWeight is the weight of one reported queue length in meanOtherWaiting.
 const otherWaitingWeight = 0.05
 
 // queueLengthHalfLife is the half-life of the weight of a reported queue length. It is short
@@ -267,7 +268,7 @@
 // most one heartbeat (1.2 s) and one interval between reads of the store (0.8 s).
 const assumedColdDuration = 2 * clock.Second
 
-// ActiveSince reports whether an endpoint sent something after a time.
+// ActiveSince reports whether an endpoint sent something after the time at.
 func (sel *Selector) ActiveSince(id string, at clock.Millis) bool {
 	sel.mu.Lock()
 	defer sel.mu.Unlock()
--- a/placement/speed.go
+++ b/placement/speed.go
@@ -46,7 +46,8 @@
 	// number of prompts that this time is based on.
 	millisPerToken map[string]float64
 	samples        map[string]int
-	// meanMillis is the mean prefill time of a prompt, in milliseconds.
+	// meanMillis is the smoothed mean of the estimated prefill times of the sampled prompts, in
+	// milliseconds.
 	meanMillis float64
 	// excessMillis holds by model the mean difference, in milliseconds, between the actual time to
 	// the first byte and the time that the known work before it takes. It consists of network
--- a/quality/estimate.go
+++ b/quality/estimate.go
@@ -152,7 +152,7 @@
 	return out
 }
 
-// Estimate is a quality with its lower and upper bound, all between 0 and 1.
+// Estimate is an estimated quality with its lower and upper bound, all between 0 and 1.
 type Estimate struct {
 	Low  float64
 	Mean float64
--- a/quality/plan.go
+++ b/quality/plan.go
@@ -15,7 +15,7 @@
 	trialRatio = 0.25
 )
 
-// Option is a version that a request may run on.
+// Option is a version that may answer a request.
 type Option struct {
 	Version string
 	// Cost is the expected cost of one answer, in micro-units of currency.
--- a/quality/plan_test.go
+++ b/quality/plan_test.go
@@ -79,7 +79,7 @@
 	receive(100, 80)
 	receive(40, 10)
 	receive(100, 80)
-	receive(200, 900) // exceeds the number of ratings
+	receive(200, 900) // invalid: the sum of the scores exceeds the number of ratings
 	s.Reduce(event.Rated{}, []evidence.Delta{{Key: evidence.Key{Route: "r", Version: "m@1"}, Stats: evidence.Stats{Ratings: 1, RatingSum: 1}}})
 	is.Equal(s.Snapshot().Sum(Key{"r", "m@1"}).RatingSum, 80.0)
 }
--- a/quality/sampler.go
+++ b/quality/sampler.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	// samplesPerSecond bounds the answers that one entry sends to the rater.
+	// samplesPerSecond bounds how many answers per second one entry sends to the rater.
 	samplesPerSecond = 4.0
 	// sampleBurst is the capacity of the token bucket: how many answers may be sent to the rater
 	// at once.
--- a/rollout/state.go
+++ b/rollout/state.go
@@ -83,7 +83,7 @@
 	// version could not be held. It is cleared when it reaches maxHolds, after which alerts may
 	// repeat.
 	alerted map[Scope]int64
-	// cached is the set in force under cachedFor; nil when it must be recomputed.
+	// cached is the result of Holds for the tables cachedFor; nil if it must be computed again.
 	cached    *Holds
 	cachedFor *table.Tables
 }
--- a/rollout/state_test.go
+++ b/rollout/state_test.go
@@ -129,8 +129,8 @@
 	is.True(!s.Holds(tables(0)).Held("m@2", "good"))
 }
 
-// Engines of both versions fail together, for example because a network switch failed. Holding
-// whichever version happens to be new would stop a good roll-out.
+// Engines of both versions fail together, for example because a network switch failed. No version
+// must be held: it would be whichever happens to be new, and a good roll-out would stop.
 func TestCommonCauseHoldsNothing(t *testing.T) {
 	is := is.New(t)
 	s := NewState()
@@ -153,7 +153,7 @@
 	effects, _ := s.Reduce(event.AttemptEnded{}, deltasOf("m@2", "o", bad), envOf("a", 0, last))
 	is.Equal(len(s.Holds(last).List()), 0)
 	is.Equal(len(appends(effects)), 0)
-	is.Equal(len(effects), 1) // the report
+	is.Equal(len(effects), 1) // the alert to operators
 }
 
 // The expensive model fails on a route whose quality target the cheap model does not meet. It must
--- a/spread/spread.go
+++ b/spread/spread.go
@@ -21,7 +21,7 @@
 	exchangeInterval = clock.Second
 	// startingExchangeInterval is the time between two exchanges while the process is starting.
 	startingExchangeInterval = 300 * clock.Millis(1)
-	// fetchTimeout is the timeout of a fetch of records from a peer.
+	// fetchTimeout is the timeout of a request for records from a peer.
 	fetchTimeout = 3 * clock.Second
 	// fanOut is how many peers are notified of an update at once.
 	fanOut = 4
@@ -53,8 +53,8 @@
 	now  clock.Millis
 	// offset is Local.Offset as of the last event; it never decreases.
 	offset int64
-	// confirmedAt is the latest time, on this process's clock, at which the log's head was known
-	// to be no further than offset.
+	// confirmedAt is the latest time, on this process's clock, at which it was known that the log
+	// had no records from offset on.
 	confirmedAt clock.Millis
 	// started is true once the process has the tables in force; it is never reset.
 	started bool
@@ -325,7 +325,7 @@
 	return effects
 }
 
-// Snapshot is an immutable part of State, for request handling and for messages to peers.
+// Snapshot is the immutable state by which requests are handled and digests to peers are made.
 type Snapshot struct {
 	VM    string
 	Zone  string
--- a/spread/tail.go
+++ b/spread/tail.go
@@ -42,7 +42,8 @@
 // End returns the offset after the last record.
 func (t Tail) End() int64 { return t.end }
 
-// Add returns the tail with one more record.
+// Add returns the tail with one more record. The oldest records are dropped if it exceeds its
+// bounds.
 func (t Tail) Add(r *wire.Record) Tail {
 	t.records = append(t.records[:len(t.records):len(t.records)], r)
 	t.bytes += len(r.GetData())
@@ -55,9 +56,9 @@
 	return t
 }
 
-// Reply returns the records from an offset on, as many as fit into one reply. If the tail no
-// longer has the record at that offset, the reply has no records, and its From is the first offset
-// available.
+// Reply returns the records from the offset from on, as many as fit into one reply. If the tail no
+// longer has the record at that offset, the reply contains no records, and its From is the first
+// available offset.
 func (t Tail) Reply(from int64) *wire.RecordsReply {
 	out := &wire.RecordsReply{Head: t.end, From: max(from, t.from)}
 	if from < t.from {
--- a/upgrade/evidence.go
+++ b/upgrade/evidence.go
@@ -6,9 +6,10 @@
 	"github.com/parsleydeal/parsleydeal/rollout"
 )
 
-// Key groups outcomes by route and version. Target is true for the new version. If Delay is true,
-// the count covers not answers but the delays of the first byte of answers that were dropped
-// before their latency could be measured.
+// Key groups outcomes by route and version. Target is true for the new version. Delay is true for
+// counts of first-byte delays: how much later than forecast the first byte came of answers that
+// were dropped in favour of a larger model's, before the time between their events could be
+// measured.
 type Key struct {
 	Route  string
 	Target bool
@@ -106,7 +107,7 @@
 	old [len(measures)]rollout.Sample
 }
 
-// add records new outcomes of one version.
+// add records new outcomes of one version; target is true for the new version.
 func (r *routeTests) add(c Count, target bool) {
 	for i, m := range measures {
 		sample := m.sample(c)
--- a/upgrade/upgrade.go
+++ b/upgrade/upgrade.go
@@ -137,9 +137,9 @@
 	return false
 }
 
-// minTimed is the number of timed answers of the new version below which the delays of dropped
-// answers are considered too. Delays are weaker evidence: a delay is measured against a forecast
-// of the prompt's wait, which is rough.
+// minTimed is the number of timed answers of the new version below which the first-byte delays of
+// dropped answers (Key.Delay) are considered too. Delays are weaker evidence: they are measured
+// against a forecast of the prompt's wait, which is rough.
 const minTimed = 100
 
 // suspicion returns the name of the measure by which the new version seems to be bad over all
--- a/upgrade/upgrade_test.go
+++ b/upgrade/upgrade_test.go
@@ -233,9 +233,9 @@
 	return u
 }
 
-// A slow version gets few requests, and most of its answers are dropped before their events can be
-// timed. The delays of dropped answers must count as well: otherwise the upgrade completes on a
-// handful of timed answers.
+// A slow version gets few requests, and most of its answers are dropped in favour of a larger
+// model's before their events can be timed. The first-byte delays of dropped answers must count as
+// well: otherwise the upgrade completes on a handful of timed answers.
 func TestDelaysDecideWhenFewAnswersAreTimed(t *testing.T) {
 	is := is.New(t)
 	all := func(n int64) [len(SlowThresholds)]int64 { return [len(SlowThresholds)]int64{n, n, 0} }
--- a/view/view.go
+++ b/view/view.go
@@ -35,11 +35,11 @@
 	// zones may be nil in tests.
 	zones  *zone.Ramps
 	spread spread.Snapshot
-	// checkpoint has the same log offset as the tables.
+	// checkpoint is a checkpoint of the tables, at the same log offset.
 	checkpoint *table.Checkpoint
 }
 
-// New returns a view without holds, ratings, subsets, zones, peer state and checkpoint.
+// New returns a view with the given parts. The With methods add the others.
 func New(tables *table.Tables, revision int64, confirmedAt clock.Millis, members *membership.Members, draining bool) *View {
 	return &View{tables: tables, revision: revision, confirmedAt: confirmedAt, members: members, draining: draining}
 }
@@ -105,10 +105,11 @@
 // Members returns the VMs and which of them are leaving or suspected.
 func (v *View) Members() *membership.Members { return v.members }
 
-// Draining reports whether this process accepts no new work.
+// Draining reports whether this process is stopping and accepts no new work.
 func (v *View) Draining() bool { return v.draining }
 
-// WithSpread returns a copy of the view with the state that peers receive.
+// WithSpread returns a copy of the view with how far this process has read the log, which its
+// digests report to peers.
 func (v *View) WithSpread(p spread.Snapshot) *View {
 	next := *v
 	next.spread = p
--- a/zone/zone.go
+++ b/zone/zone.go
@@ -1,4 +1,5 @@
-// Package zone ramps up the share of work of availability zones that return to service.
+// Package zone computes which fraction of its share of work an availability zone gets. It is low
+// when a zone returns to service and ramps up from there.
 package zone
 
 import (
@@ -86,8 +87,8 @@
 	})
 }
 
-// update records whether the zone is down and starts a ramp if it has returned. It reports whether
-// the ramp changed.
+// update records whether the zone is down, and starts a ramp if it has just returned to service.
+// It reports whether it started one.
 func (z *zoneState) update(now clock.Millis, isDown bool) (changed bool) {
 	if z.down == isDown {
 		return false
@@ -129,8 +130,8 @@
 	ramps map[string]ramp
 }
 
-// Fraction returns the fraction of its share that a zone gets at a time, between 0 and 1. It is 1
-// for a zone without a ramp.
+// Fraction returns the fraction of its share of work that a zone gets at the time now, between 0
+// and 1. It is 1 for a zone without a ramp.
 func (r *Ramps) Fraction(name string, now clock.Millis) float64 {
 	if r == nil {
 		return 1
