--- a/choice/subset.go
+++ b/choice/subset.go
@@ -46,10 +46,10 @@
 	return order
 }
 
-// maxShortfall returns how many entries an endpoint may have less than maxAssigned. With a lower
-// value, more endpoints are assigned against the order of hashes: with 1 for all pools and 30
-// entries, the p99 time to first token rises from 721 to 820 ms. In a small pool it must be 1,
-// since the entries' choices overlap most there.
+// maxShortfall returns by how many entries the number assigned to an endpoint may fall short of
+// maxAssigned. With a lower value, more endpoints are assigned against the order of hashes: with 1
+// for all pools and 30 entries, the p99 time to first token rises from 721 to 820 ms. In a small
+// pool it must be 1, since the entries' choices overlap most there.
 func maxShortfall(pool int) int {
 	if pool < 2*subsetSize {
 		return 1
--- a/placement/load_test.go
+++ b/placement/load_test.go
@@ -38,9 +38,9 @@
 	entries []*Selector
 	weights []int
 	bounds  float64
-	// freeAt holds, by endpoint, when all its prompts will have been prefilled, outstanding the
-	// number of its requests, waiting the number of those not prefilled, and arrivals the times at
-	// which requests arrived.
+	// Each map is keyed by endpoint: freeAt holds the time at which all its prompts will have been
+	// prefilled, outstanding the number of its requests, waiting the number of those not prefilled
+	// yet, and arrivals the times at which requests arrived.
 	freeAt      map[string]clock.Millis
 	outstanding map[string]int
 	waiting     map[string]int
--- a/placement/obstacle.go
+++ b/placement/obstacle.go
@@ -31,8 +31,8 @@
 // contain it to show which limit applied.
 type ObstacleCounts [obstacleKinds]int
 
-// CountObstacles counts the candidates that Select would consider by their obstacle. It counts
-// nothing against their limits.
+// CountObstacles counts, by obstacle, the candidates that Select would consider. Unlike Select, it
+// does not count the request against any limit.
 func (sel *Selector) CountObstacles(s *fleet.Snapshot, q Query) (c ObstacleCounts) {
 	sel.mu.Lock()
 	defer sel.mu.Unlock()
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -298,8 +298,8 @@
 	}
 }
 
-// Guards against an entry that has just started refusing a long prompt to a fast model at every
-// endpoint because it assumes the speed of a slow model.
+// An entry that was started a moment ago assumes the speed of a slow model. It must not for that
+// reason refuse a long prompt to a fast model at every endpoint.
 func TestUnmeasuredModelsRejectNothing(t *testing.T) {
 	is := is.New(t)
 	s := fleetOf(3, nil)
--- a/placement/selector.go
+++ b/placement/selector.go
@@ -222,8 +222,8 @@
 // because the prefill of a prompt takes only a few hundred milliseconds.
 const queueLengthHalfLife = 500 * clock.Millis(1)
 
-// RecordLoad records how many requests an endpoint has outstanding and how many slots it has, as
-// it reported itself.
+// RecordLoad records how many requests an endpoint has outstanding and how many slots it has,
+// according to its own report.
 func (sel *Selector) RecordLoad(id string, outstanding, slots int, now clock.Millis) {
 	sel.inflight.RecordLoad(&wire.Load{Vm: id, Held: int32(outstanding), Window: int32(slots)}, now)
 }
--- a/upgrade/upgrade_test.go
+++ b/upgrade/upgrade_test.go
@@ -25,7 +25,8 @@
 }
 
 // A version fails a third of its requests on one route, and hardly any other request fails. It
-// must be rolled back before fifty have failed, in whatever order outcomes arrive.
+// must be rolled back before fifty of its requests have failed, in whatever order the outcomes
+// arrive.
 func TestFailingVersionIsRolledBackWithinFiftyFailures(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		u := New(Order{Service: "s", Target: "v2", Duration: 20000}, 0)
