--- a/emulator/queue.go
+++ b/emulator/queue.go
@@ -2,21 +2,21 @@
 
 import "github.com/parsleydeal/parsleydeal/clock"
 
-// event is an action scheduled for a point of virtual time. Events of the same time run in the order in
-// which they were scheduled, so that a simulation is deterministic.
+// event is an action scheduled for a point in virtual time. Events at the same time run in the
+// order in which they were scheduled, so that a simulation is deterministic.
 type event struct {
 	at       clock.Millis
 	sequence int
 	do       func(now clock.Millis)
 }
 
-// queue is a heap of events with the next one first.
+// queue is a heap of events with the earliest one first.
 type queue []event
 
 // Len implements heap.Interface, as do the methods below.
 func (q queue) Len() int { return len(q) }
 
-// Less orders events by time, then by sequence.
+// Less orders events by time, and those of the same time by sequence number.
 func (q queue) Less(i, j int) bool {
 	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].sequence < q[j].sequence
 }
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -23,10 +23,10 @@
 	return f.Snapshot()
 }
 
-// Guards against entries that together crash an endpoint in cold start: it looks the least
-// loaded to all of them at once, and each must stay within its own share of the bound. This
-// holds if the endpoint registered the cold start, if its zone has just come back into service,
-// and if it was unreachable and answers again.
+// Guards against entries that together crash an endpoint in cold start: all of them see it as the
+// least loaded at once, so each must stay within its own share of the bound. The endpoint counts
+// as cold after it registered a cold start, after its zone came back into service, and after it
+// answers again having been unreachable.
 func TestEntriesTogetherRespectColdStartBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		entries := rapid.IntRange(1, 60).Draw(t, "entries")
@@ -58,7 +58,8 @@
 	})
 }
 
-// coldFleet returns a fleet of one endpoint that is or may be cold for the next two seconds.
+// coldFleet returns a fleet of one endpoint that is or may be cold for the next two seconds. cause
+// is the reason: registered, returned (its zone came back into service) or unreachable.
 func coldFleet(cause string) (s *fleet.Snapshot, wasUnreachable bool) {
 	f := fleet.New()
 	e := &fleet.Endpoint{ID: "e0", Service: "s", Address: "10.0.0.1:1", Zone: "a", Version: "v1", Slots: 64}
@@ -179,12 +180,13 @@
 			requests++
 		}
 	}
-	is.True(requests < 60) // an equal share is 100
+	is.True(requests < 60) // an even share would be 100
 	is.True(requests > 0)
 }
 
 // The endpoints of the current version are all at their bound while an unproven version has
-// capacity. It must not get the overflow: it would get the most requests under the highest load.
+// capacity. The unproven version must not take the overflow: it would get the most requests under
+// the highest load.
 func TestUnprovenVersionDoesNotTakeTheOverflow(t *testing.T) {
 	is := is.New(t)
 	s := fleetOf(2, func(i int, e *fleet.Endpoint) { e.Version = [...]string{"v1", "v2"}[i] })
@@ -199,9 +201,9 @@
 	is.Equal(counts, map[Reason]int{Selected: 5, Full: 15})
 }
 
-// An endpoint lost power and is still registered. After its backoff only one request may probe
-// it. The others would each wait for a connection that is never accepted, so they must go
-// elsewhere until the probe has ended.
+// An endpoint lost power and is still registered. After its backoff only one request may probe it.
+// The others must go elsewhere until the probe has ended, since each would wait for a connection
+// that is never accepted.
 func TestOneRequestProbesUnreachableEndpoint(t *testing.T) {
 	is := is.New(t)
 	s := fleetOf(2, nil)
@@ -296,8 +298,8 @@
 	}
 }
 
-// Guards against an entry that has just started and refuses a long prompt to a fast model at
-// every endpoint because it assumes the speed of a slow model.
+// An entry that was started a moment ago assumes the speed of a slow model. It must not for that
+// reason refuse a long prompt to a fast model at every endpoint.
 func TestUnmeasuredModelsRejectNothing(t *testing.T) {
 	is := is.New(t)
 	s := fleetOf(3, nil)
@@ -312,8 +314,9 @@
 	is.Equal(reason, Full)
 }
 
-// Guards against a panic while a prompt is refused for lack of capacity: its blocks were looked
-// up before they were hashed, and the caller's connection was closed without an answer.
+// Guards against a panic in CountObstacles when a prompt is refused for lack of capacity, which
+// closed the caller's connection without an answer. The blocks of the prompt must be hashed before
+// they are looked up.
 func TestCountObstaclesOfPromptWithoutCapacity(t *testing.T) {
 	is := is.New(t)
 	s := fleetOf(3, nil)
@@ -326,8 +329,9 @@
 	is.Equal(c[noObstacle], 1)
 }
 
-// A third of the endpoints are unreachable and the others full. An acceptable answer was dropped
-// in favour of a larger model's, whose request then found only unreachable endpoints.
+// A third of the endpoints are unreachable and the others are full. Unreachable endpoints must not
+// count as capacity: if they did, an acceptable answer would be dropped in favour of a larger
+// model's, whose request then finds only unreachable endpoints.
 func TestUnreachableEndpointIsNoCapacity(t *testing.T) {
 	is := is.New(t)
 	s := fleetOf(3, nil)
@@ -340,7 +344,7 @@
 	is.True(!sel.HasCapacity(s, q))
 	_, ok := sel.Expect(s, q)
 	is.True(!ok)
-	e, reason := sel.Select(s, q) // without any answer, an unreachable endpoint is better than none
+	e, reason := sel.Select(s, q) // with no answer at hand, an unreachable endpoint is better than none
 	is.Equal(reason, Selected)
 	is.Equal(e.ID, "e2")
 }
--- a/placement/prefix_cache_test.go
+++ b/placement/prefix_cache_test.go
@@ -21,7 +21,7 @@
 	sel.Begin(s.Find("e1"), Query{Model: "m", Blocks: []Block{{"long", 30000}}}) // 150 ms of prefill
 	e, _ := sel.Select(s, q)
 	is.Equal(e.ID, "e1")
-	sel.Begin(s.Find("e1"), Query{Model: "m", Blocks: []Block{{"longer", 300000}}}) // 1.5 s more
+	sel.Begin(s.Find("e1"), Query{Model: "m", Blocks: []Block{{"longer", 300000}}}) // 1.5 s more of prefill
 	e, _ = sel.Select(s, q)
 	is.True(e.ID != "e1")
 }
@@ -33,8 +33,9 @@
 
 func allZonesSelector() *Selector { return NewSelectorWith(strategiesOf("affinity", "everywhere")) }
 
-// Guards against repeated prefill of a long shared block on endpoint after endpoint by entries of
-// several zones that get no reports from each other.
+// Guards against repeated prefill of a long shared block on one endpoint after another: the
+// entries of several zones, which get no reports from each other, must all send its prompts to the
+// same endpoint.
 func TestAllZonesAgreeOnEndpointForSharedBlock(t *testing.T) {
 	is := is.New(t)
 	s := threeZones()
@@ -49,8 +50,9 @@
 	}
 }
 
-// A short shared block is not worth the transfer of the prompt to another zone. A hot shared block
-// must not bring an endpoint more requests than it could accept in an unadvertised cold start.
+// A short shared block is not worth the transfer of the prompt to another zone. An endpoint that
+// has a hot shared block cached must not get more requests for that reason than it could accept in
+// an unadvertised cold start.
 func TestAffinityIgnoresShortBlocksAndExceededShare(t *testing.T) {
 	is := is.New(t)
 	s := threeZones()
@@ -68,7 +70,7 @@
 		sel.Begin(e, hot).End()
 	}
 	preferred, _ := allZonesSelector().Select(s, hot)
-	is.True(preferred.Zone != "a") // otherwise the limit below would not be reached
+	is.True(preferred.Zone != "a") // in zone a its sends would not reach the limit below
 	is.True(sends[preferred.ID] <= 3)
 }
 
@@ -83,7 +85,7 @@
 	old.Begin(e, q).FirstByte(60)
 	old.Begin(s.Find("e3"), Query{Model: "m", Blocks: []Block{{"stale", 1900}, {"own", 9}}, Now: -prefixTTL}).End()
 	reports, speeds := old.Snapshot(100)
-	is.Equal(len(reports), 1) // stale blocks are left out
+	is.Equal(len(reports), 1) // stale blocks are omitted
 	for id := range s.All() {
 		started.stateOf(id)
 	}
