--- a/comparison/comparison_test.go
+++ b/comparison/comparison_test.go
@@ -52,9 +52,9 @@
 	script := "#!/bin/sh\nmkdir -p journal; echo $2 >journal/$2-$$\n[ $2 = broken ] && grep -q by-price template.toml && exit 1\ngrep -q by-price template.toml && echo worth 0.75 || echo worth 0.5\n"
 	is.NoErr(os.WriteFile(player, []byte(script), 0o700))
 	p := &Plan{
-		Player: []string{player}, Figure: `^worth ([0-9.]+)`, Template: "template.toml", Collect: []string{"journal"}, Jobs: 2,
+		Simulator: []string{player}, Figure: `^worth ([0-9.]+)`, Template: "template.toml", Collect: []string{"journal"}, Jobs: 2,
 		Sets:  []Set{{Name: "now", Strategies: map[string]string{"drop": "by-time"}}, {Name: "other", Strategies: map[string]string{"drop": "by-price"}}},
-		Plays: []Play{{Site: "sites/one.toml", Days: []string{"calm", "busy", "broken"}}},
+		Sites: []SiteDays{{Site: "sites/one.toml", Days: []string{"calm", "busy", "broken"}}},
 	}
 	is.NoErr(p.check())
 	var out, progress strings.Builder
--- a/comparison/plan.go
+++ b/comparison/plan.go
@@ -21,11 +21,11 @@
 
 // Plan defines what is compared, and on which days.
 type Plan struct {
-	// Player is the program that plays a day, followed by its first arguments. The site, day and
+	// Simulator is the program that plays a day, followed by its first arguments. The site, day and
 	// seed of a play are appended to them. It runs in the checkout.
-	Player []string `toml:"player"`
-	// Seed is the option of the player that sets the seed.
-	Seed string `toml:"seed-option"`
+	Simulator []string `toml:"player"`
+	// SeedOption is the option of the player that sets the seed.
+	SeedOption string `toml:"seed-option"`
 	// Figure is a regular expression. Its only group matches the compared figure in the player's
 	// output.
 	Figure string `toml:"figure"`
@@ -36,8 +36,8 @@
 	// Jobs is how many plays run concurrently.
 	Jobs int `toml:"jobs"`
 	// Sets holds the sets of strategies. The first one is the baseline.
-	Sets  []Set  `toml:"sets"`
-	Plays []Play `toml:"plays"`
+	Sets  []Set      `toml:"sets"`
+	Sites []SiteDays `toml:"plays"`
 
 	figure *regexp.Regexp
 }
@@ -48,9 +48,9 @@
 	Strategies map[string]string `toml:"ways"`
 }
 
-// Play lists days of a site and the seeds for each of them. Without seeds each day is played once,
+// SiteDays lists days of a site and the seeds for each of them. Without seeds each day is played once,
 // with its own seed.
-type Play struct {
+type SiteDays struct {
 	Site  string   `toml:"site"`
 	Days  []string `toml:"days"`
 	Seeds []int64  `toml:"seeds"`
@@ -72,7 +72,7 @@
 
 func (p *Plan) check() (err error) {
 	switch {
-	case len(p.Player) == 0:
+	case len(p.Simulator) == 0:
 		return ErrPlan.New("player is empty")
 	case p.Template == "":
 		return ErrPlan.New("template is empty")
@@ -119,7 +119,7 @@
 }
 
 func (p *Plan) days() (all []day) {
-	for _, play := range p.Plays {
+	for _, play := range p.Sites {
 		for _, name := range play.Days {
 			if len(play.Seeds) == 0 {
 				all = append(all, day{play.Site, name, -1})
--- a/comparison/run.go
+++ b/comparison/run.go
@@ -116,11 +116,11 @@
 }
 
 func (r *run) play(ctx context.Context, c cell) {
-	args := append(slices.Clone(r.plan.Player[1:]), c.day.site, c.day.name)
+	args := append(slices.Clone(r.plan.Simulator[1:]), c.day.site, c.day.name)
 	if c.day.seed >= 0 {
-		args = append(args, r.plan.Seed, strconv.FormatInt(c.day.seed, 10))
+		args = append(args, r.plan.SeedOption, strconv.FormatInt(c.day.seed, 10))
 	}
-	cmd := exec.CommandContext(ctx, r.plan.Player[0], args...)
+	cmd := exec.CommandContext(ctx, r.plan.Simulator[0], args...)
 	cmd.Dir = r.checkouts[c.set]
 	out, err := cmd.CombinedOutput()
 	figure, ok := r.plan.figureOf(string(out))
--- a/comparison/table.go
+++ b/comparison/table.go
@@ -34,7 +34,7 @@
 
 // sites returns the sites in the order of the plan.
 func (p *Plan) sites() (all []string) {
-	for _, play := range p.Plays {
+	for _, play := range p.Sites {
 		if !slices.Contains(all, play.Site) {
 			all = append(all, play.Site)
 		}
