--- a/cli/account_test.go
+++ b/cli/account_test.go
@@ -9,8 +9,9 @@
 	"github.com/matryer/is"
 )
 
-// One of two logs was rotated away: the command reports the missing file and uses the other. It
-// fails if no log can be read, since an empty account would look like an hour without requests.
+// If one of several logs is missing, for example because it was rotated away, the command reports
+// the file and summarises the others. If no log can be read it must fail: an empty summary would
+// look like a period without requests.
 func TestAccountReportsUnreadableLogs(t *testing.T) {
 	is := is.New(t)
 	dir := t.TempDir()
--- a/cli/bills.go
+++ b/cli/bills.go
@@ -15,8 +15,8 @@
 	"github.com/parsleydeal/parsleydeal/table"
 )
 
-// errAnomalies makes the command fail if the statement has anomalies, so that scripts notice
-// them.
+// errAnomalies makes the command exit with an error if the statement has anomalies, so that scripts
+// notice them.
 var errAnomalies = fmt.Errorf("cli: bills: the statement has anomalies")
 
 type billsCommand struct {
@@ -101,9 +101,9 @@
 	return err
 }
 
-// readStream calls handle for each record from the offset from up to, but not including, the
-// offset to. If to is 0 or beyond the head that the log had at the start, it stops at that head. It
-// returns the offset of the first record read and the offset to continue at.
+// readStream calls handle for each record with from <= offset < to. It stops at the head that the
+// log had at the start if to is 0 or beyond that head. It returns the offset of the first record
+// read and the offset at which a later read continues.
 func readStream(ctx context.Context, log provider.Log, stream string, from, to int64, handle func(offset int64, data []byte)) (first, next int64, err error) {
 	const beyondHead = int64(1) << 62 // a read from here returns the stream's bounds and no records
 	head, err := log.Read(ctx, stream, beyondHead, 0)
@@ -135,9 +135,9 @@
 	return first, min(next, to), nil
 }
 
-// knownOrganisations returns a function that reports whether the retained configuration ever had
-// an organisation. The function is nil if the log has no tables to start from: reporting every
-// organisation as unknown would hide the real anomalies.
+// knownOrganisations returns a function that reports whether any retained revision of the tables
+// has an organisation. The function is nil if no tables can be restored from the log: reporting
+// every organisation as unknown would hide the real anomalies.
 func knownOrganisations(ctx context.Context, log provider.Log) (known func(name string) bool, err error) {
 	var state table.State
 	names := make(map[string]bool)
--- a/cli/bills_test.go
+++ b/cli/bills_test.go
@@ -14,7 +14,8 @@
 	"github.com/parsleydeal/parsleydeal/provider"
 )
 
-// newLog returns a log that retains the records from the offset first on and returns two per page.
+// newLog returns a log that retains the records at offset first and later, and returns two records
+// per page.
 func newLog(first int64, streams map[string][][]byte) provider.Log {
 	return provider.Log{Read: func(_ context.Context, stream string, from int64, _ clock.Millis) (p provider.Page, err error) {
 		all := streams[stream]
@@ -39,9 +40,10 @@
 	return data
 }
 
-// The first record of the stream has expired, a takeover wrote one bill twice, and two processes
-// billed another request with different costs. The command must merge the records into one bill
-// per request and fail on the conflict, so that scripts notice it.
+// The first record of the stream has expired, a takeover of another process's bills wrote one bill
+// twice, and two processes wrote bills with different costs for one request. The command must merge
+// the records into one bill per request and fail on the conflicting costs, so that scripts notice
+// them.
 func TestBillsMergesRecordsAndReportsAnomalies(t *testing.T) {
 	is := is.New(t)
 	config := []byte("id=\"a\"\nauthor=\"ops\"\nkind=\"whole\"\nbase=-1\n[tables.organisations.desk]\nweight=1\n")
--- a/cli/burn.go
+++ b/cli/burn.go
@@ -63,8 +63,8 @@
 	return evaluation.WriteText(w)
 }
 
-// Burn queries all entries of a VM list for their burn reports and returns the evaluation of the
-// merged report. Entries that do not reply are listed in Evaluation.Missing; it is an error if none
+// Burn requests the burn reports of all entries in a VM list, merges them and returns the
+// evaluation. Entries that do not reply are listed in Evaluation.Missing; it is an error if none
 // replies.
 func Burn(ctx context.Context, list provider.VMList, peers *peer.Pool) (evaluation *burn.Evaluation, err error) {
 	vms, err := list.List(ctx)
--- a/cli/burn_test.go
+++ b/cli/burn_test.go
@@ -9,8 +9,8 @@
 	"github.com/parsleydeal/parsleydeal/provider"
 )
 
-// One entry of the VM list is unreachable. Its requests are missing from the figures, so a report
-// that does not list the entry could look better than the service was.
+// One entry of the VM list is unreachable, so its requests are missing from the sums. The report
+// must list the entry, since otherwise it could show a better service than callers had.
 func TestBurnSumsEntriesAndListsMissing(t *testing.T) {
 	is := is.New(t)
 	d := startDemo(t, "quality-target = 0.9\n", "quality-target = 0.9\nobjective = { availability = 0.99, first-token = \"10s\", target = 0.95 }\n")
--- a/cli/check.go
+++ b/cli/check.go
@@ -54,7 +54,7 @@
 	return nil
 }
 
-// joinFaults joins errors into one, with each on separate lines. It returns nil if there are
+// joinFaults joins errors into one error, each starting on a new line. It returns nil if there are
 // none.
 func joinFaults(errs []error) error {
 	var lines []string
@@ -85,8 +85,8 @@
 	return state.Tables(), nil
 }
 
-// preview applies a change to a state as the readers of the log will. It returns an error if
-// they will reject the change.
+// preview applies a change to a copy of the tables' state as every process will once the change is
+// on the log. It returns an error if the processes will reject the change.
 func preview(path string, state *table.State, c *table.Change) (err error) {
 	data, err := c.Encode()
 	if err != nil {
@@ -99,8 +99,8 @@
 	return settings.ErrInvalid.New("%s", addLineNumbers(path, o.Reason))
 }
 
-// addLineNumbers prefixes each fault in tables with file and line. Each line of reason starts
-// with the key at fault.
+// addLineNumbers prefixes each line of reason, which describes one fault of a change and starts
+// with the key at fault, with the file and the line of that key.
 func addLineNumbers(path, reason string) string {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -115,7 +115,8 @@
 	return strings.Join(faults, "\n")
 }
 
-// lineOf returns the line of a key, or else of the nearest table that contains it.
+// lineOf returns the line of a key. If the file lacks the key, it returns the line of the innermost
+// TOML table that would contain it.
 func lineOf(lineNumbers map[string]int, key string) int {
 	for key != "" {
 		if line := lineNumbers[key]; line > 0 {
@@ -146,7 +147,7 @@
 	return c, nil
 }
 
-// noBase is the base of a change that names none. No revision has this value.
+// noBase marks a change whose file sets no base. No revision has this value.
 const noBase = -2
 
 // parseFaults formats errors of the TOML library with file and line.
@@ -172,8 +173,9 @@
 	return path + ": " + err.Error()
 }
 
-// checkAgainstTables checks settings against tables. An endpoint would never get a request if
-// its pool is missing from the tables or is for another kind of endpoint.
+// checkAgainstTables checks settings against tables. An endpoint would never get a request if its
+// pool is missing from the tables, is for the other kind of endpoint (model or plain service) or
+// does not allow its zone.
 func checkAgainstTables(path string, s settings.Settings, t *table.Tables) error {
 	if s.Endpoint.Pool == "" {
 		return nil
--- a/cli/decision_test.go
+++ b/cli/decision_test.go
@@ -18,18 +18,19 @@
 	"github.com/parsleydeal/parsleydeal/standin"
 )
 
-// startDemo starts the demo's system. The replacements are pairs of old and new text in its
-// tables.
+// startDemo starts the demo's system. Replacements are pairs of strings: the first of each is
+// replaced by the second in the demo's tables.
 func startDemo(t *testing.T, replacements ...string) *local {
 	return startDemoWithSlowLog(t, 0, replacements...)
 }
 
-// startDemoWithSlowLog is startDemo with a log that delays its replies to endpoints.
+// startDemoWithSlowLog is like startDemo, but the platform's log delays its replies to endpoints by
+// logDelay.
 func startDemoWithSlowLog(t *testing.T, logDelay time.Duration, replacements ...string) *local {
 	is := is.New(t)
 	l := newLocal()
 	l.log = log.New(io.Discard)
-	log := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	logServer := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if strings.HasPrefix(r.URL.Path, "/streams/") {
 			time.Sleep(logDelay)
 		}
@@ -37,11 +38,11 @@
 	}))
 	l.adjust = func(s *settings.Settings) {
 		if s.Endpoint.Pool != "" {
-			s.Platform = log.URL
+			s.Platform = logServer.URL
 		}
 	}
 	is.NoErr(l.start(context.WithoutCancel(t.Context()), engineParams{firstToken: 20, tokenGap: 5, tokens: 12}))
-	t.Cleanup(func() { l.stop(); log.CloseClientConnections(); log.Close() })
+	t.Cleanup(func() { l.stop(); logServer.CloseClientConnections(); logServer.Close() })
 	tables := strings.NewReplacer(replacements...).Replace(string(demoTables))
 	_, err := provider.NewHTTP(l.base, http.DefaultClient).Log().Append(t.Context(), provider.ConfigStream, []byte(tables))
 	is.NoErr(err)
@@ -70,9 +71,9 @@
 	return resp.Header, resp.StatusCode, err
 }
 
-// Endpoints read the log later than the entries, as on a busy machine. If the demo waited only
-// until the entries list a model, its first request would get 503, since endpoints without tables
-// refuse it.
+// Endpoints read the tables from the log later than the entries, as may happen on a busy machine,
+// and refuse requests until then. If the demo waited only until the entries list a model, its first
+// request would get 503.
 func TestDemoWaitsForEndpoints(t *testing.T) {
 	is := is.New(t)
 	l := startDemoWithSlowLog(t, 400*time.Millisecond)
@@ -123,7 +124,7 @@
 
 // The cheap version's answer is poor, and the engines of the expensive version refuse every
 // request. The caller gets no answer, but the cheap version ran and is billed. The response must
-// not report "not-run": the caller would not expect a bill.
+// therefore not report "not-run", which tells the caller that nothing is billed.
 func TestFailedEscalationReportsRan(t *testing.T) {
 	is := is.New(t)
 	l := startDemo(t, "quality-target = 0.9", cascadeRoute)
@@ -154,9 +155,9 @@
 	is.Equal(len(waitForBill(t, l, h.Get("Parsleydeal-Request")).GetSteps()), 1)
 }
 
-// The streams of a new version break in every engine. Callers get errors until a hold for it is on
-// the log. Then no process selects the version any more, its sessions move to another version, and
-// the response reports the move.
+// Every engine breaks the streams of a new version. Callers get errors until a hold of the version,
+// which stops its use, is on the log. From then on no process selects the version, its sessions
+// move to another version, and the response reports the move.
 func TestFailingVersionIsHeldEverywhere(t *testing.T) {
 	is := is.New(t)
 	l := startDemo(t, `[tables.versions."large@1"]`, `[tables.versions."small@2"]
@@ -201,8 +202,8 @@
 }
 
 // All engines refuse. With up to four attempts per request, the engines would get four times the
-// load while they are down. The attempts must stay within the retry budget, and callers must be
-// told at once that nothing ran and when to retry.
+// load while they are down. The attempts must stay within the retry budget, and the responses must
+// say at once that nothing ran and when to retry.
 func TestRefusingPoolGetsNoRetryStorm(t *testing.T) {
 	is := is.New(t)
 	l := startDemo(t)
--- a/cli/direct.go
+++ b/cli/direct.go
@@ -13,8 +13,8 @@
 )
 
 // DirectDemo runs an entry that sends requests directly to endpoints, with stand-ins for the
-// platform's store and the endpoints. It sends a few requests and prints their outcomes and what
-// ran on which endpoint.
+// platform's store and for the endpoints. It sends a few requests and prints their outcomes and the
+// requests that each endpoint ran.
 func DirectDemo(ctx context.Context, w io.Writer) (err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
--- a/cli/direct_test.go
+++ b/cli/direct_test.go
@@ -8,8 +8,9 @@
 	"github.com/matryer/is"
 )
 
-// The direct entry runs on one machine against stand-ins of the platform. A hard chat runs on the
-// large model, a stream that breaks is continued on another endpoint, and the fee runs only once.
+// The demo of the entry that sends directly to endpoints, against stand-ins for the platform, sends
+// three requests. All must succeed: the chat on the path /chat/hard must run on the large model, a
+// stream that breaks must be continued at another endpoint, and the fee must run only once.
 func TestDirectDemo(t *testing.T) {
 	is := is.New(t)
 	var b bytes.Buffer
--- a/cli/example_test.go
+++ b/cli/example_test.go
@@ -11,7 +11,7 @@
 	"github.com/parsleydeal/parsleydeal/table"
 )
 
-// examplesOf returns the files of one example site whose names have this ending.
+// examplesOf returns the files of an example site whose names end in ending.
 func examplesOf(t *testing.T, site, ending string) (paths []string) {
 	t.Helper()
 	paths, err := filepath.Glob(filepath.Join("..", "examples", site, "*"+ending))
@@ -21,8 +21,8 @@
 	return paths
 }
 
-// New sites start from the examples. A site whose settings, tables or load plan do not load, or
-// contradict one another, would fail at its first start.
+// The examples are the templates for new sites. A site would fail at its first start if the
+// settings, tables or load plan of its example were invalid or contradicted one another.
 func TestExamplesAreConsistent(t *testing.T) {
 	for _, site := range []string{"vakif", "capricorn"} {
 		t.Run(site, func(t *testing.T) {
--- a/cli/limit_test.go
+++ b/cli/limit_test.go
@@ -17,8 +17,8 @@
 	"github.com/parsleydeal/parsleydeal/settings"
 )
 
-// exchange writes raw bytes to an entry and reads one response. It keeps the connection open until
-// then, as a slow caller does.
+// exchange writes raw bytes to an entry and reads one response. It closes the connection only after
+// that, so a request that is incomplete looks like one from a slow caller.
 func (l *local) exchange(t *testing.T, raw string) (status int, h http.Header, e chat.Error) {
 	t.Helper()
 	conn, err := net.Dial("tcp", l.callers[0])
@@ -117,9 +117,9 @@
 	is.Equal(l.plain.Calls("PROPFIND", "/a/b"), 1)
 }
 
-// The only endpoint of a service is out, so its calls are refused before their bodies are read. The
-// next call on the same connection must get its response as well: net/http panics there unless the
-// connection is closed.
+// An operator has taken the only endpoint of a service out of service, so calls are refused before
+// their bodies are read. Unless the entry closes the connection, net/http panics on the next call
+// over it, and that call would get no response.
 func TestConnectionSurvivesCallRefusedBeforeBodyIsRead(t *testing.T) {
 	is := is.New(t)
 	l := startLocal(t, engineParams{tokens: 1})
--- a/cli/load.go
+++ b/cli/load.go
@@ -22,10 +22,11 @@
 	"github.com/parsleydeal/parsleydeal/provider"
 )
 
-// errPromiseBroken marks a run that broke a promise or got no complete answer.
+// errPromiseBroken is returned if a run found a breach of a checked guarantee or got no complete
+// answer.
 var errPromiseBroken = errors.New("load: a promise was broken, or no request got a complete answer")
 
-// errWorse marks a comparison in which a quantity got worse.
+// errWorse is returned if a quantity got worse between two results.
 var errWorse = errors.New("load: at least one quantity is worse")
 
 // billTimeout limits the wait for the bills of answered requests.
@@ -170,7 +171,7 @@
 	return err
 }
 
-// fillPlan adds the entries of the local system and the callers and routes of the demo's tables
+// fillPlan adds the entries of the local system, and the callers and routes of the demo's tables,
 // to a plan.
 func (l *local) fillPlan(p *load.Plan) {
 	for _, address := range l.callers {
--- a/cli/load_test.go
+++ b/cli/load_test.go
@@ -14,16 +14,16 @@
 	"github.com/parsleydeal/parsleydeal/settings"
 )
 
-// balancer does what the platform's load balancer does in front of the entries: it sends nothing
-// to an entry that is not ready, and its idle timeout is shorter than the leave delay. Without it,
-// a connection could wait in the kernel's backlog when the entry closes its listener. It would be
-// reset although the entry never got a request from it.
+// balancer imitates the platform's load balancer in front of the entries: it sends nothing to an
+// entry that is not ready, and its idle timeout is shorter than Entry.LeaveDelay, the time for
+// which a leaving entry still accepts connections. Otherwise a connection could be in the kernel's
+// backlog when the entry closes its listener, and would be reset before the entry reads from it.
 type balancer struct {
 	next http.RoundTripper
-	// operators maps an entry's callers' address to its operators' address. It must be complete
-	// before watch is called.
+	// operators maps the address for callers of each entry to its address for operators. It must be
+	// complete before watch is called.
 	operators map[string]string
-	// out has the callers' addresses of entries that are not ready.
+	// out is the set of addresses for callers of the entries that are not ready.
 	out sync.Map
 }
 
@@ -52,7 +52,8 @@
 }
 
 // An entry and an endpoint are stopped while callers send at a constant rate. A planned stop must
-// not interrupt any request: every caller gets its complete answer, and no promise is broken.
+// not interrupt any request: every caller gets its complete answer, and no checked guarantee is
+// broken.
 func TestPlannedStopsUnderLoadBreakNoPromise(t *testing.T) {
 	is := is.New(t)
 	balancer := &balancer{next: &http.Transport{MaxIdleConnsPerHost: 64, IdleConnTimeout: 100 * time.Millisecond}, operators: map[string]string{}}
--- a/cli/local.go
+++ b/cli/local.go
@@ -21,11 +21,12 @@
 	"github.com/parsleydeal/parsleydeal/standin"
 )
 
-// localTimeout limits the wait for a condition. A healthy system meets it almost at once.
+// localTimeout limits the wait for a condition, which a healthy system meets almost at once.
 const localTimeout = 60 * clock.Second
 
-// local is a whole system in one process over loopback: the code of the daemons with stand-ins for
-// the platform, the engines and a plain service.
+// local is a complete system in one process, connected over loopback: it runs the code of the
+// daemons with stand-ins for the platform, the engines and a plain service (one that is not a
+// model).
 type local struct {
 	platform *standin.Platform
 	engines  map[string]*standin.Engine
@@ -43,7 +44,7 @@
 	tables []byte
 	// adjust changes the settings of each process, and of the operators' client, before use.
 	adjust func(s *settings.Settings)
-	// cancelByVM stops a single process, by VM.
+	// cancelByVM holds the functions that stop a single process, by its VM.
 	cancelByVM map[string]context.CancelFunc
 	processes  []func()
 	// standinsCtx is the context of the stand-ins, which run until all processes have stopped.
@@ -51,13 +52,14 @@
 	stopProcesses, stopStandins context.CancelFunc
 	wg                          sync.WaitGroup
 	mu                          sync.Mutex
-	// operators has the addresses of the operators' interfaces of all processes.
+	// operators holds the addresses of the operators' interfaces of all processes.
 	operators []string
-	// reserved has the open listeners that no process uses yet, by address.
+	// reserved holds the listeners that were opened for processes that have not started yet, by
+	// address.
 	reserved map[string]net.Listener
 }
 
-// daemonFunc runs a daemon that opens its listeners with listen.
+// daemonFunc runs a daemon, which opens its listeners by calling listen.
 type daemonFunc func(ctx context.Context, s settings.Settings, l *log.Logger, listen daemon.ListenFunc) (err error)
 
 // engineParams are the latencies and the answer length of the stand-in engines.
@@ -96,16 +98,16 @@
 	return nil
 }
 
-// setGoodQuality sets a high true quality for both versions in the stand-in rater, so that each
-// route of the demo's tables always has a version that meets its target.
+// setGoodQuality makes the stand-in rater find a high quality for both versions, so that each route
+// of the demo's tables always has a version that meets its quality target.
 func (l *local) setGoodQuality() {
 	const good = 0.98
 	l.platform.SetQuality("small@1", good)
 	l.platform.SetQuality("large@1", good)
 }
 
-// stop stops the processes and then the stand-ins: a stopping process still writes its bills to
-// the log.
+// stop stops the processes first and the stand-ins after them, since a stopping process still
+// writes its bills to the stand-in log.
 func (l *local) stop() {
 	l.stopProcesses()
 	l.wg.Wait()
@@ -178,8 +180,8 @@
 }
 
 // waitReady waits until every process is ready and every entry lists a model. It waits for the
-// endpoints as well: an entry must be ready even if all endpoints of a pool are out, so its
-// readiness does not include theirs, and a request sent before they are ready is refused.
+// endpoints too, as the readiness of an entry does not depend on theirs and a request sent to an
+// endpoint that is not ready is refused.
 func (l *local) waitReady(ctx context.Context, key string) (err error) {
 	for _, address := range l.operators {
 		if err = waitUntil(ctx, func() bool { return l.isReady(ctx, address) }); err != nil {
--- a/cli/openai_test.go
+++ b/cli/openai_test.go
@@ -104,8 +104,8 @@
 	is.True(strings.Contains(e.Message, "n: is 2, 1 is allowed"))
 }
 
-// Every engine breaks its stream after the first tokens. The caller already has a part of the
-// answer; the client must report an error, not a short answer that looks complete.
+// Every engine breaks its stream after the first tokens, when the caller already has a part of the
+// answer. The client must report an error: the answer would otherwise look complete but short.
 func TestOpenAIClientReportsBrokenStream(t *testing.T) {
 	is := is.New(t)
 	l := startLocal(t, engineParams{firstToken: 1, tokenGap: 1, tokens: 9})
--- a/cli/operator_test.go
+++ b/cli/operator_test.go
@@ -66,8 +66,9 @@
 	is.True(strings.Contains(out, "gone in zone-b: no answer"))
 }
 
-// Two operators edit the same output of `tables`. The second file would undo the first change. It
-// must be rejected, as its base is no longer the current revision.
+// Two operators start from the same output of the command tables and publish their edits one after
+// the other. The second file would undo the first change. It must be rejected, as its base is no
+// longer the current revision.
 func TestPublishRejectsEditOfOutdatedTables(t *testing.T) {
 	is := is.New(t)
 	l := startLocal(t, engineParams{tokens: 2})
@@ -91,7 +92,7 @@
 	is.NoErr(c.print(t.Context(), &out))
 	is.Equal(strings.Count(out.String(), "\n"), 8) // a header and seven VMs
 	is.Equal(strings.Count(out.String(), " yes "), 7)
-	is.Equal(strings.Count(out.String(), "0/"), 5) // the five endpoints have windows
+	is.Equal(strings.Count(out.String(), "0/"), 5) // the five endpoints report a window size
 }
 
 func TestCheckReportsFileLineAndKeyOfTables(t *testing.T) {
--- a/cli/page_test.go
+++ b/cli/page_test.go
@@ -45,7 +45,7 @@
 	return rows
 }
 
-// compareRows reports an error for each name that is only in rows or only in names.
+// compareRows reports an error for each name that is in only one of rows and names.
 func compareRows(t *testing.T, kind string, rows map[string][]string, names []string) {
 	t.Helper()
 	for _, n := range names {
@@ -91,7 +91,7 @@
 	compareRows(t, "field", pageRows(t, "Tables"), fieldsBelow("", reflect.TypeFor[table.Change]()))
 }
 
-// fieldsBelow lists the dotted keys of a struct's TOML form, with "*" for the keys of a map.
+// fieldsBelow lists the dotted TOML keys of a struct type, with "*" in place of each map key.
 func fieldsBelow(prefix string, t reflect.Type) (keys []string) {
 	for i := range t.NumField() {
 		name, _, _ := strings.Cut(t.Field(i).Tag.Get("toml"), ",")
@@ -125,7 +125,7 @@
 	for _, address := range operators {
 		resp, err := http.Get("http://" + address + "/metrics")
 		if err != nil {
-			continue // adjust also runs for the operators' client, which serves nothing
+			continue // adjust is also called for the operators' client, which has no interface
 		}
 		data, err := io.ReadAll(resp.Body)
 		is.NoErr(err)
@@ -139,7 +139,7 @@
 	}
 	source := allSource(t)
 	for name := range rows {
-		is.True(strings.Contains(source, name)) // some source file must have each metric of the page
+		is.True(strings.Contains(source, name)) // each metric of the page must be named in the source
 	}
 }
 
--- a/cli/publish.go
+++ b/cli/publish.go
@@ -62,8 +62,8 @@
 	return c.publishChange(ctx, w, op, change)
 }
 
-// fillDefaults sets id and base from the command's options, and author if the file has none. An
-// id that is still missing is generated; a missing base becomes the current revision.
+// fillDefaults sets id and base from the command's options, and author if the file does not set it.
+// If there is still no id it generates one, and if there is no base it uses the current revision.
 func (c *publishCommand) fillDefaults(change *table.Change, s *table.State) {
 	if c.ID != "" {
 		change.ID = c.ID
--- a/cli/secure_test.go
+++ b/cli/secure_test.go
@@ -21,8 +21,8 @@
 	"github.com/parsleydeal/parsleydeal/settings"
 )
 
-// selfSigned writes a self-signed certificate and its key to files and returns a pool that trusts
-// it.
+// selfSigned writes a self-signed certificate and its key to files and returns a certificate pool
+// that trusts it.
 func selfSigned(t *testing.T) (files settings.Certificate, pool *x509.CertPool) {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -55,9 +55,9 @@
 	return files, pool
 }
 
-// All interfaces use TLS. Requests of callers and operators succeed. A client without a
-// certificate of the system, which could otherwise query peers and send orders to endpoints, and a
-// caller over plain HTTP must be refused.
+// All interfaces use TLS. Requests of callers and operators must succeed. A client without a
+// certificate of the system must be refused, as it could otherwise query processes and send orders
+// to endpoints, and so must a caller over plain HTTP.
 func TestSystemOverTLS(t *testing.T) {
 	is := is.New(t)
 	files, pool := selfSigned(t)
--- a/load/compare.go
+++ b/load/compare.go
@@ -26,8 +26,8 @@
 }
 
 // Compare compares two results of the same plan. A quantity is worse when it changed for the worse
-// by more than the tolerance, a fraction such as 0.1. A promise that is broken in the later result
-// is always worse. Results of different plans are not comparable and return ErrInvalid.
+// by more than the tolerance, a fraction such as 0.1. A guarantee that is broken in the later
+// result always counts as worse. It returns ErrInvalid if the plans differ.
 func Compare(before, after *Result, tolerance float64) (out []Comparison, err error) {
 	if !samePlan(before.Plan, after.Plan) {
 		return nil, ErrInvalid.New("the results have different plans")
@@ -61,7 +61,8 @@
 	return float64(r.Completed) / float64(max(r.Sent+r.Unsent, 1))
 }
 
-// samePlan ignores the addresses of the system, which may differ from run to run.
+// samePlan reports whether two plans are equal. It ignores the addresses of the system, which may
+// differ from run to run.
 func samePlan(a, b Plan) bool {
 	for _, p := range []*Plan{&a, &b} {
 		p.Entries, p.Direct = nil, ""
--- a/load/load_test.go
+++ b/load/load_test.go
@@ -51,8 +51,9 @@
 	is.True(schedule(&p)[0].at != a[0].at)
 }
 
-// Guards against hiding a stall: if durations counted from when a request was sent, a stall of one
-// second would show in a single request, although it delays every request due in that second.
+// Guards against hiding a stall: if latency were measured from when a request was sent, a stall of
+// one second would show only in the request in flight, although it delays every request that was
+// due in that second.
 func TestLatencyIsMeasuredFromDueTime(t *testing.T) {
 	is := is.New(t)
 	srv := httptest.NewServer(standin.NewEngine(0, 0, 2).Handler())
@@ -67,8 +68,8 @@
 	is.True(o.total >= o.firstToken)
 }
 
-// Guards against checks that cannot fail: each breach below must be counted for the promise it
-// breaks and for no other.
+// Guards against checks that cannot fail: each breach below must be counted for the guarantee that
+// it breaks and for no other.
 func TestStatsDetectEachBreach(t *testing.T) {
 	p := testPlan()
 	chat := request{number: 7, organisation: &p.Organisations[0], route: &p.Routes[0], session: 0, nonce: "n1-7"}
@@ -114,8 +115,8 @@
 	}
 }
 
-// Guards against running a call twice: a call that is not safe to repeat is refused or its
-// connection breaks. It may be sent again only if it provably did not run.
+// Guards against running a call twice. A call that is not safe to repeat was refused, or its
+// connection broke: it may be sent again only if it is certain that it did not run.
 func TestOnlyRetryableRequestsAreRetried(t *testing.T) {
 	is := is.New(t)
 	p := testPlan()
@@ -165,8 +166,8 @@
 	is.Equal(p.Organisations[0].Key, "secret")
 }
 
-// More requests become due than may be in flight. Guards against queueing them, which would lower
-// the rate: the excess must be counted as not sent.
+// More requests become due than may be in flight. They must be counted as not sent and not be
+// queued, since queueing would lower the rate.
 func TestOpenRequestsAreBounded(t *testing.T) {
 	is := is.New(t)
 	release := make(chan struct{})
--- a/load/plan.go
+++ b/load/plan.go
@@ -1,5 +1,5 @@
-// Package load sends bounded load to entries as callers do, and checks each of the system's
-// promises from the caller's side.
+// Package load sends load at a set rate to entries as callers do, and checks the system's
+// guarantees from the caller's side.
 package load
 
 import (
@@ -33,8 +33,8 @@
 	maxOpen     = 20000
 )
 
-// Plan describes the load to send. The same plan and seed give the same requests at the same
-// times from the start of a run.
+// Plan describes the load to send. The same plan and seed give the same requests at the same times,
+// counted from the start of a run.
 type Plan struct {
 	Seed uint64 `toml:"seed" json:"seed"`
 	// Rate is the mean number of requests per second; it does not depend on their outcomes.
@@ -43,14 +43,16 @@
 	Arrival  string       `toml:"arrival" json:"arrival"`
 	// Burst is the number of requests that are due at the same time when Arrival is "bursts".
 	Burst int `toml:"burst" json:"burst"`
-	// MaxOpen bounds the requests in flight; requests beyond it are counted as not sent.
+	// MaxOpen bounds the requests in flight; a request that is due beyond it is counted as not
+	// sent.
 	MaxOpen int `toml:"max-open" json:"max-open"`
 	// Timeout bounds one request including its retries.
 	Timeout clock.Millis `toml:"timeout" json:"timeout"`
-	// Retries is how often a request is sent again that did not run or is safe to repeat.
+	// Retries is the maximum number of times that a request is sent again. Only a request that did
+	// not run or is safe to repeat is sent again.
 	Retries int `toml:"retries" json:"retries"`
-	// Words and Spread describe the log-normal length of prompts in words: its median and the
-	// standard deviation of its logarithm.
+	// Words is the median number of words of a prompt. The number has a log-normal distribution;
+	// Spread is the standard deviation of its logarithm.
 	Words  float64 `toml:"words" json:"words"`
 	Spread float64 `toml:"spread" json:"spread"`
 	// Keyed is the fraction of requests with an idempotency key.
@@ -64,9 +66,9 @@
 	// Entries are base URLs. Each retry of a request goes to the next entry, as a load balancer
 	// would send it.
 	Entries []string `toml:"entries" json:"entries"`
-	// Direct is the base URL of an engine to which every chat request is also sent directly, to
-	// measure the latency that the system adds; empty sends none. DirectModel is the model name
-	// to send there.
+	// Direct is the base URL of an engine. Every chat request is also sent straight to it, which
+	// shows the latency that the system adds; nothing is sent if Direct is empty. DirectModel is
+	// the model name in these requests.
 	Direct        string         `toml:"direct" json:"direct,omitempty"`
 	DirectModel   string         `toml:"direct-model" json:"direct-model,omitempty"`
 	Organisations []Organisation `toml:"organisations" json:"organisations"`
@@ -82,7 +84,7 @@
 	Weight float64 `toml:"weight" json:"weight"`
 }
 
-// Route is a route that chat requests name as their model.
+// Route is a route of the tables; chat requests give its name as their model.
 type Route struct {
 	Name   string  `toml:"name" json:"name"`
 	Weight float64 `toml:"weight" json:"weight"`
@@ -92,18 +94,18 @@
 	Stream bool `toml:"stream" json:"stream"`
 }
 
-// Service is a call to a plain service.
+// Service describes calls to a plain service, that is, one that is not a model.
 type Service struct {
 	Name   string  `toml:"name" json:"name"`
 	Method string  `toml:"method" json:"method"`
 	Path   string  `toml:"path" json:"path"`
 	Weight float64 `toml:"weight" json:"weight"`
-	// Repeatable calls may be sent again whatever the outcome.
+	// Repeatable means that a call may be sent again whatever became of the earlier try.
 	Repeatable bool `toml:"repeatable" json:"repeatable"`
 }
 
-// DefaultPlan returns the plan that a plan file is read over. It names no entries, organisations,
-// routes or services.
+// DefaultPlan returns the values of the settings that a plan file omits. It has no entries,
+// organisations, routes or services.
 func DefaultPlan() Plan {
 	return Plan{
 		Seed: 1, Rate: 20, Duration: 10 * clock.Second, Arrival: Poisson, Burst: 8, MaxOpen: 512, Timeout: 30 * clock.Second, Retries: 3,
@@ -111,8 +113,8 @@
 	}
 }
 
-// ReadPlan reads and checks a TOML plan; what the file leaves out is as in DefaultPlan. It returns
-// ErrInvalid when the file cannot be read or the plan is not valid.
+// ReadPlan reads and checks a TOML plan; settings that the file omits have the values of
+// DefaultPlan. It returns ErrInvalid when the file cannot be read or the plan is not valid.
 func ReadPlan(path string) (p Plan, err error) {
 	p = DefaultPlan()
 	data, err := os.ReadFile(path)
@@ -161,7 +163,7 @@
 	return sumWeights(p.Routes, func(r Route) float64 { return r.Weight }) + sumWeights(p.Services, func(s Service) float64 { return s.Weight })
 }
 
-// sumWeights counts negative weights as 0.
+// sumWeights sums the weights of a list; a negative weight counts as 0.
 func sumWeights[T any](list []T, weight func(T) float64) (sum float64) {
 	for _, x := range list {
 		sum += max(weight(x), 0)
--- a/load/result.go
+++ b/load/result.go
@@ -48,21 +48,22 @@
 	Took      clock.Millis `toml:"took" json:"took"`
 	Sent      int64        `toml:"sent" json:"sent"`
 	Completed int64        `toml:"whole" json:"whole"`
-	// Unsent counts requests that were not sent, as max-open requests were in flight.
+	// Unsent counts requests that were not sent because max-open requests were in flight.
 	Unsent int64 `toml:"unsent" json:"unsent"`
 	Tries  int64 `toml:"tries" json:"tries"`
 	// Disconnects counts tries whose connection broke, including those followed by a successful
 	// retry.
 	Disconnects int64            `toml:"cuts" json:"cuts"`
 	Outcomes    map[string]int64 `toml:"outcomes" json:"outcomes"`
-	// CompletedPerCoreSecond is the number of complete answers per second of the entries'
-	// processor time; 0 when it was not measured.
+	// CompletedPerCoreSecond is the number of complete answers per second of processor time that
+	// the entries used; 0 when processor time was not measured.
 	CompletedPerCoreSecond float64       `toml:"whole-per-core-second" json:"whole-per-core-second"`
 	FirstToken             DurationStats `toml:"first-token" json:"first-token"`
 	TokenGap               DurationStats `toml:"token-gap" json:"token-gap"`
 	Total                  DurationStats `toml:"total" json:"total"`
-	// Routed and Direct count from the time when a request was sent. Routed includes only requests
-	// that needed one try. Their difference is the latency that the system adds.
+	// Routed and Direct are the times from sending a request to its first token: through the
+	// system, for requests that needed one try, and straight to an engine. Their difference is the
+	// latency that the system adds.
 	Routed        DurationStats        `toml:"routed-first-token" json:"routed-first-token"`
 	Direct        DurationStats        `toml:"direct-first-token" json:"direct-first-token"`
 	Organisations []OrganisationResult `toml:"organisations" json:"organisations"`
@@ -92,7 +93,7 @@
 	return res
 }
 
-// Broken returns the number of breaches of all promises.
+// Broken returns the number of breaches of all guarantees.
 func (r *Result) Broken() (n int64) {
 	for _, p := range r.Promises {
 		n += p.Broken
@@ -115,7 +116,7 @@
 	return err
 }
 
-// Save writes the result to a file in the form that Write gives it.
+// Save writes the result to a file, in the same formats as Write.
 func (r *Result) Save(path string, asJSON bool) (err error) {
 	var b bytes.Buffer
 	if err = r.Write(&b, asJSON); err != nil {
--- a/load/run.go
+++ b/load/run.go
@@ -15,16 +15,16 @@
 	// Build identifies the build under test in the result.
 	Build string
 	HTTP  *http.Client
-	// Unbilled returns the answered requests that have no bill. It allows the bills time to reach
-	// the log. If it is nil, bills are not checked.
+	// Unbilled returns those of the given answered requests that have no bill, after giving the
+	// bills time to reach the log. If it is nil, bills are not checked.
 	Unbilled func(ctx context.Context, requests []string) (missing []string, err error)
 	// ProcessorSeconds returns the processor time that the entries have used so far. If it is nil,
 	// processor time is not measured.
 	ProcessorSeconds func(ctx context.Context) (seconds float64, err error)
 }
 
-// NewHTTP returns a client that keeps as many idle connections per host as a plan may have requests
-// in flight.
+// NewHTTP returns a client that keeps up to p.MaxOpen idle connections per host, one for each
+// request that may be in flight.
 func NewHTTP(p *Plan) *http.Client {
 	return &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: p.MaxOpen, IdleConnTimeout: clock.Millis(clock.Minute).Duration()}}
 }
@@ -99,7 +99,7 @@
 	}
 }
 
-// sleepUntil returns false when the context ended first.
+// sleepUntil sleeps until a time. It returns false when the context ended first.
 func sleepUntil(ctx context.Context, at time.Time) bool {
 	t := time.NewTimer(time.Until(at))
 	defer t.Stop()
@@ -111,8 +111,9 @@
 	}
 }
 
-// sendDue sends a request, and a doubled one a second time concurrently. It does not use the run's
-// context: requests in flight when the run is stopped end by their own timeout.
+// sendDue sends a request that is due, and a doubled one twice at the same time. It does not use
+// the run's context: after a run was stopped, requests in flight continue until they end or time
+// out.
 func (r *runner) sendDue(q *request, due time.Time) {
 	ctx := context.Background()
 	sent := time.Now()
--- a/load/schedule.go
+++ b/load/schedule.go
@@ -17,7 +17,8 @@
 	organisation *Organisation
 	route        *Route
 	service      *Service
-	// session is -1 outside sessions.
+	// session is the number of the session that the request belongs to, or -1 if it belongs to
+	// none.
 	session int
 	words   int
 	// key is the idempotency key; it may be empty.
@@ -26,7 +27,8 @@
 	doubled bool
 	// entry is the index of the entry for the first try.
 	entry int
-	// nonce is echoed by stand-ins, so that an answer can be matched to its request.
+	// nonce is a word unique to the request. Stand-ins echo it, so that an answer can be matched to
+	// its request.
 	nonce string
 }
 
@@ -43,7 +45,7 @@
 	}
 }
 
-// nextInterval returns the time between the previous arrival and the next.
+// nextInterval returns the time from the previous due time to that of the request with this number.
 func nextInterval(p *Plan, r *rand.Rand, number int) time.Duration {
 	mean := float64(time.Second) / p.Rate
 	switch p.Arrival {
--- a/load/send.go
+++ b/load/send.go
@@ -21,8 +21,8 @@
 // outcome is the result of one request as its caller sees it.
 type outcome struct {
 	answer client.Answer
-	// firstToken is the time from when the request was due to the first token, total to the end of
-	// the answer.
+	// firstToken is the time from when the request was due to the first token, and total the time
+	// from when it was due to the end of the answer.
 	firstToken, total time.Duration
 	// tokenGaps are the times between tokens.
 	tokenGaps []time.Duration
@@ -56,7 +56,8 @@
 			replyErr = o.err
 		}
 		if o.err == nil || try >= r.plan.Retries || !retryable(q, o.err) || !waitToRetry(ctx, o.err) {
-			// An entry's reply says more than a failed connection to another entry.
+			// The reply of an entry explains the failure better than a connection that could not be
+			// established.
 			if replyErr != nil {
 				o.err = replyErr
 			}
@@ -73,8 +74,8 @@
 	return r.sendChat(ctx, c, q, due, key)
 }
 
-// retryable reports whether a failed request may be sent again without running its work twice: it
-// provably did not run, or it is safe to repeat.
+// retryable reports whether a failed request may be sent again: it is certain that it did not run,
+// or it is safe to repeat.
 func retryable(q *request, err error) bool {
 	if unreachable(err) {
 		return true
@@ -91,8 +92,8 @@
 	return errors.As(err, &op) && op.Op == "dial"
 }
 
-// waitToRetry waits for the time that a refusal asks for, and at least minWait. It returns false when
-// the context ended first.
+// waitToRetry waits for the delay that a refusal states, but at least for minWait. It returns false
+// when the context ended first.
 func waitToRetry(ctx context.Context, err error) bool {
 	const minWait = 20 * clock.Millis(1)
 	wait := minWait
@@ -111,7 +112,8 @@
 	return fmt.Appendf(nil, `{"model":%q,"stream":true,"stream_options":{"include_usage":true},"messages":[{"role":"user","content":%q}]}`, model, prompt(q))
 }
 
-// sendChat sends a chat request. It always streams, so that the first token can be timed.
+// sendChat sends a chat request and reads its answer. It requests a stream even if the route does
+// not, so that the time of the first token can be measured.
 func (r *runner) sendChat(ctx context.Context, c *client.Caller, q *request, due time.Time, key string) (o outcome) {
 	last := time.Time{}
 	o.session = r.sessions.get(q)
--- a/load/session.go
+++ b/load/session.go
@@ -2,8 +2,8 @@
 
 import "sync"
 
-// sessions stores the latest token and version of each session. It holds at most the plan's number
-// of sessions for each organisation and route.
+// sessions stores the latest token and version of each session. For each organisation and route it
+// stores at most Plan.Sessions sessions.
 type sessions struct {
 	mu   sync.Mutex
 	last map[sessionKey]sessionState
@@ -22,8 +22,8 @@
 	return sessionKey{q.organisation.Name, q.route.Name, q.session}
 }
 
-// get returns the session token to send and the version whose answer carried it. Both are empty for a
-// new session and for a request outside sessions.
+// get returns the session token to send and the version in the answer that the token came with.
+// Both are empty for a new session and for a request outside sessions.
 func (s *sessions) get(q *request) sessionState {
 	if q.route == nil || q.session < 0 {
 		return sessionState{}
--- a/load/stats.go
+++ b/load/stats.go
@@ -9,7 +9,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Names of the promises that are checked.
+// Names of the checked guarantees.
 const (
 	completeAnswers = "whole"
 	matchingAnswers = "own"
@@ -21,10 +21,11 @@
 
 var promiseNames = []string{completeAnswers, matchingAnswers, runsOnce, allowedVersions, sameVersion, billed}
 
-// Promise is the result of the checks of one promise.
+// Promise is the result of checking one guarantee.
 type Promise struct {
 	Name string `toml:"name" json:"name"`
-	// Checked counts the answers that could show a breach; if it is 0, the promise was not tested.
+	// Checked counts the answers for which a breach could have been found; if it is 0, the
+	// guarantee was not tested.
 	Checked int64 `toml:"checked" json:"checked"`
 	// Broken counts the breaches.
 	Broken int64 `toml:"broken" json:"broken"`
@@ -54,7 +55,7 @@
 	_ = hist.h.RecordValue(min(max(d.Microseconds(), 1), hist.h.HighestTrackableValue()))
 }
 
-// runStats aggregates the outcomes of a run and checks the promises.
+// runStats aggregates the outcomes of a run and checks the guarantees.
 type runStats struct {
 	plan                        *Plan
 	sent, completed, unsent     int64
@@ -116,8 +117,8 @@
 	st.completed++
 	org.completed++
 	st.outcomes["whole"]++
-	// A retried or doubled request may get the retained answer of another try, which is billed
-	// under that try's ID.
+	// A retried or doubled request may get the answer that was retained for another try. It is then
+	// billed under that try's request ID.
 	if !q.doubled && o.tries == 1 {
 		st.answered = append(st.answered, o.answer.Request)
 	}
@@ -147,7 +148,7 @@
 }
 
 // checkComplete checks an answer that ended without an error: a chat answer must have a finish
-// reason, and the numbered tokens of a stand-in must have no gap.
+// reason, and the tokens that a stand-in numbers must be without gaps.
 func (st *runStats) checkComplete(q *request, o *outcome) {
 	p := st.promise(completeAnswers)
 	p.Checked++
@@ -169,8 +170,8 @@
 	}
 }
 
-// checkMatching compares the nonce that stand-ins echo with the request's. Answers of real engines
-// have no nonce and are not counted as checked.
+// checkMatching compares the nonce that a stand-in echoed with that of the request. Answers of real
+// engines have no nonce and are not counted as checked.
 func (st *runStats) checkMatching(q *request, o *outcome) {
 	text := o.answer.Text
 	if q.service != nil {
@@ -187,8 +188,8 @@
 	}
 }
 
-// checkVersion checks that the version is allowed on the route, and that a session keeps its version
-// unless the answer says why it moved.
+// checkVersion checks that the version is allowed on the route, and that a session keeps its
+// version unless the answer reports why the session moved.
 func (st *runStats) checkVersion(q *request, o *outcome) {
 	if q.route == nil {
 		return
@@ -210,8 +211,8 @@
 	}
 }
 
-// checkRuns compares the answers of a call: answers under one key must come from one run of the
-// service, and no run may answer two requests.
+// checkRuns checks which runs of a service answered a call: all answers under one idempotency key
+// must come from one run, and no run may answer two requests.
 func (st *runStats) checkRuns(q *request, outcomes []outcome) {
 	p := st.promise(runsOnce)
 	previous := ""
