--- a/bench/billing.go
+++ b/bench/billing.go
@@ -17,9 +17,9 @@
 	billingWarmUp         = 2 * clock.Second
 	billingAssignInterval = 500 * clock.Millis(1)
 	billingZones          = 12
-	billingLogSteps       = 3 // duration of one append or read in steps
-	// outageLedgerBound is small enough to be reached soon; the time until then grows in
-	// proportion to the bound.
+	billingLogSteps       = 3 // duration of one append or read, in units of billingStep
+	// outageLedgerBound bounds the waiting bills of one ledger in outageFigures. It is small so
+	// that the fleet soon refuses requests; the time until then is proportional to the bound.
 	outageLedgerBound = 1024
 )
 
@@ -35,7 +35,7 @@
 	now   clock.Millis
 	nodes []*billingNode
 	byID  map[string]*billingNode
-	// events holds the functions to run at each step.
+	// events holds the functions to run at each time.
 	events     map[clock.Millis][]func()
 	logDown    bool
 	requests   int
@@ -176,7 +176,7 @@
 	}
 }
 
-// benchBilling drives the ledgers and batchers of whole fleets at the rate of the two-year target.
+// benchBilling runs the ledgers and batchers of fleets of three sizes at billingRate.
 func benchBilling() (figures []Figure) {
 	for _, nodes := range []int{3, 30, 380} {
 		r := newBillingRun(nodes, bill.DefaultBound)
@@ -197,8 +197,8 @@
 	return append(figures, outageFigures(30)...)
 }
 
-// outageFigures measures how long a fleet accepts all requests during an outage of the log, and how
-// long it needs to drain its bills afterwards.
+// outageFigures measures for how long a fleet accepts every request during an outage of the log,
+// and after the outage how long it needs to write the waiting bills to the log.
 func outageFigures(nodes int) []Figure {
 	r := newBillingRun(nodes, outageLedgerBound)
 	r.runUntil(billingWarmUp)
@@ -220,7 +220,8 @@
 	}
 }
 
-// maxOwnBills returns the largest number of own bills that are still waiting on one node.
+// maxOwnBills returns the largest number of bills of its own requests that one node still has to
+// write to the log.
 func maxOwnBills(r *billingRun) (n int) {
 	for _, node := range r.nodes {
 		own, _ := node.ledger.Waiting()
--- a/bench/choice.go
+++ b/bench/choice.go
@@ -29,11 +29,11 @@
 	choiceZones       = 4
 	choicePool        = "pool"
 	hopDelayMillis    = 1
-	replicaQueueLimit = 2 // requests that may wait at a gate
-	maxRetries        = 3 // attempts after the first
+	replicaQueueLimit = 2 // requests that may wait at a gate for a slot
+	maxRetries        = 3 // attempts per request after the first
 )
 
-// choicePolicy selects the replica for a request at an entry.
+// choicePolicy is the rule by which an entry selects the replica for a request.
 type choicePolicy int
 
 const (
@@ -76,7 +76,7 @@
 	return false
 }
 
-// choiceEntry is one entry with its view and its state of the replicas.
+// choiceEntry is one entry with the state from which it selects replicas.
 type choiceEntry struct {
 	view        *view.View
 	inflight    *choice.Inflight
@@ -140,7 +140,8 @@
 	return r
 }
 
-// measure simulates arriving requests for duration and measures those of the second half.
+// measure simulates arriving requests for the given duration and measures only the requests of the
+// second half.
 func (r *choiceRun) measure(duration clock.Millis) {
 	r.measureFrom = duration / 2
 	perMilli := choiceLoadRatio * float64(len(r.replicas)*replicaSlots) / float64(decodeDuration+cachedPrefill)
@@ -161,9 +162,9 @@
 	r.try(e, r.rng.IntN(len(r.sessionVMs)), r.now, nil)
 }
 
-// try sends a request to a replica. A gate refuses once all slots of its engine and its short queue
-// are taken, and the entry tries again. Without retries left, in number or in the entry's retry
-// budget, the request waits at the gate.
+// try sends a request to a replica. The gate of a replica refuses it if all slots and the short
+// queue are taken, and the entry retries at another replica. If maxRetries or the entry's retry
+// budget is used up, the gate queues the request instead.
 func (r *choiceRun) try(e *choiceEntry, session int, arrivedAt clock.Millis, avoid map[string]bool) {
 	x := r.byVM[r.selectReplica(e, session, avoid)]
 	r.sessionVMs[session] = x.vm.ID
@@ -342,8 +343,8 @@
 	return append(out, Figure{"choice/subset/moved-by-an-entry-part", movedFraction(before, choice.Subsets(fewer[:entries-1], fewer[entries-1:]))})
 }
 
-// movedFraction returns the fraction of subset members in after that are not in the same entry's
-// subset in before.
+// movedFraction compares the subset of each entry in after with the same entry's subset in before.
+// It returns the fraction of the members in after that are new.
 func movedFraction(before, after map[string][]provider.VM) float64 {
 	changed, total := 0, 0
 	for id, now := range after {
--- a/bench/figure.go
+++ b/bench/figure.go
@@ -18,10 +18,10 @@
 	Value float64
 }
 
-// Baseline is the committed value of a figure with the bounds it must stay within.
+// Baseline is the committed value of a figure and the bounds within which the figure must stay.
 type Baseline struct {
 	Value float64 `toml:"value"`
-	// Min and Max bound the figure, both inclusive; nil means no bound on that side.
+	// Min and Max are the inclusive bounds of the figure; nil means no bound on that side.
 	Min *float64 `toml:"min,omitempty"`
 	Max *float64 `toml:"max,omitempty"`
 }
@@ -73,8 +73,8 @@
 	return os.WriteFile(path, []byte(out.String()), 0o644)
 }
 
-// dropUnmeasured deletes the baselines of figures that are no longer measured, among those whose
-// names start with prefix.
+// dropUnmeasured deletes the baselines whose names start with prefix and whose figures are no
+// longer measured.
 func dropUnmeasured(base map[string]Baseline, figures []Figure, prefix string) {
 	measured := make(map[string]bool)
 	for _, f := range figures {
@@ -96,8 +96,8 @@
 	return s
 }
 
-// compare reports every figure that is outside its bounds, is not a number, has no baseline or is no
-// longer measured. Only baselines whose names start with prefix must be measured.
+// compare reports every figure that is not a number, is outside its bounds or has no baseline. It
+// also reports each baseline whose name starts with prefix and whose figure is no longer measured.
 func compare(base map[string]Baseline, figures []Figure, prefix string) (failures []string) {
 	measured := make(map[string]bool)
 	for _, f := range figures {
--- a/bench/figure_test.go
+++ b/bench/figure_test.go
@@ -6,8 +6,8 @@
 	"github.com/matryer/is"
 )
 
-// Guards against regressions that pass the check: a figure gets worse, or its benchmark or baseline
-// is missing.
+// Guards against regressions that the check would accept: a figure got worse, or its benchmark or
+// baseline is missing.
 func TestCompareFindsRegressions(t *testing.T) {
 	is := is.New(t)
 	low, high := 1.0, 3.0
--- a/bench/limit.go
+++ b/bench/limit.go
@@ -24,7 +24,8 @@
 	saturatedUntil   = 40 * clock.Second
 )
 
-// limitRun simulates one entry that sends to a pool whose gates refuse requests beyond their capacity.
+// limitRun simulates one entry that sends to a pool whose gates refuse requests when all their
+// slots are taken.
 type limitRun struct {
 	scheduler
 	rng       *rand.Rand
@@ -33,14 +34,15 @@
 	// fifo replaces the fair queue with one shared queue by assigning all requests to the same
 	// organisation.
 	fifo bool
-	// slots is the capacity of the gates; 0 simulates a saturated pool.
+	// slots is the number of requests that the gates accept at a time; 0 simulates a saturated
+	// pool.
 	slots        int
 	outstanding  int
 	waiting      map[string]limitRequest
 	arrivedByOrg map[string]int
 	servedByOrg  map[string]int
 	waitsByOrg   map[string][]clock.Millis
-	// tries counts all attempts, dispatched only the first attempt of each request.
+	// tries counts all attempts, and dispatched only the first one of each request.
 	tries      int
 	dispatched int
 	requests   int
@@ -63,7 +65,8 @@
 	return r
 }
 
-// generateRequests lets requests of org arrive at rate per second with exponential gaps.
+// generateRequests makes requests of org arrive at a mean rate per second, with exponentially
+// distributed gaps.
 func (r *limitRun) generateRequests(org string, rate float64) {
 	gap := clock.Millis(r.rng.ExpFloat64() * 1000 / rate)
 	r.after(max(gap, 1), func() {
@@ -98,7 +101,7 @@
 	}
 }
 
-// try makes an attempt and retries a refused one, like the attempt loop of the entry.
+// try makes an attempt and retries it if it is refused, as the entry does.
 func (r *limitRun) try(q limitRequest, attempt int) {
 	r.tries++
 	if attempt == 0 {
@@ -150,8 +153,8 @@
 	}
 }
 
-// smallOrgStats returns the lowest ratio of served requests among the small organisations and the
-// 99th percentile of the waits of all their requests.
+// smallOrgStats returns the ratio of served to arrived requests of the small organisation with the
+// lowest ratio, and the 99th percentile of the waiting times of all small organisations' requests.
 func (r *limitRun) smallOrgStats() (minServed float64, wait clock.Millis) {
 	minServed = 1
 	var all []clock.Millis
@@ -171,8 +174,8 @@
 	return values[int(fraction*float64(len(values)-1))]
 }
 
-// benchLimit measures the service that small organisations get beside large ones, and the number of
-// attempts per request while a pool is saturated.
+// benchLimit measures how well small organisations are served while large ones send far more
+// requests, and the number of attempts per request while a pool is saturated.
 func benchLimit() (out []Figure) {
 	for _, fifo := range []bool{false, true} {
 		name := map[bool]string{false: "ours", true: "one-line"}[fifo]
--- a/bench/main.go
+++ b/bench/main.go
@@ -1,7 +1,7 @@
-// Command bench benchmarks the routing decisions in virtual time. The benchmarks use fixed seeds and
-// call the same functions as the daemons, so an unchanged build reproduces every figure to the digit.
-// The command compares the figures with the committed baselines and exits with 1 if one is outside
-// its bounds, has no baseline or is no longer measured.
+// Command bench benchmarks the decisions of the router in virtual time. The benchmarks use fixed
+// seeds and call the same functions as the daemons, so an unchanged build reproduces every figure
+// to the last digit. The command compares the figures with the committed baselines. It exits with 1
+// if a figure is outside its bounds, has no baseline or is no longer measured.
 package main
 
 import (
@@ -19,7 +19,7 @@
 	Only      string `long:"only" description:"run only benchmarks whose name begins so"`
 }
 
-// benchmark measures one decision.
+// benchmark measures one kind of decision.
 type benchmark struct {
 	name string
 	run  func() []Figure
--- a/bench/quality.go
+++ b/bench/quality.go
@@ -18,16 +18,17 @@
 const (
 	qualityRequests = 40_000
 	qualityInterval = 50 * clock.Millis(1) // between two requests
-	judgeErrorRatio = 0.05                 // ratio of wrong judgements
+	judgeErrorRatio = 0.05                 // fraction of first answers of cascades that get a wrong score
 )
 
-// qualityCase is one route with the true quality of its models.
+// qualityCase is one route with the configured and the true qualities of its models.
 type qualityCase struct {
 	name    string
 	target  float64
 	cascade bool
 	explore float64
-	// prior is the quality that operators configure, truth the quality that raters find, by model.
+	// prior is the quality of each model as operators configure it, truth the quality as raters
+	// find it.
 	prior map[string]float64
 	truth map[string]float64
 }
@@ -78,10 +79,12 @@
 	return c.truth[model]
 }
 
-// planner chooses the plan of a request.
+// planner chooses the plan of a request: the version to run and, for a cascade, the one to escalate
+// to.
 type planner func(v *view.View, q choice.PlanQuery) quality.Plan
 
-// qualityRun serves requests with one planner; ratings arrive after ratingDelay.
+// qualityRun simulates requests whose plans come from one planner. Ratings of answers arrive after
+// ratingDelay.
 type qualityRun struct {
 	c              qualityCase
 	rng            *rand.Rand
@@ -104,7 +107,7 @@
 	r.quality.Reduce(e, deltas)
 }
 
-// run returns the mean cost and the mean quality delivered.
+// run returns the mean cost and the mean quality of the delivered answers.
 func (r *qualityRun) run(plan planner) (cost, meanQuality float64) {
 	for i := range qualityRequests {
 		now := clock.Millis(i+1) * qualityInterval
@@ -148,7 +151,8 @@
 	r.totalQuality += score
 }
 
-// drawScore draws the score of one answer: 1 with the true quality as probability, else 0.
+// drawScore draws the score of one answer: 1 with a probability of the version's true quality,
+// otherwise 0.
 func (r *qualityRun) drawScore(version string) float64 {
 	if r.rng.Float64() < r.c.trueQuality(version) {
 		return 1
@@ -176,8 +180,8 @@
 	return func(*view.View, choice.PlanQuery) quality.Plan { return p }
 }
 
-// oracle returns the cheapest plan that meets the target, given the true qualities and the error ratio
-// of the judge.
+// oracle returns the cheapest plan that meets the target. It knows the true qualities and
+// judgeErrorRatio, unlike the planner under test.
 func (r *qualityRun) oracle() quality.Plan {
 	best, minCost := quality.Plan{First: "large@1"}, math.Inf(1)
 	for first := range modelCosts {
@@ -201,7 +205,7 @@
 	return best
 }
 
-// benchQuality measures mean cost and how far quality falls short of the target.
+// benchQuality measures the mean cost and how far the mean quality is below the target.
 func benchQuality() (out []Figure) {
 	for _, c := range qualityCases {
 		measure := func(name string, r *qualityRun, p planner) {
--- a/bench/queue.go
+++ b/bench/queue.go
@@ -6,7 +6,8 @@
 	"github.com/parsleydeal/parsleydeal/clock"
 )
 
-// scheduler runs functions in virtual time, ordered by due time and then by order of scheduling.
+// scheduler runs functions in virtual time, in the order of their due times. Functions due at the
+// same time run in the order in which they were scheduled.
 type scheduler struct {
 	now     clock.Millis
 	events  eventHeap
@@ -35,18 +36,18 @@
 	return x
 }
 
-// after schedules f for delay from now; a negative delay counts as 0.
+// after schedules f to run after a delay; a negative delay counts as 0.
 func (s *scheduler) after(delay clock.Millis, f func()) {
 	s.lastSeq++
 	heap.Push(&s.events, scheduledEvent{s.now + max(delay, 0), s.lastSeq, f})
 }
 
-// runUntil runs all events that are due by until and sets the time to until.
-func (s *scheduler) runUntil(until clock.Millis) {
-	for len(s.events) > 0 && s.events[0].at <= until {
+// runUntil runs all functions that are due at end or earlier, and then sets the time to end.
+func (s *scheduler) runUntil(end clock.Millis) {
+	for len(s.events) > 0 && s.events[0].at <= end {
 		e := heap.Pop(&s.events).(scheduledEvent)
 		s.now = e.at
 		e.run()
 	}
-	s.now = until
+	s.now = end
 }
--- a/bench/rollout.go
+++ b/bench/rollout.go
@@ -24,7 +24,7 @@
 	rolloutRate     = 17.0 // requests per second at each entry
 	rolloutShare    = 0.1  // traffic share of the new version
 	rolloutStep     = 100 * clock.Millis(1)
-	reportLossRatio = 0.1 // ratio of lost reports to judges
+	reportLossRatio = 0.1 // ratio of lost count messages to judges
 	reportDelay     = 300 * clock.Millis(1)
 	logDelay        = 500 * clock.Millis(1)
 	firstTokenDelay = 300 * clock.Millis(1)
@@ -32,7 +32,7 @@
 	answerDuration  = 3 * clock.Second
 	ratingDelay     = 5 * clock.Second
 	ratingLossRatio = 0.2  // ratio of lost ratings
-	ratedRatio      = 0.25 // ratio of rated answers in falseHolds
+	ratedRatio      = 0.25 // ratio of answers that are rated in falseHolds
 	orgCount        = 10
 	newVersion      = "draft@2"
 	oldVersion      = "draft@1"
@@ -47,16 +47,17 @@
 	startsAt clock.Millis
 	// org limits the fault to one organisation by index; -1 means all.
 	org int
-	// allVersions applies the fault to the old version too.
+	// allVersions makes the old version fail in the same way.
 	allVersions bool
 }
 
-// policy selects the rule that holds a version.
+// policy is the rule by which a faulty version is held, that is, no longer used. A judge is a node
+// that sums the outcome counts of a version from all entries and decides on its hold.
 type policy int
 
 const (
-	sequential policy = iota // judges that combine the evidence of all entries
-	perNode                  // a threshold at each entry, see recordPerNode
+	sequential policy = iota // production: judges decide
+	perNode                  // baseline: each entry decides from its own counts, see recordPerNode
 )
 
 const (
@@ -84,7 +85,7 @@
 	rollout  rollout.State
 	holds    *rollout.Holds
 	sampler  *quality.Sampler
-	// nodeRequests, nodeErrors and nodeHeld are used by the perNode policy only.
+	// nodeRequests, nodeErrors and nodeHeld are used only with the perNode policy.
 	nodeRequests int
 	nodeErrors   int
 	nodeHeld     bool
@@ -128,8 +129,8 @@
 	r.events[t] = append(r.events[t], f)
 }
 
-// run simulates until all entries hold the new version or until horizon. It returns the number of
-// requests exposed to the fault: those that the faulty new version served.
+// run simulates until the new version is held at all entries, or until horizon. It returns the
+// number of requests that the new version served while it was faulty.
 func (r *rolloutRun) run(horizon clock.Millis) (exposed int) {
 	for r.now = rolloutStep; r.now < horizon; r.now += rolloutStep {
 		for _, f := range r.events[r.now] {
@@ -214,8 +215,9 @@
 	}
 }
 
-// recordPerNode implements the baseline policy: a node holds the version on its own once more than
-// 10% of its requests failed, with at least 20 counted. Counts restart after 50 requests.
+// recordPerNode implements the baseline policy: an entry holds the version for itself once more
+// than 10% of its requests failed, if at least 20 were counted. The counts restart after 50
+// requests.
 func (r *rolloutRun) recordPerNode(e *rolloutEntry, failed bool) {
 	const minRequests, maxRequests, maxErrorRatio = 20, 50, 0.1
 	e.nodeRequests++
@@ -230,7 +232,7 @@
 	}
 }
 
-// reduce passes an event to the reducers in the same order as control.
+// reduce passes an event to the reducers in the order in which package control does.
 func (r *rolloutRun) reduce(e *rolloutEntry, ev event.Event) {
 	if r.policy == perNode {
 		return
@@ -249,8 +251,8 @@
 	r.reportCounts(e, ev)
 }
 
-// reportCounts sends the entry's counts to the judges that its count reporter selects; a fraction of
-// the messages is lost.
+// reportCounts sends the entry's outcome counts to the judges that its count reporter selects. A
+// fraction reportLossRatio of the messages is lost.
 func (r *rolloutRun) reportCounts(e *rolloutEntry, ev event.Event) {
 	for _, f := range e.counts.Reduce(ev, e.evidence.Report(), r.members) {
 		x, ok := f.(event.Exchange)
@@ -294,13 +296,14 @@
 	{name: "one-organisation", errorRatio: 0.5, meanRating: goodMeanRating, org: 3},
 }
 
-// rolloutSeeds maps the number of entries to the number of runs averaged. With few entries there are
-// few requests, so a single run varies too much.
+// rolloutSeeds maps the number of entries to the number of runs to average. Fleets with few entries
+// serve few requests, so their single runs vary too much.
 var rolloutSeeds = map[int]int{3: 8, 30: 2, 380: 1}
 
-// meanOverSeeds simulates a fault under a policy with several seeds. It returns the means of the
-// exposed requests and of the time in ms from the fault to the hold (to horizon if there was none),
-// and the fraction of runs in which org-0 was held too.
+// meanOverSeeds simulates a fault under a policy with several seeds. It returns the mean number of
+// requests that were exposed to the fault, the mean time in ms from the fault to the hold (to
+// horizon if there was none), and the fraction of runs in which the version was also held for
+// org-0.
 func meanOverSeeds(n int, f fault, p policy, horizon clock.Millis) (exposed, heldAfter, heldForOthers float64) {
 	seeds := rolloutSeeds[n]
 	for seed := range seeds {
@@ -317,7 +320,8 @@
 	return exposed / k, heldAfter / k, heldForOthers / k
 }
 
-// benchRollout measures the requests exposed to a fault before the hold, and false holds.
+// benchRollout measures how many requests are exposed to a fault before the hold, and how many
+// holds of a version without a fault there are.
 func benchRollout() (out []Figure) {
 	for _, n := range []int{3, 30, 380} {
 		horizon := clock.Millis(180) * clock.Second
@@ -349,8 +353,8 @@
 	return 0
 }
 
-// falseHolds simulates a version that stays within its limits for a long time and counts the holds by
-// the judge and by the perNode baseline.
+// falseHolds simulates a version that stays within its limits for a long time. It counts the holds
+// that the judge decides on and those of the perNode baseline.
 func falseHolds(name string, n int, errorRatio, meanRating float64) []Figure {
 	seconds := min(3600, 250_000/n)
 	r := newRolloutRun(n, fault{org: -1}, sequential)
--- a/bench/zone.go
+++ b/bench/zone.go
@@ -24,7 +24,7 @@
 	zoneSlots         = 16
 	coldSlots         = 2   // slots of a cold engine's gate
 	zoneLoadRatio     = 0.5 // fraction of all slots in use on average
-	flapLoadRatio     = 0.3 // the same while two of the three zones flap
+	flapLoadRatio     = 0.3 // zoneLoadRatio while zones flap, see benchZone
 	zoneServiceTime   = 1500 * clock.Millis(1)
 	coldFirstToken    = 900 * clock.Millis(1) // time to the first token of a cold engine
 	warmFirstToken    = 100 * clock.Millis(1)
@@ -33,7 +33,7 @@
 	zoneTimeout       = 20 * clock.Second
 )
 
-// warmingReplica is an engine behind a gate that gains one slot for each served request.
+// warmingReplica is an engine behind a gate whose slots grow by one with each served request.
 type warmingReplica struct {
 	vm      provider.VM
 	running int
@@ -71,7 +71,7 @@
 	members   membership.State
 	zonesOut  map[string]bool
 	requests  int
-	// measuring is true once the first zone changes its state.
+	// measuring is true once the figures of a scenario are being recorded.
 	measuring       bool
 	refused         int
 	firstTokenTimes []clock.Millis
@@ -103,7 +103,7 @@
 	return r
 }
 
-// updateView applies the tables now in force to an entry.
+// updateView applies the tables that are in force now to an entry.
 func (r *zoneRun) updateView(e *zoneEntry) {
 	t := &table.Tables{Pools: map[string]table.Pool{choicePool: {ColdWindow: coldSlots, FullWindow: zoneSlots}}, Zones: map[string]table.Location{}}
 	for name, out := range r.zonesOut {
@@ -120,8 +120,8 @@
 	e.view = v
 }
 
-// setZoneOut publishes a zone's state; each entry applies it within maxTableDelay. Engines of a zone
-// that comes back are cold.
+// setZoneOut publishes whether a zone is out; each entry applies the change within maxTableDelay.
+// If the zone is put back, its engines are cold.
 func (r *zoneRun) setZoneOut(name string, out bool) {
 	r.zonesOut[name] = out
 	for _, e := range r.entries {
@@ -171,7 +171,7 @@
 	}
 }
 
-// try makes an attempt and retries a refused one, like the attempt loop of the entry.
+// try makes an attempt and retries it if it is refused, as the entry does.
 func (r *zoneRun) try(e *zoneEntry, q zoneRequest, avoid map[string]bool) {
 	vm, ok := choice.SelectEndpoint(e.view, e.inflight, e.affinity, choice.Query{Pools: []string{choicePool}, Avoid: avoid, Seed: q.seed, Now: r.now})
 	if !ok || len(avoid) == maxRetries+1 || len(avoid) > 0 && !e.retries.TryRetry() {
@@ -235,11 +235,12 @@
 	}
 }
 
-// timeToSteady runs until the given time and returns how long after from the returning zone first gets
-// 90% of its even share of the requests of one second, or until-from if it never does.
-func (r *zoneRun) timeToSteady(name string, from, until clock.Millis) clock.Millis {
+// timeToSteady simulates until endAt. It returns the time from startAt to the end of the first
+// second in which the zone got at least 90% of its even share of the requests, or endAt-startAt if
+// there is no such second.
+func (r *zoneRun) timeToSteady(name string, startAt, endAt clock.Millis) clock.Millis {
 	const minShareRatio = 0.9
-	for at := from; at < until; at += clock.Second {
+	for at := startAt; at < endAt; at += clock.Second {
 		before := r.servedCounts()
 		r.runUntil(at + clock.Second)
 		total, zoneTotal := 0, r.servedByZone[name]-before[name]
@@ -247,11 +248,11 @@
 			total += n - before[z]
 		}
 		if float64(zoneTotal) >= minShareRatio*float64(total)/zoneCount {
-			r.runUntil(until)
-			return at + clock.Second - from
+			r.runUntil(endAt)
+			return at + clock.Second - startAt
 		}
 	}
-	return until - from
+	return endAt - startAt
 }
 
 func (r *zoneRun) servedCounts() map[string]int {
@@ -277,8 +278,9 @@
 	}
 }
 
-// benchZone measures refusals and the time to the first token when a zone leaves or returns and when
-// two zones flap, and the time to steady state after a return.
+// benchZone measures refusals and the time to the first token when a zone is taken out, when it is
+// put back, and when two of the three zones flap, that is, are taken out and put back again and
+// again. It also measures the time until a zone that was put back has its share of the requests.
 func benchZone() (out []Figure) {
 	for _, ramp := range []bool{true, false} {
 		name := map[bool]string{true: "ours", false: "no-ramp"}[ramp]
--- a/standin/address.go
+++ b/standin/address.go
@@ -7,31 +7,33 @@
 	"sync"
 )
 
-// Ports are below the ephemeral range that the kernel uses for outgoing connections. A connection may
-// take a port of that range after it was found free and before a daemon listens on it; the daemon
-// then fails to start with "address already in use".
+// The ports are below the range from which the kernel takes the local port of an outgoing
+// connection (the ephemeral range). A connection could otherwise take a port after it was found
+// free and before a daemon listens on it; the daemon would then fail to start with "address already
+// in use".
 const (
 	firstPort = 12000
 	lastPort  = 32000
 )
 
-// blockSize is the number of ports that a process reserves at a time. If processes chose single ports,
-// tests of several packages that run in parallel could choose the same one between a check and a
-// daemon's start. A process therefore reserves a block by listening on its first port until it exits,
-// and allocates the ports that follow; other processes find the first port in use.
+// blockSize is the number of ports that a process reserves at a time. Tests of several packages run
+// in parallel, each in its own process; if these chose single ports, two could choose the same one
+// between the check that it is free and the start of a daemon. A process therefore listens on the
+// first port of a block until it exits, and allocates the ports that follow. Other processes find
+// the first port in use and choose another block.
 const blockSize = 100
 
 var allocator struct {
 	sync.Mutex
 	// reservations listen on the first ports of the reserved blocks until the process exits.
 	reservations []net.Listener
-	// next is the port to try next, end the port after the newest block.
+	// next is the next port to try, and end the port after the block that was reserved last.
 	next int
 	end  int
 }
 
-// FreeAddress returns a loopback address on which nothing listens. It returns no address twice in a
-// process, nor in two processes that run at the same time.
+// FreeAddress returns a loopback address on which nothing listens. Neither the same process nor
+// another one that runs at the same time is given the address again.
 func FreeAddress() (address string) {
 	allocator.Lock()
 	defer allocator.Unlock()
@@ -50,8 +52,8 @@
 	}
 }
 
-// reserveBlock reserves a block that no other process holds. Earlier blocks remain reserved, as their
-// addresses are still in use.
+// reserveBlock reserves a block that no other process has reserved. Earlier blocks remain reserved,
+// as their addresses are still in use.
 func reserveBlock() {
 	for {
 		first := firstPort + blockSize*rand.IntN((lastPort-firstPort)/blockSize)
--- a/standin/address_test.go
+++ b/standin/address_test.go
@@ -27,16 +27,16 @@
 	}
 }
 
-// Guards against "address already in use" when tests of several packages run in parallel, each in its
-// own process: a process must not get an address that another one was given, even before anything
-// listens on it.
+// Guards against "address already in use" when tests of several packages run in parallel, each in
+// its own process: a process must not get an address that another one was given, even if nothing
+// listens on it yet.
 func TestProcessesShareNoAddresses(t *testing.T) {
 	is := is.New(t)
 	if n := os.Getenv("DRAW_ADDRESSES"); n != "" {
 		for range 150 {
 			fmt.Println("drawn", FreeAddress())
 		}
-		time.Sleep(time.Second) // the blocks are reserved until the process exits
+		time.Sleep(time.Second) // keeps its block reserved while the other process allocates addresses
 		return
 	}
 	seen := make(map[string]bool)
--- a/standin/cache.go
+++ b/standin/cache.go
@@ -7,17 +7,18 @@
 )
 
 const (
-	// maxSessions bounds the sessions whose cache an engine stores.
+	// maxSessions bounds the number of KV caches that an engine stores.
 	maxSessions = 1024
-	// cachedSpeedup divides the delay of the first token for a session with a cache.
+	// cachedSpeedup is the factor by which the first token comes sooner if the engine has the
+	// session's cache.
 	cachedSpeedup = 4
-	// cacheBytes is the size of each cache.
+	// cacheBytes is the size of each KV cache.
 	cacheBytes = 600 << 10
 )
 
-// caches holds the KV caches of an engine by session and version.
+// caches holds the KV caches of an engine, by session and version.
 type caches struct {
-	// entries has at most maxSessions entries; further sessions are not cached.
+	// entries has at most maxSessions caches; those of further sessions are not stored.
 	entries map[string][]byte
 	imports int
 }
@@ -29,7 +30,7 @@
 	return e.caches.imports
 }
 
-// cached reports whether the engine has a session's cache, and stores one if it has not.
+// cached reports whether the engine has a session's cache. If not, it stores one.
 func (e *Engine) cached(session, version string) (hit bool) {
 	if session == "" {
 		return false
--- a/standin/cold.go
+++ b/standin/cold.go
@@ -1,6 +1,7 @@
 package standin
 
-// coldStart models an engine with a low capacity after its start. The zero value has no limit.
+// coldStart models an engine that can serve only a few requests at once after its start. The zero
+// value has no limit.
 type coldStart struct {
 	// capacity is the number of concurrent requests that the engine can serve now. Each request served
 	// adds one, up to maxCapacity. The engine crashes when more than twice as many run.
@@ -10,9 +11,9 @@
 	crashes     int
 }
 
-// SetColdStart simulates a cold start: the engine serves initial requests at once, and one more for
-// each request that it has served, up to maxCapacity. When it gets more than twice its capacity it
-// crashes: all its streams break and its capacity is initial again.
+// SetColdStart simulates a cold start: the engine serves up to initial requests at once, and one
+// more after each request that it has served, up to maxCapacity. When more than twice that many
+// run, it crashes: all its streams break and its capacity is reset to initial.
 func (e *Engine) SetColdStart(initial, maxCapacity int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -26,8 +27,8 @@
 	return e.cold.crashes
 }
 
-// admit returns the generation that runs a new request. It returns false when the request makes the
-// engine crash.
+// admit returns the engine's current generation, in which the new request runs. It returns false
+// when the request makes the engine crash.
 func (e *Engine) admit() (generation uint64, ok bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -16,7 +16,7 @@
 
 // EngineFaults are the failures to simulate in an engine.
 type EngineFaults struct {
-	// BreakAfter disconnects every stream after that many tokens; 0 disconnects none.
+	// BreakAfter breaks the connection of every stream after that many tokens; 0 breaks none.
 	BreakAfter int
 	// Refuse answers every request with 503.
 	Refuse bool
@@ -26,7 +26,7 @@
 	Stall bool
 	// ToolCall sends a tool call instead of the answer's second token.
 	ToolCall bool
-	// BreakVersion disconnects every stream of that version at its first token.
+	// BreakVersion breaks the connection of every stream of that version at its first token.
 	BreakVersion string
 }
 
@@ -44,7 +44,7 @@
 	refused    atomic.Int64
 	mu         sync.Mutex
 	faults     EngineFaults
-	// runs counts the starts by request ID.
+	// runs counts how often each request was started, by its ID.
 	runs map[string]int
 	// generation increases with each restart or crash.
 	generation uint64
@@ -53,8 +53,8 @@
 	caches     caches
 }
 
-// NewEngine returns an engine that sends its first token after firstDelay and then one token each
-// tokenInterval. Each answer has that many tokens.
+// NewEngine returns an engine that sends its first token after firstDelay and a further one every
+// tokenInterval. Each answer has the given number of tokens.
 func NewEngine(firstDelay, tokenInterval clock.Millis, tokens int) *Engine {
 	return &Engine{firstDelay: firstDelay, tokenInterval: tokenInterval, tokens: tokens, generation: 1, runs: make(map[string]int)}
 }
@@ -129,7 +129,8 @@
 	Role       string   `json:"role"`
 }
 
-// engineRequest is a chat request with the fields that resume an answer.
+// engineRequest is a chat request with the additional fields with which a router resumes a broken
+// answer.
 type engineRequest struct {
 	chat.Request
 	ResumeAfter int    `json:"resume_after"`
@@ -202,8 +203,8 @@
 	}
 }
 
-// stream sends the tokens; a resumed request gets those from ResumeAfter on. It returns false when the
-// request was cancelled.
+// stream sends the tokens of an answer; for a resumed request it starts at token ResumeAfter. It
+// returns false when the request was cancelled.
 func (e *Engine) stream(w http.ResponseWriter, r *http.Request, req *engineRequest) (complete bool) {
 	for i := req.ResumeAfter; i < e.tokens; i++ {
 		faults := e.currentFaults()
@@ -233,8 +234,8 @@
 // Token returns token i of an answer, counting from 0.
 func Token(i int) string { return fmt.Sprintf("w%d ", i) }
 
-// echoPrefix precedes a word in a prompt that the engine returns as its first token, so that a caller
-// can match an answer to its request.
+// echoPrefix marks a word of the prompt that the engine returns as its first token, so that a
+// caller can match an answer to its request.
 const echoPrefix = "echo:"
 
 func tokenOf(req *engineRequest, i int) string {
@@ -286,13 +287,15 @@
 	_ = http.NewResponseController(w).Flush()
 }
 
-// orders is the state that an engine's orders have set.
+// orders holds the orders that an engine executed and the state that they set.
 type orders struct {
-	// managed is true after Manage. Before, the engine reports no versions and answers for any.
+	// managed is true after Manage was called. Before that, the engine reports no versions and
+	// serves requests for any version.
 	managed bool
 	loaded  []string
 	role    string
-	// checksFence is true if orders with a fence below the highest seen are refused.
+	// checksFence makes the engine refuse orders whose fence is lower than the highest fence so
+	// far.
 	checksFence bool
 	fence       int64
 	// executed lists the executed orders, oldest first.
@@ -314,8 +317,8 @@
 	return append([]string{}, o.loaded...)
 }
 
-// Manage makes the engine report exactly these versions as loaded. If checksFence is set, the engine
-// refuses orders with a fence below the highest seen.
+// Manage makes the engine report exactly these versions as loaded. If checksFence is set, the
+// engine refuses orders whose fence is lower than the highest fence so far.
 func (e *Engine) Manage(checksFence bool, versions ...string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/standin/plain.go
+++ b/standin/plain.go
@@ -10,9 +10,10 @@
 	"github.com/google/uuid"
 )
 
-// PlainFaults are the failures to simulate in a plain service.
+// PlainFaults are the failures to simulate in a plain service, that is, one that is not a model.
 type PlainFaults struct {
-	// DropConnection counts a call and closes the connection without an answer.
+	// DropConnection closes the connection of each call without an answer; the call is still
+	// counted.
 	DropConnection bool
 	// BreakAfter breaks the connection after that many bytes of the echo; 0 never does.
 	BreakAfter int64
@@ -20,7 +21,7 @@
 	Stall bool
 }
 
-// Plain is the stand-in for a plain service. It echoes bodies and counts calls.
+// Plain is the stand-in for a plain service. It echoes request bodies and counts calls.
 type Plain struct {
 	mu     sync.Mutex
 	calls  map[string]int
@@ -39,7 +40,7 @@
 	p.faults = f
 }
 
-// Calls returns how often a path was called with a method.
+// Calls returns the number of calls with this method and path.
 func (p *Plain) Calls(method, path string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -30,13 +30,15 @@
 
 // Faults are the failures to simulate in the platform.
 type Faults struct {
-	// Down refuses every call to the log.
+	// Down makes the log refuse every call.
 	Down bool `json:"down"`
-	// DropAnswers is the number of next appends that are executed but whose answers are dropped.
+	// DropAnswers is the number of appends from now on that take effect but whose answers are
+	// dropped.
 	DropAnswers int `json:"lose-answers"`
 	// DelayMillis delays every call to the log.
 	DelayMillis int64 `json:"delay-millis"`
-	// RefuseWeights is the number of next weight fetches that are refused by a rate limit.
+	// RefuseWeights is the number of weight fetches from now on that are refused as if over a rate
+	// limit.
 	RefuseWeights int `json:"refuse-weights"`
 }
 
@@ -73,7 +75,7 @@
 	p.qualities[version] = q
 }
 
-// Expire removes a stream's records below an offset, as retention does.
+// Expire removes a stream's records with offsets below first, as happens when their retention ends.
 func (p *Platform) Expire(name string, first int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -120,7 +122,8 @@
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// injectFault applies the log's delay and outage and reports whether it has answered the call.
+// injectFault applies DelayMillis and Down to a call to the log. It returns true if it has answered
+// the call.
 func (p *Platform) injectFault(w http.ResponseWriter) (answered bool) {
 	p.mu.Lock()
 	f := p.faults
--- a/standin/rater.go
+++ b/standin/rater.go
@@ -5,8 +5,8 @@
 	"github.com/parsleydeal/parsleydeal/provider"
 )
 
-// score returns 1 for a fraction of the answers that equals the version's true quality, and 0 for the
-// others. The hash of request and version selects them, so that runs are repeatable.
+// score rates an answer with 1 or 0, so that the fraction of answers rated 1 is the version's true
+// quality. It uses a hash of request and version, so that a repeated run gets the same ratings.
 func (p *Platform) score(s provider.Sample) float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
