--- a/proof/bill_test.go
+++ b/proof/bill_test.go
@@ -9,15 +9,16 @@
 	"pgregory.net/rapid"
 )
 
-// largeBound is a bound that holders do not reach during an outage of the log.
+// largeBound is a bound of the waiting bills that is never reached during an outage of the log.
 const largeBound = 300
 
-// recoveryTime is the time after which all bills are safe again when a VM was lost and the log is up.
-// It covers the delay of the VM list, the takeover by the keeper and the backoff of appends.
+// recoveryTime is the time after which every bill is safe again, on the log or with two copies,
+// when a VM was lost and the log is up. It covers the delay of the VM list, the takeover of the
+// bills and the backoff of appends.
 const recoveryTime = 30 * clock.Second
 
-// billingMachine is the state machine for a fleet's bills. It loses one VM at a time, since a bill may
-// be lost when both of its holders are lost at once; that limit is documented.
+// billingMachine is the state machine for a fleet's bills. It loses only one VM at a time: the
+// documentation excludes the loss of both processes that have a copy of a bill.
 type billingMachine struct {
 	*fleet
 	t        *rapid.T
@@ -71,7 +72,8 @@
 	b.waitForDrain(p)
 }
 
-// waitForDrain ends a process once its bills have other copies and no request holds a reservation.
+// waitForDrain ends a stopping process once other processes have copies of all its bills and no
+// request has reserved room for a bill.
 func (b *billingMachine) waitForDrain(p *process) {
 	if p.up && p.ledger.Replicated() && p.ledger.Reserved() == 0 {
 		p.up = false
@@ -120,9 +122,9 @@
 	b.checkViolation()
 }
 
-// Guards against lost, repeated and mixed-up bills: after a complete answer the entry or the other
-// holder is lost while the log is down, slow or loses its replies. Each answered request must have
-// exactly one bill, with its own cost.
+// Guards against lost, repeated and mixed-up bills. After a complete answer, the entry or the
+// process with the other copy of the bill is lost while the log is down, slow or loses its replies.
+// Each answered request must have exactly one bill, with its own cost.
 func TestReleasedRequestsAreBilledExactlyOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		bound := rapid.SampledFrom([]int{4, 20, 100, 1000}).Draw(t, "bound")
@@ -144,8 +146,8 @@
 	})
 }
 
-// Guards against repeated bills when the log takes an append but its reply is lost. A batcher that
-// resent the batch without reading the log first would append every such batch twice.
+// Guards against repeated bills when the log stores an append but its reply is lost. A batcher that
+// sent the batch again without reading the log first would store every such batch twice.
 func TestLostAnswersPutNoBillOnTheLogTwice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(rapid.Uint64().Draw(t, "seed"), 3, 1, 1000)
--- a/proof/claim_test.go
+++ b/proof/claim_test.go
@@ -13,11 +13,12 @@
 	"pgregory.net/rapid"
 )
 
-// trackerBound is small, so that the endpoint's tracker evicts attempts.
+// trackerBound is the number of attempts that an endpoint's tracker retains. It is small, so that
+// the tracker evicts attempts.
 const trackerBound = 6
 
-// endpoint is an endpoint with the production attempt tracker. A restart clears it and starts a new
-// epoch.
+// endpoint is an endpoint with the production attempt tracker. A restart clears the tracker and
+// increments the epoch.
 type endpoint struct {
 	vm       string
 	epoch    uint64
@@ -30,7 +31,7 @@
 	ep.tracker, ep.retained = answer.NewAttemptTracker(trackerBound), make(map[string]bool)
 }
 
-// claimer is a process that makes claims, with the production batcher and claim state.
+// claimer is an entry that makes claims, with the production batcher and claim state.
 type claimer struct {
 	machine  *callMachine
 	batcher  *batch.Batcher
@@ -39,16 +40,16 @@
 	pausedTo clock.Millis
 }
 
-// callMachine is the state machine for calls with a key, which must not run twice.
+// callMachine is the state machine for calls with an idempotency key, which must run at most once.
 type callMachine struct {
 	*simulation
 	t         *rapid.T
 	endpoints []*endpoint
 	claimers  []*claimer
 	lastID    int
-	// runs counts the runs of the call of each key.
+	// runs counts the runs of calls by key.
 	runs map[string]int
-	// notRun holds the attempts that were reported to the entry as not run.
+	// notRun names the attempts that were reported to an entry as not run.
 	notRun    []string
 	started   map[string]bool
 	violation string
@@ -68,7 +69,7 @@
 	return c
 }
 
-// startEntry starts an entry at index i and drops the one that was there.
+// startEntry starts an entry at index i in place of the one that was there.
 func (c *callMachine) startEntry(i int) {
 	c.lastID++
 	cl := &claimer{machine: c, batcher: batch.NewBatcher(fmt.Sprintf("entry-%d", c.lastID), 20), state: claim.NewState(0, claim.MaxKeys), waiting: make(map[string]func(int64))}
@@ -80,7 +81,7 @@
 	cl.tick()
 }
 
-// current reports whether the entry is running, that is, not replaced.
+// current reports whether the entry is still running; it ends when another entry replaces it.
 func (cl *claimer) current() bool {
 	for _, x := range cl.machine.claimers {
 		if x == cl {
@@ -90,7 +91,8 @@
 	return false
 }
 
-// do runs a function in the entry once it is not paused, or never if the entry has been replaced.
+// do runs a function in the entry, after its pause if it is paused, or never if the entry has been
+// replaced.
 func (cl *claimer) do(run func()) {
 	if cl.current() && cl.machine.now < cl.pausedTo {
 		cl.machine.after(cl.pausedTo-cl.machine.now, func() { cl.do(run) })
@@ -159,7 +161,7 @@
 	cl.do(r.try)
 }
 
-// try starts the next attempt with a claim.
+// try starts the next attempt: it claims the key for it.
 func (r *call) try() {
 	r.attempt++
 	ep := r.claimer.machine.endpoints[r.claimer.machine.rng.IntN(3)]
@@ -176,7 +178,8 @@
 	cl.updateBatcher(batch.Add{Now: cl.machine.now, Entries: []batch.Entry{{ID: id, Claim: x}}})
 }
 
-// readClaims reads the log up to the claim at offset and looks up the holder of the key.
+// readClaims reads the log up to the claim at offset, looks up which claim holds the key and
+// decides how to continue.
 func (r *call) readClaims(x *wire.Claim, offset int64) {
 	cl, c := r.claimer, r.claimer.machine
 	for cl.state.Next() <= offset {
@@ -194,7 +197,7 @@
 		c.violation = "at-most-once: the key has a claim on the log but no holder"
 		return
 	}
-	// The caller's goroutine may be slow to run.
+	// The goroutine that continues the call may be slow to run.
 	c.after(c.delay(400), func() { cl.do(func() { r.decide(x, holder, at) }) })
 }
 
@@ -229,8 +232,8 @@
 	return nil
 }
 
-// dispatch sends the attempt to its endpoint, which may receive it late. The reply of a run that
-// started is lost.
+// dispatch sends the attempt to its endpoint, which may receive it late. If the endpoint runs it,
+// the entry never gets the reply.
 func (r *call) dispatch(x *wire.Claim, at int64) {
 	c := r.claimer.machine
 	c.after(c.delay(3000), func() {
@@ -261,7 +264,8 @@
 	})
 }
 
-// handleRefusal handles a refusal by the gate: the entry retries elsewhere if the attempt did not run.
+// handleRefusal handles a refusal by the endpoint: if the attempt did not run, the entry makes
+// another attempt.
 func (r *call) handleRefusal(name string, run refusal.Run) {
 	if run == refusal.NotRun {
 		r.claimer.machine.notRun = append(r.claimer.machine.notRun, name)
@@ -269,7 +273,8 @@
 	}
 }
 
-// revokeHolder asks the endpoint of the holder to refuse the holder's attempt from now on.
+// revokeHolder revokes the attempt whose claim holds the key: its endpoint will no longer run it.
+// The reply of the endpoint decides how the call continues.
 func (r *call) revokeHolder(x, holder *wire.Claim, at int64) {
 	c, cl := r.claimer.machine, r.claimer
 	c.after(c.delay(200), func() {
@@ -308,9 +313,9 @@
 	}
 }
 
-// Guards against a call with a key, such as the payment of a fee, that runs twice: its caller gets no
-// reply and repeats it at another entry while entries pause or crash, endpoints restart, and the log
-// is down or loses replies.
+// Guards against a call with an idempotency key, such as the payment of a fee, that runs twice. The
+// caller gets no reply and repeats the call at another entry, while entries pause or crash,
+// endpoints restart, and the log is down or loses replies.
 func TestKeyedCallRunsAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newCallMachine(t)
@@ -336,8 +341,8 @@
 	})
 }
 
-// Guards against unbounded memory when the log has claims of more keys than a process retains, and
-// against the eviction of a key that is among the latest claims.
+// Guards against unbounded memory when the log has claims of more keys than a process may retain.
+// The keys of the latest claims must not be evicted.
 func TestClaimsAreBounded(t *testing.T) {
 	const bound = 8
 	rapid.Check(t, func(t *rapid.T) {
--- a/proof/config_test.go
+++ b/proof/config_test.go
@@ -14,8 +14,8 @@
 	"pgregory.net/rapid"
 )
 
-// reader is one process that reads the configuration stream, with the production table and checkpoint
-// reducers and the offset that it reads next.
+// reader is one process that reads the configuration stream, with the production reducers for
+// tables and checkpoints, and the offset of the record to read next.
 type reader struct {
 	name        string
 	tables      table.State
@@ -30,7 +30,7 @@
 	now       clock.Millis
 	records   [][]byte
 	writtenAt []clock.Millis
-	// firstOffset is the lowest offset that the log still has.
+	// firstOffset is the offset of the oldest record that the log retains.
 	firstOffset int64
 	readers     []*reader
 	starts      int
@@ -62,7 +62,8 @@
 	c.writtenAt = append(c.writtenAt, c.now)
 }
 
-// publish appends a change based on the revision of a random reader, which may be outdated.
+// publish appends a change that is based on the revision of a random process, which may be
+// outdated.
 func (c *configMachine) publish() {
 	r := c.anyReader()
 	c.changes++
@@ -85,7 +86,7 @@
 	c.sent = append(c.sent, []byte(change))
 }
 
-// resend repeats an earlier change, as an operator does when the reply was lost.
+// resend appends an earlier change again, as an operator does when the reply was lost.
 func (c *configMachine) resend() {
 	if len(c.sent) == 0 {
 		c.t.Skip("nothing was sent")
@@ -119,8 +120,8 @@
 	}
 }
 
-// checkOutcome checks the invariants never-reverts, checkpoint-moves-no-revision, accepted-once and
-// racing-changes-have-one-winner after a process has applied a record.
+// checkOutcome checks, after a process has applied a record, the invariants never-reverts,
+// checkpoint-moves-no-revision, accepted-once and racing-changes-have-one-winner.
 func (c *configMachine) checkOutcome(r *reader, o table.Outcome) {
 	if r.tables.Revision() < r.revision {
 		c.t.Fatalf("never-reverts: %s went from revision %d to %d", r.name, r.revision, r.tables.Revision())
@@ -144,7 +145,8 @@
 
 func (c *configMachine) readSome() { c.read(c.anyReader(), rapid.IntRange(1, 20).Draw(c.t, "records")) }
 
-// importState lets one process import a peer's state, as a process does when it cannot read the log.
+// importState makes one process import the state of another, as a process does when it cannot read
+// the log.
 func (c *configMachine) importState() {
 	from, to := c.anyReader(), c.anyReader()
 	if saved, ok := from.tables.Checkpoint(); ok {
@@ -161,8 +163,9 @@
 	}
 }
 
-// advance runs the given number of minutes. In each minute all processes read the stream and run their
-// checkpoint reducers, and the log drops records older than the retention.
+// advance advances the time by the given number of minutes. In each minute all processes read the
+// stream and run their checkpoint reducers, and the log drops the records that are older than the
+// retention.
 func (c *configMachine) advance(minutes int) {
 	var vms []provider.VM
 	for _, r := range c.readers {
@@ -175,7 +178,8 @@
 			r.checkpoints.Reduce(event.VMsListed{VMs: vms}, &r.tables)
 			r.checkpoints.Reduce(event.LogRead{Stream: provider.ConfigStream, Page: provider.Page{First: c.firstOffset}}, &r.tables)
 			for _, e := range r.checkpoints.Reduce(event.Tick{Now: c.now}, &r.tables) {
-				// A change may be appended between a process's last read and its checkpoint.
+				// Appends a change after the process has last read the log and before its
+				// checkpoint.
 				if !c.publishingEnded && rapid.IntRange(0, 2).Draw(c.t, "race") == 0 {
 					c.publish()
 				}
@@ -212,8 +216,8 @@
 	return data
 }
 
-// settle checks the invariant in-force-everywhere: a process that starts at the end reaches the same
-// revision as those that were running before.
+// settle ends the publishing and checks the invariant in-force-everywhere: a process that starts
+// now reaches the same revision as those that have been running.
 func (c *configMachine) settle() {
 	c.publishingEnded = true
 	c.advance(5)
@@ -231,9 +235,9 @@
 	c.checkAgreement()
 }
 
-// Guards against a process that returns to an older revision and against processes that disagree.
-// Operators publish concurrently and resend changes, records are damaged, processes start, stop and
-// lag behind, and the log drops records older than its retention.
+// Guards against a process that returns to an older revision, and against processes that disagree.
+// Operators publish concurrently and resend changes, some records are damaged, processes start,
+// stop and lag behind, and the log drops records older than its retention.
 func TestConfigurationNeverReverts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := &configMachine{t: t, accepted: make(map[string]int64), bases: make(map[string]int64)}
--- a/proof/fleet_test.go
+++ b/proof/fleet_test.go
@@ -48,9 +48,9 @@
 	seq     int
 	timers  timers
 	streams map[string][][]byte
-	// logDown makes the log refuse appends and reads. lostReplies is the number of coming appends
-	// that take effect but whose replies are lost, delayedAppends the number of those that take
-	// effect only after the caller has timed out.
+	// logDown makes the log refuse appends and reads. Of the next appends, delayedAppends take
+	// effect only after the caller has timed out; of those after them, lostReplies take effect
+	// without a reply.
 	logDown                     bool
 	lostReplies, delayedAppends int
 	appends                     int
@@ -84,8 +84,8 @@
 	return int64(len(sim.streams[stream]) - 1)
 }
 
-// append calls end with the offset of the record. If the append was refused or its reply lost, the
-// offset is -1; unknown then reports that the record may be on the log or still get there.
+// append appends a record and calls end with its offset, or with -1 if the append failed or its
+// reply was lost. If unknown is then true, the record may be on the log or may be stored later.
 func (sim *simulation) append(stream string, data []byte, end func(offset int64, unknown bool)) {
 	sim.appends++
 	sim.after(sim.delay(30), func() {
@@ -118,7 +118,7 @@
 	return p, nil
 }
 
-// process is one node with its ledger and its batcher.
+// process is one VM's process with its ledger and its batcher.
 type process struct {
 	fleet   *fleet
 	member  batch.Member
@@ -131,7 +131,8 @@
 	pausedTo clock.Millis
 }
 
-// do runs a function in the process once it is not paused, or never if the process has ended.
+// do runs a function in the process, after its pause if it is paused, or never if the process has
+// ended.
 func (p *process) do(run func()) {
 	if p.up && p.fleet.now < p.pausedTo {
 		p.fleet.after(p.pausedTo-p.fleet.now, func() { p.do(run) })
@@ -147,9 +148,9 @@
 	*simulation
 	processes []*process
 	starts    int
-	// released maps each request whose last piece was sent to its cost.
+	// released has the cost of each request whose last piece was sent to its caller.
 	released map[string]int64
-	// violation describes the first violation of an invariant; empty means none.
+	// violation describes the first invariant that was violated; it is empty if none was.
 	violation string
 	bound     int
 }
@@ -286,8 +287,8 @@
 	}
 }
 
-// release sends the last piece of an answer. It checks the invariant released-bill-is-held-twice: the
-// bill is on the log or has copies in two zones.
+// release simulates sending the last piece of an answer. It checks the invariant
+// released-bill-is-held-twice: at that time the bill is on the log or has copies in two zones.
 func (f *fleet) release(p *process, request string) {
 	f.released[request] = costOf(request)
 	if f.onLog(request) {
@@ -295,8 +296,8 @@
 	}
 	zones := make(map[string]bool)
 	for _, q := range f.processes {
-		// A holder that was lost while its reply was in transit counts: the keeper replaces its
-		// copy.
+		// A process that was lost after it had stored a copy still counts for HoldTimeout: its
+		// reply may have been in transit, and the process that made the bill will replace the copy.
 		if (q.up || q.lostAt > 0 && f.now-q.lostAt <= bill.HoldTimeout) && q.contains(request) {
 			zones[q.member.Zone] = true
 		}
@@ -331,7 +332,7 @@
 	}
 }
 
-// costOf derives a request's cost from its ID.
+// costOf derives a request's cost from its ID, so that mixed-up bills are detected.
 func costOf(request string) (cost int64) {
 	for _, c := range []byte(request) {
 		cost = cost*7 + int64(c)
@@ -339,7 +340,8 @@
 	return cost % 1000
 }
 
-// request runs one request at a process: it reserves room for a bill, dispatches and then bills.
+// request simulates one request at a process: it reserves room for a bill, runs the request and
+// then makes the bill.
 func (f *fleet) request(p *process, id string) {
 	p.do(func() {
 		if p.ledger.Reserve() != nil {
@@ -354,8 +356,9 @@
 	})
 }
 
-// checkBilled checks the invariant billed-exactly-once for all released requests and returns the number
-// of repeated bills on the log. The log must have been up long enough to take all waiting bills.
+// checkBilled checks the invariant billed-exactly-once: each released request has one bill, with
+// its own cost. It returns the number of repeated bills on the log. Call it only when the log has
+// been up for long enough that every waiting bill is on it.
 func (f *fleet) checkBilled() (repeats int64) {
 	s := bill.NewStatement()
 	for o, data := range f.streams[provider.BillStream] {
