--- a/account/account.go
+++ b/account/account.go
@@ -1,5 +1,5 @@
-// Package account summarises the outcomes of requests from the log lines of entries, by route, by
-// second and by cause, with the time that each cause took.
+// Package account summarises the outcomes of requests from the log lines of entries: by route, by
+// second and by cause, with the total time of the requests of each cause.
 package account
 
 import (
@@ -21,8 +21,8 @@
 	Route string
 	// Cause is Answered, or why the request was not answered in time.
 	Cause string
-	// Took is the total time at the entry, FirstByte the time to the first byte, 0 if there was
-	// none.
+	// Took is the total time at the entry. FirstByte is the time to the first byte, or 0 if there
+	// was none.
 	Took      clock.Millis
 	FirstByte clock.Millis
 	// Phases holds the durations of the phases of an answered request. It is nil if the line does
@@ -32,8 +32,8 @@
 
 // Phases are the consecutive phases of a request.
 type Phases struct {
-	// Body is the time to read the caller's body, Placement the time from then to the start of the
-	// first attempt.
+	// Body is the time to read the caller's body. Placement is the time from then to the start of
+	// the first attempt.
 	Body      clock.Millis
 	Placement clock.Millis
 	// Connect is the time to open connections, FirstByte the remaining time until the first byte,
@@ -49,8 +49,8 @@
 	Result  string
 	Model   string
 	Elapsed clock.Millis
-	// FirstByte is the time to the first byte, 0 if there was none, and Expected its predicted
-	// value.
+	// FirstByte is the time to the first byte, or 0 if there was none. Expected is the predicted
+	// value of it.
 	FirstByte clock.Millis
 	Expected  clock.Millis
 }
@@ -59,28 +59,29 @@
 type Log struct {
 	Requests []Request
 	Attempts []Attempt
-	// Malformed counts lines of requests and attempts that lack a field or cannot be parsed. Other
-	// counts lines about anything else.
+	// Malformed counts lines about requests and attempts that lack a field or cannot be parsed.
+	// Other counts all other lines.
 	Malformed int
 	Other     int
 }
 
-// The values of Request.Cause, besides refused and failed ones, which include the error code.
+// The values of Request.Cause. Further values are those of refused and failed requests, which
+// include the error code.
 const (
-	// Answered is a request whose complete answer was sent in time.
+	// Answered means that the complete answer was sent in time.
 	Answered = "answered"
-	// LateFirstByte and LatePause are answers whose first byte came after its latency target, or
-	// that paused for longer than their route allows.
+	// LateFirstByte means that the first byte of the answer came after the latency target;
+	// LatePause, that the answer paused for longer than the route allows.
 	LateFirstByte = "late: first byte"
 	LatePause     = "late: pause"
-	// LeftByCaller is a request that ended because the caller closed its connection.
+	// LeftByCaller means that the caller closed the connection before the request ended.
 	LeftByCaller = "left by caller"
 )
 
 var fieldPattern = regexp.MustCompile(`([a-z-]+)=("(?:[^"\\]|\\.)*"|\S*)`)
 
-// Read parses the lines of a log and adds them. It fails if the log cannot be read or has a line
-// longer than explain.MaxLineBytes.
+// Read parses the lines of a log and adds their requests and attempts to l. It fails if the log
+// cannot be read or has a line longer than explain.MaxLineBytes.
 func (l *Log) Read(r io.Reader) (err error) {
 	s := bufio.NewScanner(r)
 	s.Buffer(make([]byte, 64<<10), explain.MaxLineBytes)
--- a/account/account_test.go
+++ b/account/account_test.go
@@ -7,8 +7,8 @@
 	"github.com/cockroachdb/datadriven"
 )
 
-// Logs may contain lines of other programs and truncated lines. Requests are summarised from the
-// lines that can be parsed, and the others are counted.
+// Logs may contain truncated lines and lines of other programs. The summary must include the
+// requests whose lines can be parsed, and count the other lines.
 func TestPrintSummary(t *testing.T) {
 	datadriven.RunTest(t, "testdata/hour", func(t *testing.T, d *datadriven.TestData) string {
 		l := &Log{}
@@ -23,7 +23,7 @@
 	})
 }
 
-// FuzzRead reads and prints arbitrary text, as from a log collector.
+// FuzzRead reads arbitrary text, as a log collector may deliver, and prints the summary.
 func FuzzRead(f *testing.F) {
 	f.Add("Feb 26 16:14:35.120 INFO Request answered route=chat took=2.5s first=900ms")
 	f.Add("Feb 26 16:14:36.450 INFO Attempt did not answer result=poor after=300ms")
--- a/account/print.go
+++ b/account/print.go
@@ -15,13 +15,13 @@
 	"github.com/parsleydeal/parsleydeal/clock"
 )
 
-// ErrEmpty is returned by Print for logs without any request.
+// ErrEmpty is returned by Print if no request was read.
 var ErrEmpty = errors.New("account: the logs tell of no request")
 
 // maxBarWidth is the width of the longest bar of the plot, in characters.
 const maxBarWidth = 40
 
-// Print writes the summary as text. Without any request its error is ErrEmpty.
+// Print writes the summary as text. It returns ErrEmpty if no request was read.
 func (l *Log) Print(w io.Writer) (err error) {
 	if len(l.Requests) == 0 {
 		return ErrEmpty
@@ -62,7 +62,8 @@
 	}
 }
 
-// quantile returns the q-quantile of durations, 0 for none. It sorts durations.
+// quantile returns the q-quantile of durations, or 0 if there are none. It sorts durations in
+// place.
 func quantile(durations []clock.Millis, q float64) clock.Millis {
 	if len(durations) == 0 {
 		return 0
@@ -94,7 +95,8 @@
 	took clock.Millis
 }
 
-// totalsByName groups items by name, sorted by total time in descending order.
+// totalsByName groups items by the name that of returns, and sorts the groups by total time,
+// longest first.
 func totalsByName[T any](items []T, of func(T) (name string, took clock.Millis)) (out []causeTotal) {
 	byName := make(map[string]causeTotal)
 	for _, x := range items {
@@ -153,9 +155,9 @@
 	}
 }
 
-// printPredictionErrors prints by model how far times to the first byte deviated from the
-// prediction. It covers only attempts that did not produce the answer, since only these have a log
-// line of their own.
+// printPredictionErrors prints, by model, quantiles of the time to the first byte minus its
+// predicted value. It covers only attempts that did not produce the answer, since the log has no
+// separate line for the one that did.
 func (l *Log) printPredictionErrors(w io.Writer) {
 	byModel := make(map[string][]clock.Millis)
 	for _, a := range l.Attempts {
--- a/comparison/comparison_test.go
+++ b/comparison/comparison_test.go
@@ -14,7 +14,8 @@
 	"github.com/matryer/is"
 )
 
-// An invalid plan must be rejected at once, not after an hour of plays that compare nothing.
+// An invalid plan must be rejected at once, and not after an hour of simulations whose results
+// cannot be compared.
 func TestInvalidPlansAreRejected(t *testing.T) {
 	datadriven.RunTest(t, "testdata/plans", func(t *testing.T, d *datadriven.TestData) string {
 		path := filepath.Join(t.TempDir(), "plan.toml")
@@ -32,27 +33,29 @@
 	})
 }
 
-// One day may be better by chance. The interval of few pairs must be wide enough to show this.
+// A set may be better on one day by chance. With few pairs the confidence interval must be wide
+// enough to show this.
 func TestDifferenceInterval(t *testing.T) {
 	is := is.New(t)
 	mean, half := difference([]float64{0.5, 0.6, 0.7}, []float64{0.6, 0.7, 0.8})
 	is.True(math.Abs(mean-0.1) < 1e-9 && half < 1e-9)
 	mean, half = difference([]float64{0, 0, 0}, []float64{0.1, 0, -0.1})
 	is.True(math.Abs(mean) < 1e-9)
-	is.True(math.Abs(half-0.2484) < 1e-3) // 4.303 * 0.1 / sqrt(3)
+	is.True(math.Abs(half-0.2484) < 1e-3) // 4.303 (t quantile 0.975, 2 degrees of freedom) * 0.1 / sqrt(3)
 	_, half = difference([]float64{0}, []float64{1})
 	is.True(math.IsNaN(half))
 }
 
-// Each set plays in a checkout of its own. A day that one set cannot play counts for no set.
-func TestRunPlaysEachSet(t *testing.T) {
+// Each set must be simulated in its own checkout. If the simulation of a day fails with one set,
+// the table must leave that day out for all sets.
+func TestRunSimulatesEachSet(t *testing.T) {
 	is := is.New(t)
 	repository := repositoryWith(t, "vm = \"a\"\n")
-	player := filepath.Join(t.TempDir(), "player")
+	simulator := filepath.Join(t.TempDir(), "player")
 	script := "#!/bin/sh\nmkdir -p journal; echo $2 >journal/$2-$$\n[ $2 = broken ] && grep -q by-price template.toml && exit 1\ngrep -q by-price template.toml && echo worth 0.75 || echo worth 0.5\n"
-	is.NoErr(os.WriteFile(player, []byte(script), 0o700))
+	is.NoErr(os.WriteFile(simulator, []byte(script), 0o700))
 	p := &Plan{
-		Simulator: []string{player}, Figure: `^worth ([0-9.]+)`, Template: "template.toml", Collect: []string{"journal"}, Jobs: 2,
+		Simulator: []string{simulator}, Figure: `^worth ([0-9.]+)`, Template: "template.toml", Collect: []string{"journal"}, Jobs: 2,
 		Sets:  []Set{{Name: "now", Strategies: map[string]string{"drop": "by-time"}}, {Name: "other", Strategies: map[string]string{"drop": "by-price"}}},
 		Sites: []SiteDays{{Site: "sites/one.toml", Days: []string{"calm", "busy", "broken"}}},
 	}
@@ -63,7 +66,7 @@
 	is.True(strings.Contains(progress.String(), "broken other: no figure"))
 	copied, err := filepath.Glob(filepath.Join(repository, "journal", "*"))
 	is.NoErr(err)
-	is.Equal(len(copied), 6) // including those of failed plays
+	is.Equal(len(copied), 6) // the files of failed simulations are copied too
 }
 
 func repositoryWith(t *testing.T, template string) (folder string) {
--- a/comparison/plan.go
+++ b/comparison/plan.go
@@ -1,6 +1,6 @@
-// Package comparison plays the same days with different strategies for decisions and compares the
-// results pairwise. Each set of strategies has a checkout of its own, whose settings template
-// selects them.
+// Package comparison runs simulated days with different strategies for the router's decisions and
+// compares the results pairwise. Each set of strategies has its own checkout of the repository, in
+// which the settings template selects the set.
 package comparison
 
 import (
@@ -16,47 +16,51 @@
 // Errors is the namespace of this package's errors.
 var Errors = errorx.NewNamespace("comparison")
 
-// ErrPlan is returned for a plan that cannot be read or played.
+// ErrPlan is returned for a plan that cannot be read or is not valid.
 var ErrPlan = Errors.NewType("plan")
 
-// Plan defines what is compared, and on which days.
+// Plan defines which sets of strategies are compared, and on which simulated days.
 type Plan struct {
-	// Simulator is the program that plays a day, followed by its first arguments. The site, day and
-	// seed of a play are appended to them. It runs in the checkout.
+	// Simulator is the command that simulates one day: the program and its first arguments. The
+	// site, the day and, if there is one, the seed are appended. It runs in the checkout of the
+	// set.
 	Simulator []string `toml:"player"`
-	// SeedOption is the option of the player that sets the seed.
+	// SeedOption is the command-line option of the simulator that precedes the seed.
 	SeedOption string `toml:"seed-option"`
-	// Figure is a regular expression. Its only group matches the compared figure in the player's
-	// output.
+	// Figure is a regular expression with one group, which matches the figure to compare in the
+	// simulator's output.
 	Figure string `toml:"figure"`
-	// Template is the settings template to which the strategies are appended.
+	// Template is the path of the settings template to which the set's strategies are appended.
 	Template string `toml:"template"`
-	// Collect names folders from which new files are copied out of the checkouts.
+	// Collect lists folders whose new files are copied from the checkouts to the repository after
+	// the run.
 	Collect []string `toml:"collect"`
-	// Jobs is how many plays run concurrently.
+	// Jobs is how many simulations run concurrently.
 	Jobs int `toml:"jobs"`
-	// Sets holds the sets of strategies. The first one is the baseline.
+	// Sets holds the sets of strategies. The first set is the baseline that the others are compared
+	// with.
 	Sets  []Set      `toml:"sets"`
 	Sites []SiteDays `toml:"plays"`
 
 	figure *regexp.Regexp
 }
 
-// Set is a named set of strategies, by the names of their decisions.
+// Set is a named set of strategies. The map has the strategy of each decision by the decision's
+// name.
 type Set struct {
 	Name       string            `toml:"name"`
 	Strategies map[string]string `toml:"ways"`
 }
 
-// SiteDays lists days of a site and the seeds for each of them. Without seeds each day is played once,
-// with its own seed.
+// SiteDays lists the days of a site and the seeds to simulate each of them with. Without seeds each
+// day is simulated once, with the day's own seed.
 type SiteDays struct {
 	Site  string   `toml:"site"`
 	Days  []string `toml:"days"`
 	Seeds []int64  `toml:"seeds"`
 }
 
-// ReadPlan reads a plan from a file and validates it. Its error is ErrPlan.
+// ReadPlan reads a plan from a file and validates it. All its errors are of type ErrPlan.
 func ReadPlan(path string) (p *Plan, err error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -103,11 +107,11 @@
 	return nil
 }
 
-// day is one day with one seed.
+// day is a simulated day with one seed.
 type day struct {
 	site string
 	name string
-	// seed is -1 for the seed of the day itself.
+	// seed is -1 if the day's own seed is used.
 	seed int64
 }
 
@@ -119,13 +123,13 @@
 }
 
 func (p *Plan) days() (all []day) {
-	for _, play := range p.Sites {
-		for _, name := range play.Days {
-			if len(play.Seeds) == 0 {
-				all = append(all, day{play.Site, name, -1})
+	for _, siteDays := range p.Sites {
+		for _, name := range siteDays.Days {
+			if len(siteDays.Seeds) == 0 {
+				all = append(all, day{siteDays.Site, name, -1})
 			}
-			for _, seed := range play.Seeds {
-				all = append(all, day{play.Site, name, seed})
+			for _, seed := range siteDays.Seeds {
+				all = append(all, day{siteDays.Site, name, seed})
 			}
 		}
 	}
--- a/comparison/run.go
+++ b/comparison/run.go
@@ -15,9 +15,9 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Run plays all days with all sets and writes the table to out. Checkouts are made from the HEAD of
-// repository, and progress gets the figure of each play. A play whose output has no figure is
-// reported there and left out.
+// Run simulates all days with all sets and writes the table of results to out. Checkouts are made
+// from HEAD of repository. The figure of each simulation is written to progress. A simulation whose
+// output has no figure is left out of the table, and progress says so.
 func (p *Plan) Run(ctx context.Context, repository string, out, progress io.Writer) (err error) {
 	defer func() {
 		if err != nil {
@@ -38,7 +38,7 @@
 		defer r.remove(path)
 		r.checkouts = append(r.checkouts, path)
 	}
-	r.playAll(ctx)
+	r.simulateAll(ctx)
 	if err = r.collect(); err != nil {
 		return err
 	}
@@ -53,17 +53,17 @@
 	// checkouts holds the path of each set's checkout.
 	checkouts []string
 	mu        sync.Mutex
-	// figures holds the figure of each play that printed one.
+	// figures holds the figure of each simulation that printed one.
 	figures map[cell]float64
 }
 
-// cell identifies one play: a day and the index of a set.
+// cell identifies one simulation: a day and the index of a set.
 type cell struct {
 	day day
 	set int
 }
 
-// checkout creates a worktree of HEAD, with a set's strategies in the template.
+// checkout creates a worktree of HEAD and appends a set's strategies to its settings template.
 func (r *run) checkout(ctx context.Context, path string, s Set) (err error) {
 	if err = r.git(ctx, "worktree", "add", "--quiet", "--detach", path, "HEAD"); err != nil {
 		return err
@@ -94,15 +94,15 @@
 	return nil
 }
 
-// playAll plays each day with all sets before the next day, so that a run that is stopped early has
-// complete pairs.
-func (r *run) playAll(ctx context.Context) {
+// simulateAll simulates each day with all sets before the next day, so that a run that is stopped
+// early has results of all sets for the earlier days.
+func (r *run) simulateAll(ctx context.Context) {
 	cells := make(chan cell)
 	var workers sync.WaitGroup
 	for range r.plan.Jobs {
 		workers.Go(func() {
 			for c := range cells {
-				r.play(ctx, c)
+				r.simulate(ctx, c)
 			}
 		})
 	}
@@ -115,7 +115,7 @@
 	workers.Wait()
 }
 
-func (r *run) play(ctx context.Context, c cell) {
+func (r *run) simulate(ctx context.Context, c cell) {
 	args := append(slices.Clone(r.plan.Simulator[1:]), c.day.site, c.day.name)
 	if c.day.seed >= 0 {
 		args = append(args, r.plan.SeedOption, strconv.FormatInt(c.day.seed, 10))
@@ -146,7 +146,7 @@
 	return 0, false
 }
 
-// collect copies new files of the folders in Collect from the checkouts to the repository.
+// collect copies new files in the folders of Plan.Collect from the checkouts to the repository.
 func (r *run) collect() (err error) {
 	for _, name := range r.plan.Collect {
 		for _, from := range r.checkouts {
@@ -158,7 +158,7 @@
 	return nil
 }
 
-// copyNew copies the files that do not exist in the target folder.
+// copyNew copies the files of from that do not exist in to.
 func copyNew(from, to string) (err error) {
 	return filepath.WalkDir(from, func(path string, d os.DirEntry, err error) error {
 		if err != nil || d.IsDir() {
--- a/comparison/table.go
+++ b/comparison/table.go
@@ -12,11 +12,12 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// confidenceLevel is the probability that an interval contains the mean difference.
+// confidenceLevel is the probability with which a confidence interval contains the mean difference.
 const confidenceLevel = 0.95
 
-// writeTable writes the mean figure of each set by site, and the mean difference from the first set
-// on the same days with its confidence interval. A day that any set lacks is left out for all sets.
+// writeTable writes, for each site, the mean figure of each set, and for each set but the first the
+// mean difference from the first set on the same days, with its confidence interval. A day without
+// a figure of some set is left out for all sets.
 func writeTable(w io.Writer, p *Plan, figures map[cell]float64) (err error) {
 	fmt.Fprint(w, "| site | days |")
 	for i, s := range p.Sets {
@@ -34,15 +35,15 @@
 
 // sites returns the sites in the order of the plan.
 func (p *Plan) sites() (all []string) {
-	for _, play := range p.Sites {
-		if !slices.Contains(all, play.Site) {
-			all = append(all, play.Site)
+	for _, siteDays := range p.Sites {
+		if !slices.Contains(all, siteDays.Site) {
+			all = append(all, siteDays.Site)
 		}
 	}
 	return all
 }
 
-// columns returns the figures of a site by set, for the days that all sets have.
+// columns returns the figures of a site for each set, on the days for which all sets have a figure.
 func (p *Plan) columns(site string, figures map[cell]float64) (all [][]float64) {
 	all = make([][]float64, len(p.Sets))
 	for _, d := range p.days() {
@@ -78,8 +79,8 @@
 	fmt.Fprintln(w)
 }
 
-// difference returns the mean of the paired differences and half the width of its confidence
-// interval, which is NaN for a single pair.
+// difference returns the mean of the paired differences and half the width of the confidence
+// interval of that mean, which is NaN for a single pair.
 func difference(baseline, values []float64) (mean, half float64) {
 	diffs := make([]float64, len(baseline))
 	for i := range baseline {
--- a/explain/explain.go
+++ b/explain/explain.go
@@ -28,14 +28,14 @@
 	Text string
 }
 
-// timestampPattern finds the time of a line, which may follow a prefix that a log collector added.
+// timestampPattern matches the time of a line. Text that a log collector added may precede it.
 var timestampPattern = regexp.MustCompile(`[A-Z][a-z]{2} [ \d]\d \d\d:\d\d:\d\d\.\d{3}`)
 
 var vmField = regexp.MustCompile(`\bvm=(\S+)`)
 
-// Read returns the lines of a log that name a subject. The subject is the name of a request,
-// endpoint or version as it appears in a field. The error is that of the reader, or
-// bufio.ErrTooLong for a line longer than MaxLineBytes.
+// Read returns the lines of a log that have the subject in a field. The subject is the name of a
+// request, endpoint or version. The error is that of the reader, or bufio.ErrTooLong for a line
+// longer than MaxLineBytes.
 func Read(r io.Reader, source, subject string) (lines []Line, err error) {
 	s := bufio.NewScanner(r)
 	s.Buffer(make([]byte, 64<<10), MaxLineBytes)
@@ -55,8 +55,8 @@
 	return lines, s.Err()
 }
 
-// SplitTimestamp splits a line into its time and the text after it. Without a time, at is zero and
-// rest is the whole line.
+// SplitTimestamp splits a line into its time and the text after it. If the line has no time, at is
+// zero and rest is the full line.
 func SplitTimestamp(text string) (at time.Time, rest string) {
 	position := timestampPattern.FindStringIndex(text)
 	if position == nil {
@@ -69,8 +69,8 @@
 	return at, strings.TrimSpace(text[position[1]:])
 }
 
-// WriteTimeline sorts lines by time and writes them with the time since the first one and the VM.
-// Wall clocks of VMs may differ, so the order is reliable only between lines of one VM.
+// WriteTimeline sorts lines by time and writes each with the time since the first one and its VM.
+// The clocks of VMs may differ, so the order is reliable only among the lines of one VM.
 func WriteTimeline(w io.Writer, lines []Line) (err error) {
 	slices.SortStableFunc(lines, func(a, b Line) int { return a.At.Compare(b.At) })
 	for _, l := range lines {
@@ -92,11 +92,11 @@
 	return l.Source
 }
 
-// withoutVM removes the VM field, as the VM precedes the line.
+// withoutVM removes the VM field, as WriteTimeline writes the VM in front of the line.
 func withoutVM(text string) string { return vmField.ReplaceAllString(text, "") }
 
-// Outcome returns a sentence on how a request ended, from the last line that says so. It is empty
-// if no line does.
+// Outcome returns a sentence on how a request ended, taken from the last line that reports its end.
+// It is empty if no line does.
 func Outcome(lines []Line) string {
 	for i := len(lines) - 1; i >= 0; i-- {
 		text := lines[i].Text
--- a/explain/explain_test.go
+++ b/explain/explain_test.go
@@ -13,8 +13,8 @@
 Dec  3 02:00:00.100 INFO Endpoint changed vm=frontend-b endpoint=i-7 leaving=true
 `
 
-// Lines of a request come from several processes and out of order. Lines of a request whose ID has
-// this one as a prefix must not be included.
+// The lines of a request come from several processes and out of order. Lines of another request
+// whose ID starts with the ID of this one must not be included.
 func TestTimelineOfRequest(t *testing.T) {
 	is := is.New(t)
 	lines, err := Read(strings.NewReader(logs), "a.log", "r-1")
--- a/logbook/logbook.go
+++ b/logbook/logbook.go
@@ -1,6 +1,6 @@
-// Package logbook writes log lines without ever blocking the code that logs them:
-// lines wait in a bounded queue, a separate goroutine writes them, and a token
-// bucket limits how many are written per second.
+// Package logbook writes log lines without blocking the code that logs them. Lines wait in a
+// bounded queue, a separate goroutine writes them, and a token bucket limits how many are written
+// per second. Lines beyond these bounds are dropped and counted.
 package logbook
 
 import (
@@ -14,16 +14,16 @@
 )
 
 const (
-	// queueLength bounds the waiting lines: two seconds at linesPerSecond.
+	// queueLength is the maximum number of lines in the queue: two seconds at linesPerSecond.
 	queueLength = 2 * linesPerSecond
-	// linesPerSecond is the rate limit. An entry at its usual peak of 50 requests
-	// per second writes about 100 lines per second.
+	// linesPerSecond is the maximum mean rate of written lines. An entry at its usual peak of 50
+	// requests per second writes about 100 lines per second.
 	linesPerSecond = 600
-	// burst is the capacity of the token bucket in lines, so that the first second
-	// of a failure is logged in full.
+	// burst is the capacity of the token bucket in lines. With it the first second of a failure is
+	// logged in full.
 	burst = 2 * linesPerSecond
-	// drainTimeout bounds how long queued lines are still written when the process
-	// stops.
+	// drainTimeout is for how long the lines left in the queue are written after the process was
+	// told to stop.
 	drainTimeout = 200 * clock.Millis(1)
 )
 
@@ -32,16 +32,16 @@
 	clock clock.Clock
 	out   io.Writer
 	lines chan []byte
-	// lost counts lines that were dropped because the queue was full or the rate
-	// limit reached; reported is how many of them the log has mentioned.
+	// lost counts the lines that were dropped because the queue was full or the rate limit was
+	// reached. reported is the value of lost that was last written to the log.
 	lost     atomic.Int64
 	reported int64
-	// tokens is the number of lines that could be written at refilledAt.
+	// tokens is the number of lines that the rate limit allowed at refilledAt.
 	tokens     float64
 	refilledAt clock.Millis
 }
 
-// New returns a writer that writes to out while Run runs.
+// New returns a writer that writes lines to out while Run is running.
 func New(c clock.Clock, out io.Writer) *Writer {
 	return &Writer{clock: c, out: out, lines: make(chan []byte, queueLength), tokens: burst, refilledAt: c.Now()}
 }
@@ -60,8 +60,8 @@
 // Lost returns how many lines have been dropped.
 func (w *Writer) Lost() int64 { return w.lost.Load() }
 
-// Run writes lines until the context ends, then the lines still queued, for up to
-// drainTimeout. It must run only once at a time.
+// Run writes queued lines until the context ends, and then those still queued, for at most
+// drainTimeout. It must not be called again before it has returned.
 func (w *Writer) Run(ctx context.Context) {
 	for {
 		select {
@@ -109,8 +109,8 @@
 	return true
 }
 
-// Text returns the text of an error as one line, or "" for nil. Use it for log
-// fields, since loggers write some errors with their stack trace.
+// Text returns the text of an error as one line, or "" for nil. Log fields should use it, since
+// some errors would otherwise be logged with their stack trace.
 func Text(err error) string {
 	if err == nil {
 		return ""
--- a/logbook/logbook_test.go
+++ b/logbook/logbook_test.go
@@ -21,8 +21,8 @@
 	return len(p), nil
 }
 
-// The log collector hangs, so that writes to the output block. Write must still
-// return at once, so that requests are not delayed, and count the dropped lines.
+// The log collector hangs, so writes to the output block. Write must still return at once, so that
+// requests are not delayed, and the lines that it drops must be counted.
 func TestStuckOutputDoesNotBlockWrite(t *testing.T) {
 	is := is.New(t)
 	out := stuckWriter{make(chan struct{})}
@@ -40,7 +40,7 @@
 	close(out.unblock)
 }
 
-// lockedBuffer is an output that a test can read while lines are written.
+// lockedBuffer is an output that a test can read while the writer writes to it.
 type lockedBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
@@ -58,8 +58,8 @@
 	return b.b.String()
 }
 
-// Under overload far more lines are logged than usual. The rate limit must hold, and
-// the number of dropped lines must be written before the next line that passes it.
+// Under overload far more lines are logged than usual. The rate limit must hold, and the number of
+// dropped lines must be written in front of the next line that the limit allows.
 func TestLineRateIsBounded(t *testing.T) {
 	is := is.New(t)
 	var mu sync.Mutex
--- a/operations/operations.go
+++ b/operations/operations.go
@@ -1,5 +1,5 @@
 // Package operations serves the operators' HTTP interface of a process: health, readiness, metrics,
-// status and service-level burn.
+// status and service-level burn, that is, how fast the error budgets are being spent.
 package operations
 
 import (
@@ -25,7 +25,7 @@
 // Errors is the namespace of this package's errors.
 var Errors = errorx.NewNamespace("operations")
 
-// ErrNoReport is returned for a report that this process does not provide.
+// ErrNoReport is returned for a report that the process does not provide.
 var ErrNoReport = Errors.NewType("no-report")
 
 // Names of the reports, as used by peers and commands.
@@ -52,16 +52,16 @@
 	version string
 	node    *node.Node
 	mu      sync.Mutex
-	// sections holds each name once. A later section replaces an earlier one of the same name.
+	// sections has at most one section of each name; a later section replaces an earlier one.
 	sections []Section
 	burn     func(ctx context.Context) (report any, err error)
-	// leaving returns true before the node starts to drain, so that load balancers stop sending
-	// requests first.
+	// leaving reports whether the process is about to leave. It returns true some time before the
+	// node starts to drain, so that load balancers stop sending requests first.
 	leaving func() bool
 }
 
-// New returns the interface of a process and registers it with the node to serve the reports that
-// peers request.
+// New returns the operators' interface of a process. Peers can request its reports through the
+// node.
 func New(program, version string, n *node.Node) *API {
 	a := &API{program: program, version: version, node: n, leaving: func() bool { return false }}
 	a.registerMetrics()
@@ -69,7 +69,7 @@
 	return a
 }
 
-// Add adds a section to the status. It replaces one of the same name.
+// Add adds a section to the status. It replaces an earlier section of the same name.
 func (a *API) Add(s Section) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -82,7 +82,8 @@
 	a.sections = append(a.sections, s)
 }
 
-// SetBurn sets the function that returns the burn report. Without it, there is no such report.
+// SetBurn sets the function that returns the burn report. A process that does not call SetBurn
+// provides no burn report.
 func (a *API) SetBurn(f func(ctx context.Context) (report any, err error)) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -97,8 +98,8 @@
 	a.leaving = f
 }
 
-// Report returns a report as JSON. Its error is ErrNoReport if the process does not provide the
-// report.
+// Report returns a report as JSON, by its name. It returns ErrNoReport if the process does not
+// provide the report.
 func (a *API) Report(ctx context.Context, report string) (data []byte, err error) {
 	switch report {
 	case StatusReport:
@@ -147,7 +148,7 @@
 // Health succeeds while the process runs.
 func (a *API) Health(context.Context) (res string, err error) { return "ok", nil }
 
-// Ready fails before the process has confirmed tables and while it is leaving.
+// Ready fails until the process has confirmed tables, and again while the process is leaving.
 func (a *API) Ready(context.Context) (res string, err error) {
 	if reason := a.notReady(); reason != "" {
 		return "", operations.MakeNotReady(errors.New(reason))
@@ -164,8 +165,8 @@
 	case leaving, v.Draining():
 		return "the process is leaving"
 	case !v.Started():
-		// Tables received from a single peer may be outdated. With these the process refuses all
-		// work until the log or more peers have confirmed them, so it must not be ready yet.
+		// Tables received from a single peer may be outdated. Until the log or more peers have
+		// confirmed them the process refuses all work, so it must not be ready yet.
 		return "the process has no tables yet"
 	}
 	return ""
@@ -184,8 +185,7 @@
 	return a.report(ctx, StatusReport)
 }
 
-// Burn returns the service-level burn as JSON. The HTTP status is 404 if the process does not
-// provide it.
+// Burn returns the burn report as JSON. The HTTP status is 404 if the process does not provide it.
 func (a *API) Burn(ctx context.Context) (body io.ReadCloser, err error) {
 	return a.report(ctx, BurnReport)
 }
--- a/operations/operations_test.go
+++ b/operations/operations_test.go
@@ -51,7 +51,7 @@
 	return resp.StatusCode, string(data)
 }
 
-// waitUntil polls a condition. Its timeout is reached only if the condition never becomes true.
+// waitUntil polls a condition and fails the test if it does not become true in time.
 func waitUntil(t *testing.T, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); !ok(); time.Sleep(time.Millisecond) {
@@ -61,9 +61,9 @@
 	}
 }
 
-// A process that is not ready must not get requests from load balancers, as it refuses them
-// although other entries could serve them. Readiness must fail before the first tables and while
-// the process is leaving, and health in neither state.
+// A process that is not ready refuses requests, so load balancers must not send it any while other
+// entries could serve them. Readiness must fail until the process has its first tables and while it
+// is leaving; health must fail in neither case.
 func TestReadyOnlyWithTablesAndNotLeaving(t *testing.T) {
 	is := is.New(t)
 	f := newFixture(t)
@@ -100,7 +100,7 @@
 	is.Equal(s.VM, "vm-1")
 	is.Equal(s.Revision, int64(0))
 	is.Equal(s.ZonesOut, []string{"zone-b"})
-	is.Equal(s.Sections, map[string]any{"window": 4.0}) // the later one replaces the earlier one
+	is.Equal(s.Sections, map[string]any{"window": 4.0}) // the later section replaced the earlier one
 	reply, err := f.node.Inspect(t.Context(), &wire.InspectRequest{Report: operations.StatusReport})
 	is.NoErr(err)
 	is.True(strings.Contains(string(reply.GetJson()), `"vm":"vm-1"`))
@@ -128,9 +128,9 @@
 	is.Equal(body, `{"good":7}`)
 }
 
-// A process that has just started has tables from one peer, which may be outdated: it refuses all
-// work until the log or more peers have confirmed them. It must not be ready before, as its callers
-// would be refused.
+// A process that has just started received tables from one peer. They may be outdated, so it
+// refuses all work until the log or more peers have confirmed them. It must not be ready before
+// that, or load balancers would send it requests that it refuses.
 func TestNotReadyWithUnconfirmedTables(t *testing.T) {
 	is := is.New(t)
 	f := newFixture(t)
--- a/operations/status.go
+++ b/operations/status.go
@@ -35,13 +35,13 @@
 	Sections map[string]any `json:"sections,omitempty"`
 }
 
-// Members counts the VMs in the process's member list, and names those that are leaving or
-// suspected.
+// Members counts the VMs in the process's member list and lists those that are leaving or suspected
+// to be unreachable.
 type Members struct {
 	Entries   int      `json:"entries"`
 	Endpoints int      `json:"endpoints"`
 	Leaving   []string `json:"leaving"`
-	// Suspected names VMs that could not be reached lately.
+	// Suspected lists VMs that could not be reached lately.
 	Suspected []string `json:"suspected"`
 }
 
