--- a/soak/check_test.go
+++ b/soak/check_test.go
@@ -9,7 +9,7 @@
 	"github.com/parsleydeal/parsleydeal/platform/standin"
 )
 
-// check verifies the guarantees from what callers and endpoints recorded.
+// check verifies the guarantees from the records of callers and endpoints.
 func (k *soak) check() {
 	runs := make(map[string][]standin.Run)
 	for _, e := range k.allEndpoints() {
@@ -80,12 +80,12 @@
 	}
 }
 
-// quietPeriod is how long a process must have been without faults for its planned stop
-// to be checked.
+// quietPeriod is how long no fault may have affected an entry before its planned stop for
+// checkDisconnect to apply.
 const quietPeriod = 3 * time.Second
 
-// checkDisconnect checks a request whose connection ended before the complete answer.
-// A planned stop of an entry without other faults must not cause one.
+// checkDisconnect checks a request whose connection ended before the complete answer. A planned
+// stop of an entry that no other fault affects must not cause this.
 func (k *soak) checkDisconnect(s sent) {
 	p := s.entry
 	p.mu.Lock()
--- a/soak/proxy_test.go
+++ b/soak/proxy_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// mode is how a proxy treats its connections.
+// mode is what a proxy does with the data of its connections.
 type mode int
 
 const (
@@ -17,7 +17,7 @@
 	slow
 	// reset resets open connections and each new one.
 	reset
-	// oneWay forwards nothing to the side that opened the connection.
+	// oneWay forwards data from the side that opened the connection, but none to it.
 	oneWay
 	// silent forwards nothing in either direction and keeps connections open.
 	silent
@@ -54,7 +54,7 @@
 	p.setMode(reset)
 }
 
-// setMode changes the mode, also of open connections.
+// setMode changes the mode of all connections, including those that are open.
 func (p *proxy) setMode(m mode) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/soak/site_test.go
+++ b/soak/site_test.go
@@ -23,7 +23,7 @@
 	entryCount = 3
 	poolCount  = 4
 	appCount   = 3
-	// keyLease is how long a key may be accepted after it was revoked.
+	// keyLease is for how long an entry may still accept a key that was revoked.
 	keyLease  = 3 * time.Second
 	stopGrace = 5 * time.Second
 )
@@ -42,12 +42,12 @@
 	cmd          *exec.Cmd
 	// ended is closed when the current process has ended.
 	ended chan struct{}
-	// exitExpected is true after the test has made the process end.
+	// exitExpected is true once the test has sent a signal that ends the process.
 	exitExpected bool
-	// undisturbedSince is the time of the last fault that affected the process, or of its
-	// start if that is later.
+	// undisturbedSince is when the last fault affected the process, or when the process started if
+	// that is later.
 	undisturbedSince time.Time
-	// leavingSince is when the process got SIGTERM; it is zero before.
+	// leavingSince is when the process was sent SIGTERM; it is zero before that.
 	leavingSince time.Time
 }
 
@@ -60,7 +60,7 @@
 	proxy   *proxy
 	mu      sync.Mutex
 	fault   func() standin.Reply
-	// sequence increases with each registration.
+	// sequence is the number of registrations so far.
 	sequence int
 	version  string
 }
@@ -88,7 +88,7 @@
 // streamEvents is the number of events in every stream.
 const streamEvents = 8
 
-// site is the store, entries and endpoints that a seed runs on.
+// site is the store, the entries and the endpoints of one seed's run.
 type site struct {
 	t         *testing.T
 	dir       string
@@ -97,7 +97,7 @@
 	endpoints []*endpoint
 	mu        sync.Mutex
 	version   int
-	// keys holds the valid keys, revokedAt when each revoked key was removed.
+	// keys holds the valid keys, and revokedAt the time when each revoked key was removed.
 	keys      []string
 	revokedAt map[string]time.Time
 	lastKey   int
@@ -151,7 +151,8 @@
 	return e
 }
 
-// register writes an endpoint's registration with its proxy's address to the store.
+// register writes a registration of an endpoint to the store, with the address of the endpoint's
+// proxy.
 func (s *site) register(e *endpoint, state string) {
 	e.mu.Lock()
 	e.sequence++
@@ -227,7 +228,7 @@
 	})
 }
 
-// start runs the program. If the process ends without being told to, the test fails.
+// start starts a process. If the process ends before the test has made it end, the test fails.
 func (s *site) start(p *process, program string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -252,8 +253,7 @@
 	}()
 }
 
-// signal sends a signal to the current process. If ends is true, the process is
-// expected to end.
+// signal sends a signal to the current process. ends is true if the signal makes the process end.
 func (p *process) signal(sig syscall.Signal, ends bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -261,7 +261,7 @@
 	_ = p.cmd.Process.Signal(sig)
 }
 
-// recordDisturbance records that a fault affects the process now.
+// recordDisturbance records that a fault is affecting the process now.
 func (p *process) recordDisturbance() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -42,7 +42,7 @@
 	12683428: "hang: the stand-in store never ended a silent write because it did not read the body",
 }
 
-// fixedSeeds run in addition to the regressions.
+// fixedSeeds are run in addition to the regressions.
 var fixedSeeds = []uint64{1, 2}
 
 func TestSoak(t *testing.T) {
@@ -99,9 +99,9 @@
 	startedAt time.Time
 }
 
-// hangMargin is how long a seed may take in addition to the time in which faults are
-// injected: it covers the end of the last fault, two planned stops in a row, the
-// recovery and the shutdown of the stand-ins.
+// hangMargin is how long a seed may take beyond the time in which faults are injected. It covers
+// the end of the last fault, two planned stops one after the other, the recovery and the shutdown
+// of the stand-ins.
 const hangMargin = 60 * time.Second
 
 func runSeed(t *testing.T, seed uint64, program string) {
@@ -132,8 +132,8 @@
 	}
 }
 
-// abortHung ends a seed that hangs with a panic, which prints all stacks. It kills the
-// entries first, since they would outlive the panic.
+// abortHung panics if a seed hangs, which prints the stacks of all goroutines. It kills the entries
+// first, as they would otherwise continue to run after the panic.
 func (k *soak) abortHung(seed uint64) {
 	if *keepLogs == "" {
 		if dir, err := os.MkdirTemp("", "soak"); err == nil {
@@ -197,8 +197,9 @@
 	method := map[string]string{"chat": "POST", "read": "GET", "fee": "POST"}[kind]
 	var body io.Reader
 	if method == "POST" {
-		// With a body that can be read only once net/http does not retry the request by
-		// itself, which would look as if the entry had run it twice.
+		// net/http cannot rewind a MultiReader, so it never sends the request again by itself.
+		// Otherwise one request could reach the endpoints twice and look as if the entry had run it
+		// twice.
 		body = io.MultiReader(strings.NewReader("body of " + id))
 	}
 	r, err := http.NewRequest(method, p.base+"/"+kind+"/x", body)
@@ -252,7 +253,7 @@
 	})
 }
 
-// addFault injects a random fault.
+// addFault injects a fault chosen at random.
 func (k *soak) addFault() {
 	p := k.entries[k.rng.IntN(len(k.entries))]
 	all := k.allEndpoints()
@@ -330,7 +331,7 @@
 	})
 }
 
-// addEndpointFault makes an endpoint fail in one way for a random ratio of its requests.
+// addEndpointFault makes an endpoint fail in one way for a random fraction of its requests.
 func (k *soak) addEndpointFault(e *endpoint) {
 	replies := map[string]standin.Reply{
 		"loses answers": {DropAnswer: true}, "fails": {Status: 500}, "refuses": {NotRun: true}, "is slow": {Delay: 600 * time.Millisecond},
@@ -343,7 +344,7 @@
 		reply.BreakAfter = -1
 	}
 	if (reply.OtherAnswerFirst || reply.ExtraAnswer) && e.service == "pool" {
-		return // the stand-in supports these faults for plain bodies only
+		return // the stand-in supports these faults only for answers that are not streams
 	}
 	k.logFault("%s: %s, %.0f%% for %s", e.name, name, 100*ratio, d)
 	k.holdFault(d, func() {
