--- a/system/cache_test.go
+++ b/system/cache_test.go
@@ -13,11 +13,10 @@
 
 const movablePoolPatch = "id=%q\nauthor=\"test\"\nkind=\"patch\"\nbase=%d\n[tables.pools.small]\nversions=[\"small@1\"]\ncold-window=8\nfull-window=64\nresumes=true\nmoves-cache=true\n%s"
 
-// Takes the zone of a session's endpoint out of service. The session must
-// continue with its version in another zone, and its KV cache must be moved there:
-// without it the engine prefills the full history again and the caller waits as
-// long as for a new session. The session must also continue when the endpoint that
-// has its cache is down.
+// Takes the zone of a session's endpoint out of service. The session must continue with its version
+// in another zone, and its KV cache must be moved there: otherwise the engine would prefill the
+// full history again, and the caller would wait as long as for a new session. The session must also
+// continue when the endpoint with its cache is down.
 func TestMovedSessionImportsItsCache(t *testing.T) {
 	is := is.New(t)
 	s := clusterSpec{entries: 1, endpoints: 2, zones: 2, firstTokenDelay: 200, tokenGap: 1, tokenCount: 5}
--- a/system/cluster_test.go
+++ b/system/cluster_test.go
@@ -27,8 +27,8 @@
 	"github.com/parsleydeal/parsleydeal/table"
 )
 
-// waitTimeout limits the wait for a condition that a healthy system reaches much
-// sooner. It is long so that a busy machine gives the same result.
+// waitTimeout limits the wait for a condition that a healthy system meets much sooner. It is long
+// so that a test does not fail only because the machine is busy.
 const waitTimeout = 60 * time.Second
 
 const callerKey = "system-key"
@@ -47,9 +47,9 @@
 	return dir, nil
 })
 
-// programs refers to the daemons' code so that it is linked into the test binary.
-// The go command reuses a cached test result while that binary is unchanged; without
-// these references a changed daemon would get the result of an older build.
+// programs refers to the daemons' code, so that it is linked into the test binary. The go command
+// reuses a cached test result while the test binary is unchanged. Without these references it would
+// reuse the result after a change of a daemon.
 var programs = []func(args []string) int{daemon.Entry, daemon.Endpoint, cli.Operator}
 
 func TestMain(m *testing.M) {
@@ -88,7 +88,7 @@
 	endpoints []*process
 }
 
-// clusterSpec gives the size of a cluster and the timing of its engines.
+// clusterSpec is the size of a cluster and the timing of its engines.
 type clusterSpec struct {
 	entries   int
 	endpoints int
@@ -120,8 +120,8 @@
 	for _, p := range append(append([]*process{}, c.endpoints...), c.entries...) {
 		c.start(p)
 	}
-	// Endpoints first: an entry that is ready earlier would spend its retry budget on
-	// endpoints that have no tables yet.
+	// Waits for the endpoints first: an entry that was ready before them would spend its retry
+	// budget on endpoints that have no tables yet.
 	for _, p := range c.endpoints {
 		c.waitReady(p)
 	}
@@ -267,7 +267,7 @@
 	})
 }
 
-// kill ends the process at once, as the loss of its VM would.
+// kill ends the process at once, as if its VM were lost.
 func (p *process) kill() {
 	_ = p.cmd.Process.Kill()
 	<-p.done
@@ -294,7 +294,7 @@
 	})
 }
 
-// waitRevision waits until every process has the revision in force.
+// waitRevision waits until the revision is in force at every process.
 func (c *cluster) waitRevision(revision int) {
 	c.t.Helper()
 	want := fmt.Sprintf("parsleydeal_tables_revision %d", revision)
@@ -361,8 +361,8 @@
 	return c.streamChatAbout(p, h, "When is the renewal due?")
 }
 
-// streamChatAbout streams a chat completion for a question. Equal questions tend to be
-// routed to the endpoint that has their prefix cached.
+// streamChatAbout streams a chat completion for a question. Chats about the same question tend to
+// go to the endpoint that has their prefix cached.
 func (c *cluster) streamChatAbout(p *process, h http.Header, question string) (r result) {
 	body := fmt.Sprintf(`{"model":"quick","stream":true,"messages":[{"role":"user","content":%q}]}`, question)
 	status, header, text := c.call(context.Background(), p, http.MethodPost, "/v1/chat/completions", body, h)
--- a/system/durability_test.go
+++ b/system/durability_test.go
@@ -13,9 +13,9 @@
 	"github.com/parsleydeal/parsleydeal/standin"
 )
 
-// warmUp sends requests until every endpoint has served one, since an endpoint that
-// has not read the tables cannot start serving during an outage. It returns the number
-// of complete answers.
+// warmUp sends requests until every endpoint has served one: an endpoint that has not read the
+// tables cannot start to serve during an outage of the log. It returns the number of complete
+// answers.
 func (c *cluster) warmUp() (completed int) {
 	c.t.Helper()
 	c.eventually("all endpoints serve", func() bool {
@@ -34,9 +34,9 @@
 	return completed
 }
 
-// Kills an entry during a log outage, right after it answered. When the log is back
-// every answered request must have one bill, including those of which the killed entry
-// had one of the two copies.
+// Kills an entry during a log outage, right after it answered. Once the log is back, every answered
+// request must have one bill, including those whose bill has one of its two copies on the killed
+// entry.
 func TestEntryLostInLogOutageLosesNoBill(t *testing.T) {
 	is := is.New(t)
 	s := clusterSpec{entries: 3, endpoints: 3, zones: 3, firstTokenDelay: 5, tokenGap: 1, tokenCount: 5}
@@ -61,13 +61,14 @@
 	c.eventually("the bills from before the outage", func() bool { return len(c.bills()) == callers+served })
 }
 
-// The log's replies to appends are lost. Each bill must be on the log once, and the
-// statement must find no anomaly.
+// The log's replies to appends are lost. Each bill must still be on the log once, and the statement
+// of the bills must have no anomaly.
 func TestLostAppendAnswersBillOnce(t *testing.T) {
 	is := is.New(t)
 	s := clusterSpec{entries: 2, endpoints: 2, zones: 2, firstTokenDelay: 2, tokenGap: 1, tokenCount: 3}
 	c := newCluster(t, s)
-	// An entry that has just started knows no holder yet and appends its bills itself.
+	// An entry that has just started appends bills itself until it knows a process that can hold
+	// their second copies. Waits until the other entry appends.
 	sent := 0
 	c.eventually("the other entry appends", func() bool {
 		sent++
@@ -96,8 +97,8 @@
 	is.Equal(repeats, int64(0)) // after a lost reply the record is read back, not appended again
 }
 
-// The log expires the record that holds the tables. The processes that have the
-// tables must write a checkpoint, so that an entry started afterwards can serve.
+// The log no longer retains the record that holds the tables. Processes that have the tables must
+// write a checkpoint before that, so that an entry that starts later can serve.
 func TestStartAfterTheTablesExpired(t *testing.T) {
 	is := is.New(t)
 	s := clusterSpec{entries: 2, endpoints: 2, zones: 2, firstTokenDelay: 2, tokenGap: 1, tokenCount: 3}
@@ -112,9 +113,9 @@
 	is.True(c.streamChat(added, nil).complete)
 }
 
-// Kills an entry while the service handles keyed fees posted through it. The caller
-// retries at another entry and must get the answer of the first call or the report
-// that it ran; the service must receive the fee once.
+// Kills an entry while a service handles calls that were sent through it with idempotency keys,
+// such as payments of a fee. The caller retries at another entry and must get the answer of the
+// first call or the report that it ran; the service must receive each call once.
 func TestKeyedPostRunsOnceWhenEntryIsLost(t *testing.T) {
 	is := is.New(t)
 	s := clusterSpec{entries: 3, endpoints: 1, plain: 2, zones: 2, firstTokenDelay: 1, tokenGap: 1, tokenCount: 2}
@@ -128,7 +129,7 @@
 		}
 		return n
 	}
-	// Without a failure: the second entry returns the retained answer.
+	// No failure: the second entry returns the retained answer.
 	status, _, text := post(c.entries[0], "fee-kept", "k1", "renew")
 	is.Equal(status, http.StatusOK)
 	again, _, same := post(c.entries[1], "fee-kept", "k1", "renew")
@@ -157,8 +158,8 @@
 	}
 }
 
-// A keyed fee cannot be claimed during a log outage. It must be refused without
-// having run, and the refusal must have a Retry-After.
+// During a log outage no idempotency key can be claimed. A call with a key must be refused without
+// having run, and the refusal must have a Retry-After header.
 func TestKeyedPostInLogOutageIsNotRun(t *testing.T) {
 	is := is.New(t)
 	s := clusterSpec{entries: 1, endpoints: 1, plain: 1, zones: 1, firstTokenDelay: 1, tokenGap: 1, tokenCount: 2}
@@ -178,9 +179,9 @@
 	})
 }
 
-// During a log outage, stops the entry that made the pending bills and then kills
-// another entry that may hold copies. A stopping entry must hand over every bill to a
-// second process, so that none is lost.
+// During a log outage, stops the entry that made the pending bills and then kills another entry,
+// which may hold copies of them. The stopping entry must hand over every bill so that two other
+// processes have it; otherwise the kill would lose bills.
 func TestPlannedStopInLogOutageHandsOverBills(t *testing.T) {
 	is := is.New(t)
 	s := clusterSpec{entries: 3, endpoints: 3, zones: 3, firstTokenDelay: 2, tokenGap: 1, tokenCount: 3}
@@ -197,9 +198,9 @@
 	c.eventually("all bills", func() bool { return len(c.bills()) == calls+served })
 }
 
-// A session must keep its version when its entry is killed and when a roll-out sets
-// the version's share to 0. It moves only once the version is withdrawn, and the
-// answer must report the move.
+// A session must keep its version when its entry is killed and when a roll-out sets the version's
+// traffic share to 0. It may move only once the version is withdrawn, and the answer must then
+// report the move.
 func TestSessionKeepsItsVersion(t *testing.T) {
 	is := is.New(t)
 	s := clusterSpec{entries: 2, endpoints: 2, zones: 2, firstTokenDelay: 2, tokenGap: 1, tokenCount: 3}
@@ -244,9 +245,9 @@
 	is.Equal(h.Get("Parsleydeal-Run"), "not-run")
 }
 
-// A service receives a fee and drops the connection before it replies. The entry
-// cannot tell whether the fee was booked: it must not retry at another endpoint and
-// must report the run as unknown.
+// A service receives a call without an idempotency key, such as the payment of a fee, and drops the
+// connection before it replies. The entry cannot know whether the call took effect: it must not
+// retry at another endpoint, and must report that it is unknown whether the call ran.
 func TestUnkeyedPostIsNotRetriedWhenServiceIsLost(t *testing.T) {
 	is := is.New(t)
 	s := clusterSpec{entries: 1, endpoints: 1, plain: 3, zones: 2, firstTokenDelay: 1, tokenGap: 1, tokenCount: 2}
--- a/system/kill_test.go
+++ b/system/kill_test.go
@@ -9,9 +9,9 @@
 	"github.com/matryer/is"
 )
 
-// Kills an endpoint while answers stream from it. Callers must still get complete
-// answers: requests that had not started run at another endpoint, started ones resume
-// after the last delivered piece, and each request has one bill.
+// Kills an endpoint while answers stream from it. Callers must still get complete answers: requests
+// that had not started run at another endpoint, and started ones resume there after the last
+// delivered piece. Each request must have one bill.
 func TestKilledEndpointLosesNoRepeatableRequest(t *testing.T) {
 	is := is.New(t)
 	s := clusterSpec{entries: 2, endpoints: 4, zones: 2, firstTokenDelay: 5, tokenGap: 4, tokenCount: 20}
@@ -74,8 +74,8 @@
 	}
 }
 
-// Stops an entry and an endpoint during long streams. Each stream must be delivered
-// completely before its process ends.
+// Stops an entry and an endpoint during long streams. A process must not end before the streams
+// through it have been delivered completely.
 func TestPlannedStopInterruptsNoRequest(t *testing.T) {
 	is := is.New(t)
 	s := clusterSpec{entries: 2, endpoints: 3, zones: 2, firstTokenDelay: 20, tokenGap: 10, tokenCount: 60}
@@ -107,8 +107,8 @@
 	c.eventually("one bill per request", func() bool { return len(c.bills()) == callers })
 }
 
-// Takes a zone out of service under load. Once the change is in force no endpoint of
-// that zone may get new work, and no caller may be refused.
+// Takes a zone out of service under load. Once the change is in force, no endpoint of the zone may
+// get new work. No caller may be refused.
 func TestZoneTakenOutReceivesNoNewWork(t *testing.T) {
 	is := is.New(t)
 	s := clusterSpec{entries: 2, endpoints: 4, zones: 2, firstTokenDelay: 1, tokenGap: 1, tokenCount: 4}
@@ -140,8 +140,8 @@
 	})
 }
 
-// Kills an endpoint while fee calls without a key are under way. The service must
-// receive each call at most once, and a call reported as "not-run" never.
+// Kills an endpoint during service calls without an idempotency key. The service must receive each
+// call at most once, and must not receive a call that is reported as "not-run".
 func TestUnkeyedPostRunsAtMostOnce(t *testing.T) {
 	is := is.New(t)
 	s := clusterSpec{entries: 1, endpoints: 1, plain: 2, zones: 2, firstTokenDelay: 1, tokenGap: 1, tokenCount: 2}
--- a/system/outage_test.go
+++ b/system/outage_test.go
@@ -12,8 +12,8 @@
 	"github.com/parsleydeal/parsleydeal/standin"
 )
 
-// During an outage of the platform's log callers must still get complete answers.
-// When the log is back every request must have one bill on it.
+// During an outage of the platform's log callers must still get complete answers. Once the log is
+// back, every request must have one bill on it.
 func TestLogOutageKeepsAnswersAndBills(t *testing.T) {
 	is := is.New(t)
 	s := clusterSpec{entries: 2, endpoints: 4, zones: 2, firstTokenDelay: 2, tokenGap: 1, tokenCount: 6}
@@ -43,8 +43,8 @@
 	}
 }
 
-// The log's replies are lost after the append took effect, several times in a row.
-// The appender retries, and readers must still find one bill per request.
+// The log's replies are lost after the appends took effect, several times in a row. The appender
+// retries, so a bill may be on the log several times; readers must still find one bill per request.
 func TestLostAppendAnswersGiveOneBill(t *testing.T) {
 	is := is.New(t)
 	s := clusterSpec{entries: 2, endpoints: 2, zones: 2, firstTokenDelay: 1, tokenGap: 1, tokenCount: 3}
@@ -62,8 +62,8 @@
 	}
 }
 
-// Two operators publish concurrently on the same revision. All processes must accept
-// the same change, and the other must not be in force at any of them.
+// Two operators publish changes at the same time, based on the same revision. All processes must
+// accept the same one of them, and the other must not be in force at any process.
 func TestConcurrentChangesHaveOneWinner(t *testing.T) {
 	is := is.New(t)
 	s := clusterSpec{entries: 3, endpoints: 2, zones: 2, firstTokenDelay: 1, tokenGap: 1, tokenCount: 2}
--- a/system/relay_test.go
+++ b/system/relay_test.go
@@ -6,13 +6,14 @@
 	"testing"
 )
 
-// relay forwards TCP connections to a target. While it is blocked, open connections
-// stay open and carry nothing, as when a network switch fails.
+// relay forwards TCP connections to a target. While it is blocked, open connections remain open but
+// transfer no data, as when a network switch fails.
 type relay struct {
 	target string
 	lis    net.Listener
 	mu     sync.Mutex
-	// unblocked is closed while the relay forwards data, open while it is blocked.
+	// unblocked is a closed channel while the relay forwards data, and an open one while it is
+	// blocked.
 	unblocked chan struct{}
 	done      chan struct{}
 }
--- a/system/resume_test.go
+++ b/system/resume_test.go
@@ -24,9 +24,9 @@
 
 const jsonBody = `{"model":"quick","messages":[{"role":"user","content":"When is the renewal due?"}]}`
 
-// Every engine breaks its streams after a few tokens and none can resume. A caller
-// that got a part of its answer must be told that the request ran. A JSON answer, of
-// which the caller got nothing, is retried from the start, and fails with "ran" when
+// Every engine breaks its streams after a few tokens, and none can resume an answer. A caller that
+// got a part of an answer must get the error that the request ran. A caller of a JSON answer gets
+// nothing before it is complete: the request is retried from the start, and fails with "ran" when
 // no engine is left.
 func TestStreamsOfEnginesWithoutResume(t *testing.T) {
 	is := is.New(t)
@@ -57,7 +57,7 @@
 	})
 }
 
-// With a pool that can resume, each attempt must continue where the previous one
+// In a pool whose engines can resume an answer, each attempt must continue where the previous one
 // broke, until the answer is complete.
 func TestBrokenStreamResumesAtOtherEndpoint(t *testing.T) {
 	is := is.New(t)
--- a/system/service_test.go
+++ b/system/service_test.go
@@ -9,9 +9,9 @@
 	"github.com/matryer/is"
 )
 
-// A service responds while it is still reading a large request body. A router that
-// sends the full body before it reads the response deadlocks: the service waits for
-// its response to be read, the router for the body to be read.
+// A service starts its response while it is still reading a large request body. A router that sends
+// the full body before it reads the response would deadlock: the service waits until its response
+// is read, and the router until the body is read.
 func TestServiceStreamsBothWays(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, clusterSpec{entries: 1, endpoints: 1, plain: 1, zones: 1, firstTokenDelay: 1, tokenGap: 1, tokenCount: 1})
--- a/system/silence_test.go
+++ b/system/silence_test.go
@@ -38,9 +38,9 @@
 	is.Equal(c.engines["endpoint-0"].Started(), before) // the zone is still out of service
 }
 
-// Freezes an endpoint's process, so that its connections stay open and carry nothing.
-// Its requests must be retried at other endpoints long before their deadline, and new
-// requests must go to other endpoints.
+// Freezes an endpoint's process: its connections remain open but transfer no data. Its requests
+// must be retried at other endpoints long before their deadline, and new requests must go to other
+// endpoints.
 func TestRequestsMoveOffFrozenEndpoint(t *testing.T) {
 	is := is.New(t)
 	s := clusterSpec{entries: 1, endpoints: 4, zones: 2, firstTokenDelay: 5, tokenGap: 3, tokenCount: 10}
@@ -71,9 +71,9 @@
 	c.eventually("one bill per request", func() bool { return len(c.bills()) == callers*each })
 }
 
-// Freezes an endpoint with more outstanding requests than the retry budget of an entry
-// with little traffic. All must still be retried: the other endpoint is nearly idle,
-// and each request is retried only once.
+// Freezes an endpoint with more outstanding requests than the retry budget of an entry with little
+// traffic allows retries. All must still be retried, since the other endpoint is nearly idle and
+// each request is retried only once.
 func TestFrozenEndpointWithManyRequestsLosesNone(t *testing.T) {
 	is := is.New(t)
 	s := clusterSpec{entries: 1, endpoints: 2, zones: 2, firstTokenDelay: 400, tokenGap: 2, tokenCount: 10}
@@ -96,9 +96,9 @@
 	wg.Wait()
 	is.NoErr(frozen.Signal(syscall.SIGCONT))
 	close(results)
-	// With one of two endpoints unreachable a request may be refused before it runs,
-	// and a started stream cannot move to another engine if engines do not resume. A
-	// request of which the caller has received nothing must not fail.
+	// With one of two endpoints unreachable, a request may be refused before it runs, and a started
+	// stream may break, as the engines cannot resume it elsewhere. A request whose caller has
+	// received nothing must not fail.
 	statuses := make(map[int]int)
 	for r := range results {
 		statuses[r.status]++
@@ -107,8 +107,8 @@
 	is.True(statuses[http.StatusOK] > callers*each/2)
 }
 
-// The network between the entries and one endpoint fails: connections stay open and
-// carry nothing. Callers must still get complete answers from the other endpoints.
+// The network between the entries and one endpoint fails: connections remain open but transfer no
+// data. Callers must still get complete answers from the other endpoints.
 func TestRequestsAvoidUnreachableEndpoint(t *testing.T) {
 	is := is.New(t)
 	s := clusterSpec{entries: 1, endpoints: 3, zones: 3, firstTokenDelay: 2, tokenGap: 2, tokenCount: 8}
@@ -131,9 +131,9 @@
 	link.unblock()
 }
 
-// The answer to a keyed fee call does not reach the caller, which retries at either
-// entry. The service must receive the call once, every retry must return the first
-// answer, and there must be one bill.
+// The answer to a service call with an idempotency key does not reach the caller, who retries at
+// either entry. The service must receive the call once, every retry must return the first answer,
+// and there must be one bill.
 func TestKeyedPostRunsOnceAcrossEntries(t *testing.T) {
 	is := is.New(t)
 	s := clusterSpec{entries: 2, endpoints: 1, plain: 2, zones: 2, firstTokenDelay: 1, tokenGap: 1, tokenCount: 2}
@@ -155,9 +155,9 @@
 	c.eventually("one bill", func() bool { return len(c.bills()) == 1 })
 }
 
-// Kills an entry during a keyed chat answer; the caller retries at the other entry.
-// The engine must not run the request again: the caller gets the answer in progress,
-// and there must be one bill.
+// Kills an entry during a chat answer; the caller retries at the other entry with the same
+// idempotency key. The engine must not run the request again: the caller must get the answer that
+// is in progress, and there must be one bill.
 func TestKeyedChatRetriedAtOtherEntryRunsOnce(t *testing.T) {
 	is := is.New(t)
 	s := clusterSpec{entries: 2, endpoints: 4, zones: 2, firstTokenDelay: 20, tokenGap: 20, tokenCount: 60}
--- a/system/stop_test.go
+++ b/system/stop_test.go
@@ -11,8 +11,8 @@
 	"github.com/matryer/is"
 )
 
-// Replaces all endpoints under load, one after the other, twice. Planned stops must
-// not be visible to any caller.
+// Replaces all endpoints under load, one after the other, and then all of them again. Callers must
+// not notice the planned stops.
 func TestEndpointsReplacedTwiceUnderLoad(t *testing.T) {
 	is := is.New(t)
 	s := clusterSpec{entries: 2, endpoints: 3, zones: 2, firstTokenDelay: 5, tokenGap: 2, tokenCount: 30}
@@ -27,7 +27,8 @@
 	for i := range 6 {
 		wg.Go(func() {
 			for !stop.Load() {
-				// The questions differ, so that prefix caching does not send all to one endpoint.
+				// With the same question, all requests would go to the endpoint that has its prefix
+				// cached.
 				r := c.streamChatAbout(c.entries[i%2], nil, fmt.Sprint("question ", sent.Add(1)))
 				if r.status != http.StatusOK || !r.complete || r.text != fullText(s) {
 					t.Errorf("status %d, complete %v, run %q", r.status, r.complete, r.runState)
@@ -50,8 +51,8 @@
 	is.True(!t.Failed())
 }
 
-// Sends an endpoint that is stopping a second SIGTERM during a stream. The process
-// must end at once, and the caller's stream must resume at another endpoint.
+// Sends a second SIGTERM to an endpoint that is stopping during a stream. The process must end at
+// once, and the stream must resume at another endpoint without a gap for the caller.
 func TestSecondStopCancelsRunsAndStreamResumes(t *testing.T) {
 	is := is.New(t)
 	s := clusterSpec{entries: 1, endpoints: 2, zones: 1, firstTokenDelay: 5, tokenGap: 20, tokenCount: 150}
@@ -83,8 +84,8 @@
 	is.Equal(c.engines[busy.vm.ID].Cancelled(), 1)
 }
 
-// Stops all endpoints at once and starts them again. Requests under way must complete,
-// new ones must be refused as not run, and the restarted endpoints must serve.
+// Stops all endpoints at once and starts them again. Requests in progress must complete, new ones
+// must be refused as not run, and the restarted endpoints must serve.
 func TestAllEndpointsReplacedAtOnce(t *testing.T) {
 	is := is.New(t)
 	s := clusterSpec{entries: 1, endpoints: 3, zones: 2, firstTokenDelay: 5, tokenGap: 10, tokenCount: 60}
