--- a/logbook/logbook.go
+++ b/logbook/logbook.go
@@ -14,7 +14,8 @@
 )
 
 const (
-	// queueLength is the maximum number of lines in the queue: two seconds at linesPerSecond.
+	// queueLength is the maximum number of lines in the queue, as many as are written in two
+	// seconds.
 	queueLength = 2 * linesPerSecond
 	// linesPerSecond is the maximum mean rate of written lines. An entry at its usual peak of 50
 	// requests per second writes about 100 lines per second.
--- a/system/silence_test.go
+++ b/system/silence_test.go
@@ -71,9 +71,9 @@
 	c.eventually("one bill per request", func() bool { return len(c.bills()) == callers*each })
 }
 
-// Freezes an endpoint with more outstanding requests than the retry budget of an entry with little
-// traffic allows retries. All must still be retried, since the other endpoint is nearly idle and
-// each request is retried only once.
+// Freezes an endpoint with more outstanding requests than an entry with little traffic may retry
+// from its retry budget alone. All must still be retried, since the other endpoint is nearly idle
+// and each request is retried only once.
 func TestFrozenEndpointWithManyRequestsLosesNone(t *testing.T) {
 	is := is.New(t)
 	s := clusterSpec{entries: 1, endpoints: 2, zones: 2, firstTokenDelay: 400, tokenGap: 2, tokenCount: 10}
