--- a/membership/members.go
+++ b/membership/members.go
@@ -92,8 +92,8 @@
 // Suspicion expires, so that the VM is tried again.
 func (m *Members) Suspected(vm string) bool { return m.suspected[vm] }
 
-// Leavings lists the recent leaving changes: processes that leave, and new ones that have joined.
-func (m *Members) Leavings() []*wire.Leaving { return m.leavings }
+// RecentLeavingChanges lists the recent leaving changes: processes that leave, and new ones that have joined.
+func (m *Members) RecentLeavingChanges() []*wire.Leaving { return m.leavings }
 
 // LeavingChanges returns the number of leaving changes so far.
 func (m *Members) LeavingChanges() int { return m.leavingChanges }
--- a/spread/spread.go
+++ b/spread/spread.go
@@ -334,7 +334,7 @@
 	return &wire.Digest{
 		Vm: sn.VM, Zone: sn.Zone, Epoch: sn.Epoch,
 		Revision: revision, Offset: sn.Tail.End(), Started: !sn.Starting,
-		Leaving: leaving, Leavings: m.Leavings(),
+		Leaving: leaving, Leavings: m.RecentLeavingChanges(),
 		StalenessMillis: int64(staleness),
 	}
 }
