--- a/peer/pool.go
+++ b/peer/pool.go
@@ -16,8 +16,8 @@
 // Errors is the namespace of this package's errors.
 var Errors = errorx.NewNamespace("peer")
 
-// ErrNotReached is the type of the error of a call whose peer could not be dialled, so
-// that the call cannot have reached it.
+// ErrNotReached marks a call whose peer could not be dialled. The call cannot have reached the
+// peer.
 var ErrNotReached = Errors.NewType("not-reached")
 
 const (
@@ -51,14 +51,14 @@
 	}
 }
 
-// Gate returns a client of the gate of the endpoint process at an address. The
-// connection is dialled at the first call.
+// Gate returns a client of the Gate service of the endpoint process at an address. The connection
+// is dialled at the first call.
 func (p *Pool) Gate(ctx context.Context, address string) wire.DRPCGateClient {
 	return wire.NewDRPCGateClient(p.conn(ctx, address))
 }
 
-// Peer returns a client of the process at an address. The connection is dialled at the
-// first call.
+// Peer returns a client of the Peer service of the process at an address. The connection is dialled
+// at the first call.
 func (p *Pool) Peer(ctx context.Context, address string) wire.DRPCPeerClient {
 	return wire.NewDRPCPeerClient(p.conn(ctx, address))
 }
--- a/peer/stall.go
+++ b/peer/stall.go
@@ -10,10 +10,10 @@
 // stallLimit is the timeout of one write to a peer.
 const stallLimit = 30 * clock.Second
 
-// stallListener sets a deadline for every write to a connection. A peer that is paused
-// or unreachable reads nothing, and a write to it would block until TCP gives up; the
-// run would keep its slot in the window and in its engine for that long. The failed
-// write ends the connection and frees both.
+// stallListener sets a deadline for every write to a connection. A peer that is paused or
+// unreachable reads nothing, and a write to it would block until TCP gives up; the run whose answer
+// is written would keep its slot at the gate and in the engine for that long. The failed write ends
+// the connection and frees both slots.
 type stallListener struct {
 	net.Listener
 	limit clock.Millis
