--- a/bill/event.go
+++ b/bill/event.go
@@ -12,9 +12,9 @@
 // Effect is an action that the caller of Reduce must perform for a Ledger.
 type Effect interface{ isEffect() }
 
-// Finish adds the bill of a finished request. Reserved is true if Reserve was called for it. A step
-// whose entry went away before it billed the step has no reservation. Its bill is accepted beyond
-// the bound, as it would otherwise be lost.
+// Finish adds the bill of a finished request. Reserved is true if Reserve was called for it. An
+// endpoint makes a bill without a reservation if the entry went away before it billed a step. Such a
+// bill is accepted beyond the bound, as it would otherwise be lost.
 type Finish struct {
 	Now      clock.Millis
 	Bill     *wire.Bill
@@ -57,7 +57,7 @@
 // Drain reports that this process is stopping: it transfers the bills it keeps to others.
 type Drain struct{ Now clock.Millis }
 
-// Hold asks a process to hold a bill. HoldReplied must follow.
+// Hold asks a process to hold a bill. The node answers with HoldReplied, also if the call fails.
 type Hold struct {
 	VM      string
 	Address string
@@ -69,7 +69,8 @@
 	Bill   *wire.Bill
 }
 
-// Append requests that a bill be appended to the log. Stored must follow with the same ID.
+// Append requests that a bill be appended to the log. Once it is on the log, the node answers with
+// Stored and the same ID.
 type Append struct {
 	ID   string
 	Bill *wire.Bill
--- a/bill/ledger.go
+++ b/bill/ledger.go
@@ -365,8 +365,10 @@
 	return effects
 }
 
-// check queues bills whose holder failed or is late, requests another holder for bills without a
-// copy elsewhere, and transfers bills while this process drains.
+// check queues the due bills for the log: those whose holders failed or have not had them appended
+// within appendTimeout and, while this process drains, those without two copies elsewhere. It also
+// asks another process to hold a due bill that has no copy elsewhere, and while draining any due
+// bill, for at most maxHoldRequestsPerCheck bills.
 func (l *Ledger) check(now clock.Millis) (effects []Effect) {
 	holdRequests := 0
 	for _, request := range l.due(now) {
--- a/bill/ledger_test.go
+++ b/bill/ledger_test.go
@@ -87,8 +87,8 @@
 	return b.String()
 }
 
-// BenchmarkWaitingBill measures the memory of one bill that waits for the log with a holder. It
-// does not include the memory of its Append in package batch.
+// BenchmarkWaitingBill measures the memory of one bill that is not on the log yet and has a holder.
+// It does not include the memory of its Append in package batch.
 func BenchmarkWaitingBill(b *testing.B) {
 	l := NewLedger("zone-a", b.N)
 	l.Reduce(MembersChanged{Assignment: newAssignment("vm-b zone-b")})
--- a/event/lease.go
+++ b/event/lease.go
@@ -5,7 +5,7 @@
 // OrderKind is the action that an order requests from an engine.
 type OrderKind string
 
-// The kinds of orders.
+// The kinds of orders to an engine.
 const (
 	LoadVersion   OrderKind = "load"
 	UnloadVersion OrderKind = "unload"
@@ -15,7 +15,7 @@
 // OrderOutcome is the outcome of an order.
 type OrderOutcome int
 
-// The outcomes of orders.
+// The outcomes of an order to an engine.
 const (
 	// OrderAccepted means that the engine accepted the order. A later EngineReported shows the effect.
 	OrderAccepted OrderOutcome = iota
