--- a/endpoint/admit.go
+++ b/endpoint/admit.go
@@ -27,7 +27,8 @@
 //
 // The tables are checked again after each wait: the request must not run if a zone was taken out, a
 // version was withdrawn or a drain started in the meantime. The slot is acquired before the last
-// check: if a drain does not see the slot in use, the check sees the drain.
+// check, so that no request is missed: either a drain finds the slot in use, or the check finds that
+// the endpoint drains and refuses the request.
 func (e *Endpoint) admit(ctx context.Context, a *attempt) (err error) {
 	if err = e.catchUp(ctx, a.head); err != nil {
 		return err
--- a/endpoint/run_test.go
+++ b/endpoint/run_test.go
@@ -102,8 +102,9 @@
 	return out
 }
 
-// While the first attempt is still in transit, the caller's retry makes the endpoint refuse it, and
-// the refusal reports that it did not run. The attempt must not run when it arrives later.
+// A caller retries while the first attempt is still in transit. Its entry has the endpoint refuse
+// that attempt, and the endpoint replies that it did not run. The attempt must not run when it
+// arrives later.
 func TestRefusalBeforeAttemptPreventsRun(t *testing.T) {
 	r := newPlainRig(t)
 	head := r.serviceHead("r1", "POST", "fees")
@@ -128,9 +129,9 @@
 	r.is.Equal(r.plain.Calls("POST", "/fees"), 1)
 }
 
-// The endpoint restarted after the attempt was sent and lost its record of attempts. It must
-// not report not-run for what the previous process did, nor run an attempt that the previous
-// process refused.
+// The endpoint restarted after the attempt was sent and lost its record of attempts. It must not
+// report not-run for an attempt that the previous process may have run, nor run one that the
+// previous process may have refused.
 func TestRestartedEndpointReportsUnknown(t *testing.T) {
 	r := newPlainRig(t)
 	head := r.serviceHead("r1", "POST", "fees")
--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -102,8 +102,9 @@
 }
 
 // reattach fetches the rest of an answer from the endpoint after the connection to it broke. The
-// endpoint continues the run, so the request is not sent again: a call that may run only once must
-// not be, and any other one need not be. If the rest cannot be fetched, cause is returned.
+// endpoint continues the run, so the request is not sent again: that would be wrong for a call that
+// may run only once, and is unnecessary for any other. If the rest cannot be fetched, cause is
+// returned.
 func (e *Entry) reattach(ctx context.Context, req *requestState, vm provider.VM, seq *answers.Sequence, emit func(*wire.Piece) error, cause error) (err error) {
 	in := &wire.KeptRequest{Request: req.id, Organisation: req.organisation, After: seq.Next()}
 	ctx, watchdog, cancel := withSilenceWatchdog(ctx)
@@ -120,7 +121,7 @@
 	return err
 }
 
-// runHead describes the attempt to the gate.
+// runHead returns the head of the attempt, the first message that the gate receives.
 func (e *Entry) runHead(ctx context.Context, req *requestState) *wire.RunHead {
 	h := &wire.RunHead{
 		Request:        req.id,
--- a/entry/silence.go
+++ b/entry/silence.go
@@ -10,8 +10,8 @@
 )
 
 // maxSilence is how long an endpoint may send nothing. A live endpoint sends a heartbeat every second,
-// so one that is silent for four is frozen or cut off. Its connection stays open and would hold the
-// request until the deadline.
+// so one that is silent for four is frozen or unreachable. Its connection stays open and would hold
+// the request until the deadline.
 const maxSilence = 4 * clock.Second
 
 // errSilent marks a stream that was cancelled because its endpoint sent nothing.
--- a/entry/timeout_test.go
+++ b/entry/timeout_test.go
@@ -12,10 +12,10 @@
 	"github.com/parsleydeal/parsleydeal/clock"
 )
 
-// An endpoint refuses a call while the body is being sent, and the entry stops sending and tries
-// another endpoint. If the body has already ended, stopping it must not be mistaken for a
-// disconnect of the caller: that would cancel the next attempt, and the caller would get "unknown"
-// for a call that never ran.
+// When an endpoint refuses a call while the body is being sent, the entry stops reading the body and
+// tries another endpoint. If the body has already been read to its end, the stop must do nothing: a
+// read deadline would make the server assume that the caller disconnected and cancel the next
+// attempt, and the caller would get "unknown" for a call that never ran.
 func TestStopAfterEndOfBodyKeepsRequest(t *testing.T) {
 	is := is.New(t)
 	cancelled := make(chan bool, 1)
