--- a/answer/attempt_tracker_test.go
+++ b/answer/attempt_tracker_test.go
@@ -8,9 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-// A caller gets "not-run" and retries with its key; then the delayed first attempt arrives and a
-// renewal fee is charged twice. For any order of events and any bound of the tracker, an attempt
-// that was reported as not run never runs, and none runs twice.
+// A caller gets "not-run" and retries with its key. If the delayed first attempt arrived then and
+// ran, the caller would be charged twice. For any order of events and any bound of the tracker, an
+// attempt that was reported as not run never runs, and none runs twice.
 func TestAttemptReportedNotRunNeverRuns(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tracker := NewAttemptTracker(rapid.IntRange(1, 4).Draw(t, "bound"))
--- a/chat/assembly.go
+++ b/chat/assembly.go
@@ -9,7 +9,7 @@
 // stream. The zero value is empty.
 type Assembly struct {
 	text strings.Builder
-	// fields holds all other fields of the deltas, merged field by field.
+	// fields holds all fields of the deltas except the content, merged field by field.
 	fields map[string]any
 }
 
--- a/comparison/plan.go
+++ b/comparison/plan.go
@@ -45,8 +45,7 @@
 	figure *regexp.Regexp
 }
 
-// Set is a named set of strategies. The map has the strategy of each decision by the decision's
-// name.
+// Set is a named set of strategies. Strategies maps the name of a decision to its strategy.
 type Set struct {
 	Name       string            `toml:"name"`
 	Strategies map[string]string `toml:"ways"`
--- a/gate/ramp_test.go
+++ b/gate/ramp_test.go
@@ -90,8 +90,8 @@
 	waits                []rampWait
 	arrived, served      int
 	refused, unreachable int
-	// fullAt is the time until the pool first served nine tenths of the offered rate; -1 if
-	// it did not.
+	// fullAt is the time from when the engines turned cold until the pool first served nine tenths
+	// of the offered rate; -1 if it did not.
 	fullAt clock.Millis
 	recent []int
 }
--- a/limit/share_test.go
+++ b/limit/share_test.go
@@ -54,10 +54,9 @@
 	})
 }
 
-// Of the answers of a few seconds, the first half is good and the second half poor, so that each
-// answer of the second half needs a retry. With the small slack of one entry, a token bucket would
-// allow a retry for fewer than 34 of the 50 poor answers, although the whole window has enough
-// unused retries for all.
+// Within one window of 10 s, the first 50 answers are good and the next 50 poor, so that each of the
+// latter needs a retry. With the small slack of one entry, a token bucket would allow a retry for
+// fewer than 34 of the 50 poor answers, although the whole window has enough unused retries for all.
 func TestShareCarriesUnusedRetriesWithinWindow(t *testing.T) {
 	is := is.New(t)
 	s := NewShare(10*clock.Second, 0.63, 1.7)
--- a/load/stats.go
+++ b/load/stats.go
@@ -21,7 +21,7 @@
 
 var promiseNames = []string{completeAnswers, matchingAnswers, runsOnce, allowedVersions, sameVersion, billed}
 
-// Promise is the result of checking one guarantee.
+// Promise is the result of checking one guarantee. The output calls a guarantee a promise.
 type Promise struct {
 	Name string `toml:"name" json:"name"`
 	// Checked counts the answers for which a breach could have been found; if it is 0, the
--- a/logbook/logbook.go
+++ b/logbook/logbook.go
@@ -23,8 +23,8 @@
 	// burst is the capacity of the token bucket in lines. With it the first second of a failure is
 	// logged in full.
 	burst = 2 * linesPerSecond
-	// drainTimeout is for how long the lines left in the queue are written after the process was
-	// told to stop.
+	// drainTimeout limits how long the remaining lines of the queue are written after the process
+	// was asked to stop.
 	drainTimeout = 200 * clock.Millis(1)
 )
 
--- a/refusal/response.go
+++ b/refusal/response.go
@@ -8,16 +8,16 @@
 	"github.com/parsleydeal/parsleydeal/clock"
 )
 
-// notRunStatuses are the statuses that callers take as a guarantee that the request did not
-// run and never will.
+// notRunStatuses are the statuses from which callers conclude that the request did not run and
+// never will.
 var notRunStatuses = map[int]bool{
 	http.StatusRequestTimeout: true, http.StatusMisdirectedRequest: true, http.StatusTooManyRequests: true, http.StatusServiceUnavailable: true,
 }
 
 // RetrySafeStatus returns the HTTP status for callers that decide by the status whether to
-// retry. A refusal of a request that may have run never gets a status that guarantees it did
-// not, because the caller would run the request a second time. A refusal of a request that
-// did not run gets 503 in place of any 5xx status, so that the caller may retry.
+// retry. A refusal of a request that may have run never gets a status from which the caller would
+// conclude that it did not, because the caller would run the request a second time. A refusal of a
+// request that did not run gets 503 in place of any 5xx status, so that the caller may retry.
 func (r *Refusal) RetrySafeStatus() int {
 	status := r.Status()
 	switch {
--- a/session/session.go
+++ b/session/session.go
@@ -150,7 +150,7 @@
 }
 
 // checkAge rejects a token that is too old. It also rejects one issued further in the future
-// than clocks may differ, which would outlive its lifetime.
+// than clocks may differ, as it would be valid for longer than the lifetime.
 func (k *Keys) checkAge(issued int64) error {
 	const perSecond = int64(clock.Second)
 	now := k.wallClock()
--- a/table/record.go
+++ b/table/record.go
@@ -52,7 +52,8 @@
 	Base   int64    `toml:"base"`
 	Remove []string `toml:"remove,omitempty"`
 	Tables Tables   `toml:"tables"`
-	// Saved is set in checkpoints only.
+	// Saved holds what a checkpoint records besides the tables: its offset, the revision and the
+	// outcomes of earlier changes. It is nil in a change.
 	Saved *savedState `toml:"saved,omitempty"`
 }
 
