--- a/claim/claimer.go
+++ b/claim/claimer.go
@@ -67,7 +67,7 @@
 			err = ErrUnsettled.Wrap(err, "claim on %s", k.stream)
 		}
 	}()
-	if holder, offset, ok := k.lostAlready(c); ok {
+	if holder, offset, ok := k.alreadyLost(c); ok {
 		return holder, offset, nil
 	}
 	if offset, err = k.append(ctx, c); err != nil {
@@ -76,11 +76,11 @@
 	return k.read(ctx, c, offset)
 }
 
-// lostAlready returns the holder of a claim's key, and true if the claim is of the same or an
+// alreadyLost returns the holder of a claim's key, and true if the claim is of the same or an
 // earlier round than the holder. Such a claim can no longer hold the key and need not be appended.
 // This is usual if a caller repeats a call: the first claim of the new request is of the first
 // round, which the previous request has claimed.
-func (k *Claimer) lostAlready(c *wire.Claim) (holder *wire.Claim, offset int64, ok bool) {
+func (k *Claimer) alreadyLost(c *wire.Claim) (holder *wire.Claim, offset int64, ok bool) {
 	k.stateMu.Lock()
 	defer k.stateMu.Unlock()
 	if k.state == nil {
--- a/control/cluster_test.go
+++ b/control/cluster_test.go
@@ -45,7 +45,7 @@
 	revisionChanged bool
 }
 
-// proc is one process. Its clock has its own zero.
+// proc is one process. Its clock differs from the cluster's by skew.
 type proc struct {
 	vm        provider.VM
 	state     *State
--- a/control/evidence_test.go
+++ b/control/evidence_test.go
@@ -64,7 +64,8 @@
 	})
 }
 
-// request sends one request and schedules the next after requestInterval.
+// request sends one request and schedules the next after requestInterval. It counts the requests to
+// the new version in made.
 func (c *cluster) request(p *proc, number uint64, made *int) {
 	h := xxhash.Sum64String(fmt.Sprint(p.vm.ID, "/", number))
 	version := "m@1"
--- a/control/loop.go
+++ b/control/loop.go
@@ -21,7 +21,7 @@
 	perform func(event.Effect)
 	view    atomic.Pointer[view.View]
 	dropped atomic.Int64
-	// steps counts the events reduced whose effects have been started.
+	// steps counts the events that were reduced and whose effects were started.
 	steps atomic.Int64
 	// changed is closed and replaced when a view is published.
 	changed atomic.Pointer[chan struct{}]
@@ -96,5 +96,5 @@
 	return ok
 }
 
-// Steps returns the number of events reduced whose effects have been started.
+// Steps returns the number of events that were reduced and whose effects were started.
 func (l *Loop) Steps() int64 { return l.steps.Load() }
--- a/proof/bill_test.go
+++ b/proof/bill_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// largeBound is a bound of the waiting bills that is never reached during an outage of the log.
+// largeBound is a bound on the waiting bills that is never reached during an outage of the log.
 const largeBound = 300
 
 // recoveryTime is the time after which every bill is safe again, on the log or with two copies,
--- a/proof/claim_test.go
+++ b/proof/claim_test.go
@@ -341,8 +341,8 @@
 	})
 }
 
-// Guards against unbounded memory when the log has claims of more keys than a process may retain.
-// The keys of the latest claims must not be evicted.
+// The log has claims of more keys than a process may retain. The process must evict keys, as its
+// memory would otherwise grow without bound, but not the keys of the latest claims.
 func TestClaimsAreBounded(t *testing.T) {
 	const bound = 8
 	rapid.Check(t, func(t *rapid.T) {
--- a/proof/fleet_test.go
+++ b/proof/fleet_test.go
@@ -356,9 +356,9 @@
 	})
 }
 
-// checkBilled checks the invariant billed-exactly-once: each released request has one bill, with
-// its own cost. It returns the number of repeated bills on the log. Call it only when the log has
-// been up for long enough that every waiting bill is on it.
+// checkBilled checks the invariant billed-exactly-once: each request that was answered in full has
+// one bill, with its own cost. It returns the number of repeated bills on the log. Call it only when
+// the log has been up for long enough that all bills held by the processes have been appended.
 func (f *fleet) checkBilled() (repeats int64) {
 	s := bill.NewStatement()
 	for o, data := range f.streams[provider.BillStream] {
