--- a/cli/limit_test.go
+++ b/cli/limit_test.go
@@ -117,9 +117,9 @@
 	is.Equal(l.plain.Calls("PROPFIND", "/a/b"), 1)
 }
 
-// An operator has taken the only endpoint of a service out of service, so calls are refused before
-// their bodies are read. Unless the entry closes the connection, net/http panics on the next call
-// over it, and that call would get no response.
+// An operator has disabled the only endpoint of a plain service, so calls are refused before their
+// bodies are read. Unless the entry closes the connection, net/http panics on the next call over it,
+// and that call gets no response.
 func TestConnectionSurvivesCallRefusedBeforeBodyIsRead(t *testing.T) {
 	is := is.New(t)
 	l := startLocal(t, engineParams{tokens: 1})
--- a/cli/load_test.go
+++ b/cli/load_test.go
@@ -23,8 +23,8 @@
 	// operators maps the address for callers of each entry to its address for operators. It must be
 	// complete before watch is called.
 	operators map[string]string
-	// out is the set of addresses for callers of the entries that are not ready.
-	out sync.Map
+	// notReady is the set of entries that are not ready, by their addresses for callers.
+	notReady sync.Map
 }
 
 func (b *balancer) watch(t *testing.T) {
@@ -33,7 +33,7 @@
 			for t.Context().Err() == nil {
 				resp, err := http.Get("http://" + operators + "/readyz")
 				if err != nil || resp.StatusCode != http.StatusOK {
-					b.out.Store(callers, true)
+					b.notReady.Store(callers, true)
 				}
 				if err == nil {
 					_ = resp.Body.Close()
@@ -45,7 +45,7 @@
 }
 
 func (b *balancer) RoundTrip(r *http.Request) (resp *http.Response, err error) {
-	if _, out := b.out.Load(r.URL.Host); out {
+	if _, out := b.notReady.Load(r.URL.Host); out {
 		return nil, &net.OpError{Op: "dial", Err: errors.New("entry is out")}
 	}
 	return b.next.RoundTrip(r)
--- a/soak/check_test.go
+++ b/soak/check_test.go
@@ -80,8 +80,8 @@
 	}
 }
 
-// quietPeriod is how long no fault may have affected an entry before its planned stop for
-// checkDisconnect to apply.
+// quietPeriod is the minimum time between the last fault that affected an entry and its planned stop
+// for checkDisconnect to apply.
 const quietPeriod = 3 * time.Second
 
 // checkDisconnect checks a request whose connection ended before the complete answer. A planned
--- a/soak/site_test.go
+++ b/soak/site_test.go
@@ -23,7 +23,7 @@
 	entryCount = 3
 	poolCount  = 4
 	appCount   = 3
-	// keyLease is for how long an entry may still accept a key that was revoked.
+	// keyLease is how long an entry may still accept a key after it was revoked.
 	keyLease  = 3 * time.Second
 	stopGrace = 5 * time.Second
 )
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -85,7 +85,7 @@
 	body string
 }
 
-// soak is the run of one seed.
+// soak is the state of a run with the faults of one seed.
 type soak struct {
 	*site
 	t       *testing.T
@@ -99,7 +99,7 @@
 	startedAt time.Time
 }
 
-// hangMargin is how long a seed may take beyond the time in which faults are injected. It covers
+// hangMargin is how long a run may take beyond the time in which faults are injected. It covers
 // the end of the last fault, two planned stops one after the other, the recovery and the shutdown
 // of the stand-ins.
 const hangMargin = 60 * time.Second
@@ -132,8 +132,8 @@
 	}
 }
 
-// abortHung panics if a seed hangs, which prints the stacks of all goroutines. It kills the entries
-// first, as they would otherwise continue to run after the panic.
+// abortHung panics if the run of a seed hangs, which prints the stacks of all goroutines. It kills
+// the entries first, as they would otherwise continue to run after the panic.
 func (k *soak) abortHung(seed uint64) {
 	if *keepLogs == "" {
 		if dir, err := os.MkdirTemp("", "soak"); err == nil {
@@ -244,8 +244,8 @@
 	return 50*time.Millisecond + time.Duration(k.rng.Int64N(int64(limit)))
 }
 
-// holdFault injects a fault and ends it after d, concurrently with other faults.
-func (k *soak) holdFault(d time.Duration, inject, end func()) {
+// injectFor injects a fault and ends it after d, concurrently with other faults.
+func (k *soak) injectFor(d time.Duration, inject, end func()) {
 	inject()
 	k.faults.Go(func() {
 		time.Sleep(d)
@@ -268,15 +268,15 @@
 	case 3:
 		m, d := mode(1+k.rng.IntN(int(modeCount)-1)), k.randomDuration(3*time.Second)
 		k.logFault("%s: connections to the store %s for %s", p.name, m, d)
-		k.holdFault(d, func() { p.storeProxy.setMode(m) }, func() { p.storeProxy.setMode(pass) })
+		k.injectFor(d, func() { p.storeProxy.setMode(m) }, func() { p.storeProxy.setMode(pass) })
 	case 4:
 		f, d := standin.Fault(1+k.rng.IntN(5)), k.randomDuration(3*time.Second)
 		k.logFault("%s: store fault %d for %s", p.name, f, d)
-		k.holdFault(d, func() { p.storeHandler.SetFault(f) }, func() { p.storeHandler.SetFault(standin.NoFault) })
+		k.injectFor(d, func() { p.storeHandler.SetFault(f) }, func() { p.storeHandler.SetFault(standin.NoFault) })
 	case 5:
 		m, d := mode(1+k.rng.IntN(int(modeCount)-1)), k.randomDuration(2*time.Second)
 		k.logFault("%s: connections to the endpoint %s for %s", e.name, m, d)
-		k.holdFault(d, func() { e.proxy.setMode(m) }, func() { e.proxy.setMode(pass) })
+		k.injectFor(d, func() { e.proxy.setMode(m) }, func() { e.proxy.setMode(pass) })
 	case 6, 7:
 		k.addEndpointFault(e)
 	case 8:
@@ -284,7 +284,7 @@
 	case 9:
 		zone, d := zoneOf(k.rng.IntN(2)), k.randomDuration(2*time.Second)
 		k.logFault("zone %s evacuated for %s", zone, d)
-		k.holdFault(d, func() { k.store.Put("keyed.op", "evacuate/"+zone, []byte("{}")) }, func() { k.store.Put("keyed.op", "evacuate/"+zone, nil) })
+		k.injectFor(d, func() { k.store.Put("keyed.op", "evacuate/"+zone, []byte("{}")) }, func() { k.store.Put("keyed.op", "evacuate/"+zone, nil) })
 	case 10:
 		k.logFault("store compacted, SIGHUP to %s", p.name)
 		k.store.Compact("keyed.op")
@@ -325,7 +325,7 @@
 func (k *soak) pause(p *process, d time.Duration) {
 	k.logFault("%s: paused for %s", p.name, d)
 	p.recordDisturbance()
-	k.holdFault(d, func() { p.signal(syscall.SIGSTOP, false) }, func() {
+	k.injectFor(d, func() { p.signal(syscall.SIGSTOP, false) }, func() {
 		p.signal(syscall.SIGCONT, false)
 		p.recordDisturbance()
 	})
@@ -347,7 +347,7 @@
 		return // the stand-in supports these faults only for answers that are not streams
 	}
 	k.logFault("%s: %s, %.0f%% for %s", e.name, name, 100*ratio, d)
-	k.holdFault(d, func() {
+	k.injectFor(d, func() {
 		e.setFault(func() standin.Reply {
 			if rand.Float64() < ratio {
 				return reply
