--- a/daemon/advertisement_test.go
+++ b/daemon/advertisement_test.go
@@ -114,8 +114,9 @@
 	}
 }
 
-// withinPause counts the refused requests that arrived in the second half of a pause which the
-// endpoint had advertised with an earlier refusal.
+// withinPause counts the refused requests that arrived in the second half of a pause that the
+// endpoint had advertised with an earlier refusal. The first half is not counted, because requests
+// that were in transit at the refusal may arrive then.
 func withinPause(refused []time.Time, pause time.Duration) (n int) {
 	for i, at := range refused {
 		if slices.ContainsFunc(refused[:i], func(refusedAt time.Time) bool { return at.Sub(refusedAt) > pause/2 && at.Sub(refusedAt) < pause }) {
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -57,7 +57,7 @@
 	exitUsage = 2
 )
 
-// errUsage marks errors of the command line.
+// errUsage marks command-line usage errors.
 var errUsage = errors.New("usage")
 
 // exitCode prints an error and returns the exit code for it.
--- a/daemon/direct_test.go
+++ b/daemon/direct_test.go
@@ -443,7 +443,7 @@
 	time.Sleep(time.Second)
 	before := ts.store.Calls()
 	time.Sleep(3 * time.Second)
-	// Two readers of two streams each make about 15 calls; eight make 60.
+	// Two entries that read two streams make about 15 calls together; eight would make 60.
 	is.True(ts.store.Calls()-before < 25)
 	ts.publish()
 	ts.eventually(300*time.Millisecond, "the change is in force everywhere", inForce(all))
--- a/daemon/upgrade_test.go
+++ b/daemon/upgrade_test.go
@@ -31,9 +31,9 @@
 	}
 }
 
-// A new version fails half of its requests. The entries must judge it by their
-// combined counts, stop using it and report the rollback to the operator, long before
-// the duration of the order has passed and after few requests.
+// A new version fails half of its requests. The entries must judge it by their combined counts,
+// stop using it and report the rollback to the operator, long before the duration of the upgrade
+// order has passed and after few requests.
 func TestBadVersionIsRolledBack(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -73,9 +73,9 @@
 	is.True(float64(before) < 0.2*float64(all)+30)
 }
 
-// A new version is good. Sessions must keep their version during the first half of
-// the order's duration, then all change to the new one, and completion must be reported
-// to the operator once nothing runs on the old version any more.
+// A new version is good. Sessions must keep their version during the first half of the upgrade
+// order's duration, then all change to the new one, and completion must be reported to the operator
+// once nothing runs on the old version any more.
 func TestGoodVersionIsCompleted(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -95,7 +95,8 @@
 	})
 	is.True(time.Since(orderedAt) < 6*time.Second)
 	for _, run := range updated.Runs() {
-		// All forty sessions ran on v1 before the order, and must stay there during this time.
+		// All forty sessions ran on v1 before the upgrade was ordered, and must stay there during
+		// this time.
 		if run.At.Sub(orderedAt) < 2800*time.Millisecond {
 			t.Fatalf("a session changed its version %s after the order", run.At.Sub(orderedAt))
 		}
--- a/decision/decision.go
+++ b/decision/decision.go
@@ -105,8 +105,7 @@
 	// ByTime weighs the value of a better answer against the larger model's price and its time,
 	// measured as the fraction of the remaining time that its first byte takes.
 	ByTime Strategy = "by-time"
-	// ByPressure does the same, but scales the charge for time by the current load of the
-	// endpoints.
+	// ByPressure is ByTime with the charge for time scaled by the current load of the endpoints.
 	ByPressure Strategy = "by-pressure"
 	// ByPrice weighs the value of a better answer against the larger model's price only.
 	ByPrice Strategy = "by-price"
--- a/emulator/emulator_test.go
+++ b/emulator/emulator_test.go
@@ -112,8 +112,8 @@
 	}
 }
 
-// Checks for random prompts that an endpoint prefills one prompt after another, never streams more answers
-// than it has slots, and does not prefill cached tokens.
+// Checks with random prompts that an endpoint prefills one prompt after another, never streams more
+// answers than it has slots, and does not prefill cached tokens.
 func TestEndpointStaysWithinItsSlots(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := Site{Slots: rapid.IntRange(1, 4).Draw(t, "slots"), CacheTokens: 1000}
--- a/membership/members.go
+++ b/membership/members.go
@@ -87,8 +87,8 @@
 // Zone returns the VMs of an availability zone sorted by ID.
 func (m *Members) Zone(name string) []provider.VM { return m.byZone[name] }
 
-// Leaving reports whether the VM is leaving, according to the platform's list or to its own
-// process.
+// Leaving reports whether the VM is leaving, according to the platform's list or to the process on
+// the VM.
 func (m *Members) Leaving(v provider.VM) bool { return v.Leaving || m.leaving[v.ID] }
 
 // Suspected reports whether recent calls to the VM failed and no message from it has arrived
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -76,8 +76,8 @@
 
 // Share is an entry's share of a bound.
 type Share struct {
-	// Entries entries divide Fraction of the bound evenly among them. Index is this entry's number
-	// among them, from 0.
+	// Fraction of the bound is divided evenly among a number of entries, Entries. Index is this
+	// entry's number among them, from 0.
 	Fraction float64
 	Entries  int
 	Index    int
@@ -150,9 +150,9 @@
 	// sent there. Without it, entries send prompts to endpoints of other zones that look idle but
 	// were just filled, while entries of other zones fill theirs in the same manner.
 	unreportedCost = 600.0
-	// affinityCost is the maximum cost by a hash of the endpoint and the shared block. It spreads
-	// blocks over the endpoints, and makes entries that get no reports from each other send
-	// prompts with the same block to the same endpoint.
+	// affinityCost is the maximum of the cost that a hash of the endpoint and the shared block
+	// determines. This cost spreads blocks over the endpoints, and makes entries that get no
+	// reports from each other send prompts with the same block to the same endpoint.
 	affinityCost = 60.0
 	// affinityMinTokens is the minimum number of shared tokens for which a prompt is sent to
 	// another zone for the sake of its cached blocks. Saving the prefill of that many tokens once
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -271,12 +271,12 @@
 		}
 		return inTime, refused
 	}
-	without, none := simulate(0)
-	with, refused := simulate(1000)
+	inTimeWithoutBudget, none := simulate(0)
+	inTimeWithBudget, refused := simulate(1000)
 	is.Equal(none, 0)
-	is.True(without < 100)
-	is.True(with > 140) // the endpoints can prefill 150 in ten seconds
-	is.True(with+refused == 400)
+	is.True(inTimeWithoutBudget < 100)
+	is.True(inTimeWithBudget > 140) // the endpoints can prefill 150 in ten seconds
+	is.True(inTimeWithBudget+refused == 400)
 }
 
 // Guards against selection by the number of requests when prompts differ much in length: a short
--- a/placement/prefix_cache_test.go
+++ b/placement/prefix_cache_test.go
@@ -33,9 +33,9 @@
 
 func allZonesSelector() *Selector { return NewSelectorWith(strategiesOf("affinity", "everywhere")) }
 
-// Guards against repeated prefill of a long shared block on one endpoint after another: the
-// entries of several zones, which get no reports from each other, must all send its prompts to the
-// same endpoint.
+// Entries of several zones, which get no reports from each other, must send all prompts with the
+// same long shared block to the same endpoint. Otherwise one endpoint after another prefills the
+// block again.
 func TestAllZonesAgreeOnEndpointForSharedBlock(t *testing.T) {
 	is := is.New(t)
 	s := threeZones()
@@ -70,7 +70,7 @@
 		sel.Begin(e, hot).End()
 	}
 	preferred, _ := allZonesSelector().Select(s, hot)
-	is.True(preferred.Zone != "a") // in zone a its sends would not reach the limit below
+	is.True(preferred.Zone != "a") // in zone a it would be the cheapest even beyond its share
 	is.True(sends[preferred.ID] <= 3)
 }
 
--- a/placement/report.go
+++ b/placement/report.go
@@ -38,9 +38,9 @@
 	receivedAt clock.Millis
 }
 
-// reportTTL is how long after its arrival reported work counts. Its weight falls linearly to 0
-// over this time, since the endpoint makes progress: the largest model prefills a long prompt in a
-// second.
+// reportTTL is how long a report of pending work is taken into account. Its weight falls linearly
+// to 0 over this time, because the endpoint prefills the pending prompts meanwhile: even the
+// largest model prefills a long prompt in about a second.
 const reportTTL = clock.Second
 
 // urgentMinMillis is the minimum prefill work, in milliseconds, of a prompt that is reported at
--- a/placement/zones_test.go
+++ b/placement/zones_test.go
@@ -14,9 +14,10 @@
 // Guards against prompts that queue behind long ones while other endpoints are idle. 66 entries in
 // six zones report their work only within their zone and use three fifths of the prefill capacity
 // of 72 endpoints. When entries sent three quarters of their prompts to other zones, from which
-// they get no reports, callers waited several times as long as the prefill takes. If entries
-// prefer endpoints whose work is reported to them, and report long prompts at once, nine in ten
-// prompts must be prefilled within twice the time that their prefill takes.
+// they get no reports, callers waited several times as long as the prefill takes. Entries must
+// prefer endpoints whose work is reported to them, and report long prompts at once. Over 80% of the
+// prompts must then stay in the zone of their entry, and under 10% wait for longer than the prefill
+// of a long prompt (300 ms).
 func TestEntriesPreferEndpointsWithReportedWork(t *testing.T) {
 	is := is.New(t)
 	sim := newZoneSimulation(6, 11, 12)
--- a/quality/estimate.go
+++ b/quality/estimate.go
@@ -19,8 +19,9 @@
 	// minVariance is the minimum variance of scores. It keeps the bounds apart if the few ratings
 	// so far are all equal.
 	minVariance = 0.02
-	// maxEstimates bounds the keys with sums. Further versions are estimated only from the quality
-	// configured by the operators.
+	// maxEstimates is the maximum number of keys (versions on routes) in State.own and in
+	// State.received. The quality of any further version is taken from the operators' configuration
+	// alone.
 	maxEstimates = 1024
 )
 
--- a/quality/plan.go
+++ b/quality/plan.go
@@ -94,14 +94,15 @@
 // meets the target, then the next cheapest ones, which are used if no endpoint can run the first.
 // Apart from a trial, all plans in the list meet the target, so that high load never lowers the
 // quality below it. If the lower bounds of all plans miss the target, the list has only the plan
-// with the highest lower bound among those whose upper bound meets it. The list is empty if no
-// plan can meet the target.
+// with the highest lower bound among those whose upper bound meets it. The list is empty if no plan
+// can meet the target.
 //
-// Plans must be sorted by cost. draw is a random number in [0, 1) that is fixed for the request.
-// If it is below trialRatio, the list starts with a trial: the cheapest plan that probably meets
-// the target although its lower bound misses it. If draw is below explore, the trial may be a plan
-// that probably misses the target but whose upper bound meets it. Without explore (0) there are no
-// trials.
+// Plans must be sorted by cost. draw is a random number in [0, 1) that is fixed for the request. If
+// some plan meets the target and cheaper ones may be tried, the list starts with the cheapest of
+// these as a trial. A plan that probably meets the target, although its lower bound misses it, may
+// be tried if draw is below trialRatio. A plan that probably misses the target may be tried if draw
+// is below explore, its upper bound meets the target, and it has fewer than maxExploreRatings
+// ratings. If explore is 0, there are no trials.
 func Choose(plans []Plan, target, explore, draw float64) (out []Plan) {
 	for _, p := range plans {
 		if p.Quality.Low >= target {
--- a/quality/plan_test.go
+++ b/quality/plan_test.go
@@ -15,7 +15,8 @@
 var costlyOption = Option{Version: "dear@1", Cost: 10, Prior: 0.95}
 
 // Under load a request uses later plans of the list, so none of them may miss the target, or load
-// would lower the quality below it. Only a trial may miss it, and only for draws that allow one.
+// would lower the quality below it. Only a trial may miss it, and only if the request's draw allows
+// a trial.
 func TestNoPlanBelowTheTarget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		is := is.New(t)
--- a/relay/admit.go
+++ b/relay/admit.go
@@ -17,8 +17,9 @@
 	// startRetryAfter is the retry delay for callers that arrive before the state of the site is
 	// loaded: about the time that the first reads of the store take.
 	startRetryAfter = 500 * clock.Millis(1)
-	// staleRetryAfter is the retry delay for a caller whose key cannot be confirmed. By then
-	// another entry may get the request, or the store may have answered this one.
+	// staleRetryAfter is the retry delay for a caller whose key cannot be confirmed. By then the
+	// request may reach another entry, or this entry may have confirmed its configuration at the
+	// store.
 	staleRetryAfter = clock.Second
 	// defaultTimeout applies to routes without a timeout.
 	defaultTimeout = 30 * clock.Second
--- a/relay/latency.go
+++ b/relay/latency.go
@@ -132,9 +132,9 @@
 )
 
 const (
-	// earlyShare is the share of requests up to which a good new version is as fast as the old
-	// one. Above it the new version has more load than the old one, and must process prompts whose
-	// prefixes only the old version has cached.
+	// earlyShare is the new version's share of requests up to which a good version is expected to
+	// be as fast as the old one. At a higher share the new version has more load than the old one,
+	// and must process prompts whose prefixes only the old version has cached.
 	earlyShare = 0.5
 	// loadedFactor is how much slower a new version may be above earlyShare, or when its answers
 	// are compared with those of endpoints that had less load.
--- a/relay/plan_test.go
+++ b/relay/plan_test.go
@@ -32,7 +32,7 @@
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			is := is.New(t)
-			a := smallAnswer(x.tokens)
+			a := smallModelAttempt(x.tokens)
 			if x.waiting > 0 {
 				e := a.exchange.view.Fleet().Find("i-1")
 				a.exchange.server.selector.Begin(e, placement.Query{Model: "large", Blocks: []placement.Block{{ID: "other", Tokens: x.waiting}}, FullMesh: true, Now: 1000})
@@ -42,8 +42,9 @@
 	}
 }
 
-// smallAnswer returns an attempt at the smaller of two models whose answer has arrived.
-func smallAnswer(tokens int) *attempt {
+// smallModelAttempt returns an attempt at the smaller of two models, whose answer to a prompt of
+// the given length has arrived.
+func smallModelAttempt(promptTokens int) *attempt {
 	c := clock.New(func() clock.Millis { return 1000 })
 	route := &catalog.Route{Name: "r", Kind: catalog.Idempotent, Timeout: 8000, LatencyTarget: 1500, MaxAttempts: 3, Models: []string{"small", "large"}, Targets: []catalog.Target{{Service: "app", Weight: 1}}}
 	endpoint := &fleet.Endpoint{ID: "i-1", Service: "app", Address: "10.0.0.1:1", Version: "v1", Slots: 24}
@@ -51,7 +52,7 @@
 	server := New(Config{Clock: c, Log: log.New(io.Discard), View: func() *site.View { return view }, Pool: upstream.NewPool(c), RetryRatio: 1, RetrySlack: 100, RetryWindow: 1000})
 	return &attempt{plan: plan{models: []string{"small", "large"}}, exchange: &exchange{
 		server: server, view: view, startedAt: 900, deadline: 8900, route: route, service: "app",
-		req: &Request{ID: "r-1", AnyModel: true, Blocks: []placement.Block{{ID: "own", Tokens: tokens}}},
+		req: &Request{ID: "r-1", AnyModel: true, Blocks: []placement.Block{{ID: "own", Tokens: promptTokens}}},
 	}}
 }
 
--- a/relay/run.go
+++ b/relay/run.go
@@ -101,7 +101,7 @@
 // abandoned.
 func (x *exchange) mayRepeat() bool { return x.mayRepeatAfter(0) }
 
-// mayRepeatAfter is like mayRepeat, but also counts the given number of further attempts as run.
+// mayRepeatAfter is like mayRepeat, but assumes that the given number of further attempts have run.
 func (x *exchange) mayRepeatAfter(more int) bool {
 	return x.route.Repeatable() && x.runs+more < x.route.MaxAttempts
 }
@@ -150,7 +150,7 @@
 }
 
 // firstByteBudget returns the longest predicted time to the first byte that is acceptable at an
-// endpoint; 0 means no limit. There is none once part of the answer was sent to the caller.
+// endpoint; 0 means no limit. There is no limit once part of the answer was sent to the caller.
 func (x *exchange) firstByteBudget(now clock.Millis) clock.Millis {
 	if x.written || x.route.LatencyTarget <= 0 || x.server.cfg.Strategies.Disabled(decision.LatePrompts) {
 		return 0
--- a/relay/share_test.go
+++ b/relay/share_test.go
@@ -19,7 +19,7 @@
 
 // A site grows, and with it the size of reports and the number of entries that receive them; long
 // prompts arrive all the time, and each is reported as soon as possible. The bytes that an entry
-// sends per second for reports must stay bounded; instead, reports are sent later.
+// sends per second for reports must stay bounded: when the budget is used up, reports are delayed.
 func TestReportsStayWithinByteBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		size, to := rapid.IntRange(60, 60000).Draw(t, "size"), rapid.IntRange(1, 400).Draw(t, "to")
@@ -33,7 +33,7 @@
 			budget.available -= float64(size * to)
 			bytes += size * to
 		}
-		// The last report may exceed the budget, whatever its size; later ones wait for it.
+		// A report may exceed the budget and delays the next one, so the last one is not counted.
 		perSecond := float64(bytes-size*to) * float64(clock.Second) / float64(now)
 		if perSecond > reportBytesPerSecond*1.01 {
 			t.Fatalf("%g bytes per second", perSecond)
@@ -41,13 +41,13 @@
 	})
 }
 
-// An entry starts while its neighbours are running. It requests a snapshot from one of them once
-// it knows one, and ignores a snapshot that it did not request. A neighbour must not send
-// snapshots to addresses that it does not know.
+// An entry starts while its neighbours, the entries that it exchanges reports with, are running. It
+// requests a snapshot from one of them as soon as it knows an address, and ignores a snapshot that
+// it did not request. A neighbour must not send snapshots to addresses that it does not know.
 func TestStartedEntryRequestsSnapshot(t *testing.T) {
 	is := is.New(t)
 	c := clock.Boot()
-	// serverOf returns the server of an entry with one neighbour.
+	// serverOf returns the server of an entry that knows one other entry.
 	serverOf := func(name, other string) *Server {
 		view := site.NewState(site.Self{Name: name, Zone: "a"}, 0)
 		site.Reduce(view, site.EntriesRead{Now: 1, Addresses: map[string]string{name: name + ":1", other: other + ":1"}})
--- a/relay/snapshot.go
+++ b/relay/snapshot.go
@@ -14,7 +14,7 @@
 
 const (
 	// snapshotRequestInterval is the time between two requests of an entry that has just started,
-	// and maxSnapshotRequests their maximum number: after a stop of all entries no neighbour has a
+	// and maxSnapshotRequests their maximum number: if all entries were stopped, no neighbour has a
 	// snapshot.
 	snapshotRequestInterval = 250 * clock.Millis(1)
 	maxSnapshotRequests     = 6
@@ -110,8 +110,8 @@
 // model, or none would.
 func speedsFromWire(speeds []*wire.ModelSpeed) (out []placement.ModelSpeed) {
 	for _, s := range speeds {
-		beyond := math.Abs(s.GetBeyondMillis()) < maxBeyondMillis
-		if beyond && s.GetTokenMillis() > 0 && s.GetTokenMillis() < maxTokenMillis && s.GetMeasured() > 0 {
+		plausible := math.Abs(s.GetBeyondMillis()) < maxExcessMillis
+		if plausible && s.GetTokenMillis() > 0 && s.GetTokenMillis() < maxTokenMillis && s.GetMeasured() > 0 {
 			out = append(out, placement.ModelSpeed{Model: s.GetModel(), MillisPerToken: s.GetTokenMillis(), Samples: int(s.GetMeasured()), ExcessMillis: s.GetBeyondMillis()})
 		}
 	}
@@ -121,7 +121,7 @@
 const (
 	// maxTokenMillis is the largest plausible time to process one prompt token, in milliseconds.
 	maxTokenMillis = 10.0
-	// maxBeyondMillis is the largest plausible prediction error of the time to the first byte, in
+	// maxExcessMillis is the largest plausible prediction error of the time to the first byte, in
 	// milliseconds.
-	maxBeyondMillis = 10000.0
+	maxExcessMillis = 10000.0
 )
--- a/site/feed.go
+++ b/site/feed.go
@@ -9,8 +9,8 @@
 	"github.com/parsleydeal/parsleydeal/provider"
 )
 
-// Intervals of the feeds. Every call to the store is billed, so each feed is read as rarely as
-// the deadline that depends on it allows.
+// Intervals of the feeds, each of which reads one stream of the store. Every call to the store is
+// billed, so each stream is read as rarely as the deadline that depends on it allows.
 const (
 	// operatorWait is the long-poll timeout of the operators' stream. A result confirms the
 	// configuration as of the time the read was sent, so a confirmation is at most twice this
@@ -32,9 +32,9 @@
 	retryDelay    = 150 * clock.Millis(1)
 	maxRetryDelay = 600 * clock.Millis(1)
 	// peerRetryDelay is the minimum delay after a failed read in two cases: the store fails all
-	// entries and peers probe it, so that their next report, at most a second later, shows that
-	// the store is back; or the store rejects this entry but serves the peers that send it all
-	// changes.
+	// entries and peers probe it, so that their next report, at most a second later, shows that the
+	// store is back; or the store rejects this entry but serves its peers, which send all changes
+	// to this entry.
 	peerRetryDelay = 2 * clock.Second
 	// operatorFailingDelay is the minimum delay after a failed read of another stream while reads
 	// of the operators' stream fail too. Only the feed of the operators' stream then keeps probing
--- a/site/outage_test.go
+++ b/site/outage_test.go
@@ -70,10 +70,11 @@
 	})
 }
 
-// Guards against each feed of a process probing a failing store on its own, for example when all
-// entries start after a power failure while the store is down for ten seconds. That makes four
-// times as many billed calls as are needed to notice that the store is back. Only the operators'
-// feed probes it; the others follow as soon as it succeeds.
+// Every call to the store costs money, even a refused one. A process has several feeds, each of
+// which reads one stream of the store. Guards against each feed probing a failing store on its own,
+// for example when all entries start after a power failure while the store is down for ten seconds.
+// That makes four times as many calls as are needed to notice that the store is back. Only the feed
+// of the operators' stream must probe the store; the others must resume as soon as it succeeds.
 func TestFailingStoreIsProbedByOneFeed(t *testing.T) {
 	is := is.New(t)
 	f := &flakyStore{calls: make(map[Stream]int)}
--- a/site/state_test.go
+++ b/site/state_test.go
@@ -158,8 +158,8 @@
 	return out
 }
 
-// parseCounts parses counts of the route chat, new=ended/bad old=ended/bad, and the number of
-// requests running on the old version.
+// parseCounts parses the arguments "new" and "old", which hold the counts of the two versions on
+// the route chat as "ended/bad", and "running", the number of requests running on the old version.
 func parseCounts(a args, now clock.Millis) Event {
 	pair := func(key string) upgrade.Count {
 		ended, bad, _ := strings.Cut(a.text(key), "/")
--- a/site/store_calls_test.go
+++ b/site/store_calls_test.go
@@ -80,9 +80,9 @@
 	is.True(readAt > 0 && readAt <= 100+peerTimeout+100)
 }
 
-// Guards against needless retries by an entry whose calls the store rejects: it must not retry
-// each of its reads more than once a second, as the store serves its peers, which send it all
-// changes.
+// Guards against needless retries by an entry whose calls the store rejects: it must not retry each
+// of its reads more than once a second. The store serves the peers of this entry, and they send it
+// all changes.
 func TestEntryRejectedByStoreBacksOff(t *testing.T) {
 	is := is.New(t)
 	f := &flakyStore{calls: make(map[Stream]int)}
--- a/spread/spread.go
+++ b/spread/spread.go
@@ -94,7 +94,7 @@
 	offset  int64
 }
 
-// New returns the state of a process on VM self that has just started.
+// New returns the state of a process that has just started on the VM with the ID self.
 func New(self, zone string) State {
 	return State{self: self, zone: zone, confirmedAt: NeverConfirmed, startReplies: make(map[string]string)}
 }
@@ -112,12 +112,12 @@
 // published.
 func (s *State) Reduce(e event.Event, l Local, m *membership.Members) (effects []event.Effect, changed bool) {
 	started, confirmed := s.started, s.confirmedAt
-	grown := l.Offset > s.offset || l.Holds != s.holds
+	newRecords := l.Offset > s.offset || l.Holds != s.holds
 	s.holds = l.Holds
 	s.offset = max(s.offset, l.Offset)
 	effects = s.apply(e, m)
 	s.tryStart(l, m)
-	if notify := s.hasUpdates(grown, m); notify {
+	if notify := s.takeUpdates(newRecords, m); notify {
 		effects = append(effects, s.notifyPeers(m)...)
 	}
 	return effects, s.started != started || s.confirmedAt != confirmed
@@ -292,12 +292,13 @@
 	s.started = true
 }
 
-// hasUpdates reports whether peers must be notified at once, because there are new records or
-// holds (grown is true) or new leaving changes.
-func (s *State) hasUpdates(grown bool, m *membership.Members) bool {
+// takeUpdates reports whether peers must be notified at once, because there are new records or
+// holds (newRecords is true) or there were leaving changes since the last call. It records the
+// number of leaving changes for the next call.
+func (s *State) takeUpdates(newRecords bool, m *membership.Members) bool {
 	changed := m.LeavingChanges() > s.leavingChanges
 	s.leavingChanges = m.LeavingChanges()
-	return grown || changed
+	return newRecords || changed
 }
 
 func (s *State) tick(m *membership.Members) (effects []event.Effect) {
--- a/upgrade/evidence.go
+++ b/upgrade/evidence.go
@@ -7,9 +7,9 @@
 )
 
 // Key groups outcomes by route and version. Target is true for the new version. Delay is true for
-// counts of first-byte delays: how much later than forecast the first byte came of answers that
-// were dropped in favour of a larger model's, before the time between their events could be
-// measured.
+// counts of first-byte delays. These are used for answers that were dropped in favour of a larger
+// model's before the time between their events could be measured: the delay is how much later than
+// forecast the first byte arrived.
 type Key struct {
 	Route  string
 	Target bool
@@ -58,12 +58,12 @@
 	limit float64
 }
 
-// SlowThresholds lists the definitions of a slow answer. A high quantile soonest detects a new
-// version that is several times slower throughout. It fails if the old version has many slow
-// answers itself: under a load that makes the time between events vary several-fold, most events
-// of a slow version hardly exceed the 0.8 quantile, and a lower quantile detects it. A version
-// that is slow only sometimes is detected by a multiple of a quantile, which few of the old
-// version's answers exceed.
+// SlowThresholds lists the definitions of a slow answer. A threshold with a high quantile is the
+// quickest to detect a new version that is several times slower throughout. It fails if the old
+// version has many slow answers itself: under a load that makes the time between events vary
+// several-fold, most events of a slow version hardly exceed the 0.8 quantile, and a lower quantile
+// detects it. A version that is slow only sometimes is detected by a multiple of a quantile, which
+// few of the old version's answers exceed.
 var SlowThresholds = [...]SlowThreshold{
 	{Quantile: 0.65, Factor: 1, limit: 0.4},
 	{Quantile: 0.8, Factor: 1, limit: 0.25},
--- a/upgrade/upgrade.go
+++ b/upgrade/upgrade.go
@@ -4,7 +4,7 @@
 
 const (
 	// idleDuration is how long nothing must have run on the old version before the upgrade is
-	// complete. What this process knows of its peers may be as old as two of their reports.
+	// complete. The counts received from peers may be two report intervals old.
 	idleDuration = 700 * clock.Millis(1)
 	// completionMargin is how long before its deadline an upgrade is completed even if the old
 	// version is still in use. Streams that this cuts off continue on the new version, whereas an
--- a/upgrade/upgrade_test.go
+++ b/upgrade/upgrade_test.go
@@ -91,9 +91,9 @@
 }
 
 // A version takes eight times as long for two fifths of its requests and is as fast as the old one
-// for the rest. If it gets only an eighth of the traffic at first, it must still be found by then:
-// when it was found 4 s later, it already had nearly all traffic. It must be rolled back before
-// its fiftieth slow answer.
+// for the rest. It gets only an eighth of the traffic at first and must be detected during that
+// time: when it was detected 4 s later, it already had nearly all traffic. It must be rolled back
+// before its fiftieth slow answer.
 func TestIntermittentlySlowVersionIsRolledBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		u, target := untilVerdict(t, 8, 61, 52, 40)
@@ -124,10 +124,11 @@
 	})
 }
 
-// Endpoints become unreachable while a slow version is rolled out, and half of the old version's
-// answers are slow as well. Nearly all answers of the new version are slow, but sixteen are too
-// few for a verdict. The version must be rolled back on suspicion alone; otherwise its share
-// rises, the old version becomes idle and the upgrade completes.
+// Endpoints become unreachable during the upgrade to a slow version, so that half of the old
+// version's answers are slow as well. When the new version's share is about to rise, nearly all of
+// its sixteen answers were slow, but so few answers do not suffice for a verdict. The version must
+// be rolled back on suspicion alone; otherwise its share rises, the old version becomes idle and
+// the upgrade completes.
 func TestSuspiciousVersionIsRolledBackBeforeItsShareRises(t *testing.T) {
 	risen := 0
 	for seed := range uint64(200) {
@@ -140,8 +141,9 @@
 	}
 }
 
-// The same faults with a good version: both versions are equally slow. Hardly any upgrade may be
-// rolled back for no reason, since operators then have to order it again.
+// As in the test above, endpoints become unreachable, but the new version is good: both versions
+// are equally slow. Hardly any upgrade may be rolled back for no reason, since operators then have
+// to order it again.
 func TestGoodVersionIsKeptDuringFaults(t *testing.T) {
 	rolledBack := 0
 	for seed := range uint64(500) {
@@ -155,9 +157,9 @@
 }
 
 // afterHalf records the given number of answers of a new version over half of an upgrade's
-// duration, of which slow[i] percent exceed threshold i. For each of them it records eight answers
-// of the old version, of which slowOld[i] percent exceed threshold i. It stops early if the
-// upgrade ends.
+// duration, of which slow[i] percent exceed threshold i. For each answer of the new version it
+// records eight answers of the old version, of which slowOld[i] percent exceed threshold i. It
+// stops early if the upgrade ends.
 func afterHalf(seed uint64, answers int, slowOld [3]int, slow ...int) (u *Upgrade) {
 	const half = 10000
 	u = New(Order{Service: "s", Target: "v2", Duration: 2 * half}, 0)
@@ -215,8 +217,8 @@
 	}
 }
 
-// withDelayedAnswers records answers of a new version, for each timed one a dropped one, and ten
-// times as many of an old version. It returns the upgrade after a call of Judge at half of its
+// withDelayedAnswers records timed answers of a new version, as many dropped ones, and ten times as
+// many of both kinds of an old version. It returns the upgrade after a call of Judge at half of its
 // duration.
 func withDelayedAnswers(answers int64, slow, delayedSlow func(n int64) [len(SlowThresholds)]int64) *Upgrade {
 	u := New(Order{Service: "s", Target: "v2", Duration: 20000}, 0)
