--- a/emulator/limit.go
+++ b/emulator/limit.go
@@ -10,7 +10,7 @@
 const (
 	// limitWindow is the duration of the sliding window in which requests are counted.
 	// limitSettleTime is how long after the start of a limit the bound is first checked.
-	// limitReactionTime is how long after it received the limit an entry has to apply it.
+	// limitReactionTime is how long an entry may take to apply a limit after it has received it.
 	limitWindow       = 4 * clock.Second
 	limitSettleTime   = 3 * clock.Second
 	limitReactionTime = 500 * clock.Millis(1)
--- a/rollout/state.go
+++ b/rollout/state.go
@@ -19,8 +19,8 @@
 	maxTests = 8192
 	// maxHolds bounds the stored holds; further ones are ignored.
 	maxHolds = 4096
-	// takeoverDelay is how much later than the judge before it each judge appends a hold that is
-	// not on the log yet.
+	// takeoverDelay is how much longer each judge waits than the judge that precedes it until it
+	// appends a hold that is not on the log yet.
 	takeoverDelay = 2 * clock.Second
 	// retryInterval is how long after an append the first judge appends the hold again if it has
 	// not read it from the log by then. Each judge waits this much longer than the one before it.
--- a/site/upgrade.go
+++ b/site/upgrade.go
@@ -14,7 +14,7 @@
 
 const (
 	// verdictDelayPerRank, multiplied by an entry's rank, is how long the entry waits for the
-	// delegates before it to write a verdict, so that usually only one entry calls the store.
+	// delegates that precede it to write a verdict, so that usually only one entry calls the store.
 	verdictDelayPerRank = 1500 * clock.Millis(1)
 	// appendRetryDelay is the delay before a failed append is retried.
 	appendRetryDelay = clock.Second
