--- a/daemon/advertisement_test.go
+++ b/daemon/advertisement_test.go
@@ -40,9 +40,9 @@
 	}
 }
 
-// The store is unreachable, so that a leaving endpoint can advertise it only in its answers. The
-// failure was that entries kept sending it first attempts, retries and resumptions until it
-// stopped.
+// The store is unreachable, so a leaving endpoint can advertise only in its answers that it is
+// leaving. The failure was that entries kept sending it first attempts, retries and resumptions
+// until it stopped.
 func TestEndpointThatAdvertisesLeavingGetsNoNewRequests(t *testing.T) {
 	t.Parallel()
 	ts := newTestSite(t)
--- a/daemon/direct_test.go
+++ b/daemon/direct_test.go
@@ -563,7 +563,7 @@
 	for _, endpoint := range ts.endpoints {
 		seen += endpoint.Received()
 	}
-	is.True(seen <= 2) // relay.minFirstByteTimeout (200 ms) at the first, the remaining 100 ms at the second
+	is.True(seen <= 2) // relay.minFirstByteTimeout (200 ms) at the first endpoint, the remaining 100 ms at the second one
 }
 
 // The small model reports low confidence, but no endpoint has capacity for the large
--- a/relay/latency_test.go
+++ b/relay/latency_test.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// The endpoints of a new version have more load than any of the old version had so far. Its
-// answers must not count as slow for that reason alone.
+// An endpoint of a new version has more outstanding requests than any endpoint of the old version
+// has had so far. Its answers must not count as slow only because of this load.
 func TestVersionUnderMoreLoadIsComparedWithMargin(t *testing.T) {
 	is := is.New(t)
 	l, k := newLatencyTracker(), latencyKey{route: "r"}
@@ -74,7 +74,7 @@
 
 // An entry drops answers of a small model before their events arrive, to use a larger model
 // instead. The failure was that most answers of a slow version were dropped, and its upgrade was
-// completed on the evidence of the few whose gaps had been measured.
+// completed on the evidence of the few answers whose gaps between events had been measured.
 func TestDroppedAnswersAreGradedByFirstByteDelay(t *testing.T) {
 	is := is.New(t)
 	route := &catalog.Route{Name: "r", Kind: catalog.Streaming}
--- a/relay/plan_test.go
+++ b/relay/plan_test.go
@@ -14,11 +14,11 @@
 	"github.com/parsleydeal/parsleydeal/upstream"
 )
 
-// Under load the smallest model's answer to a long prompt has low confidence. The failure was that
-// this answer was dropped, because the larger model's mean time to the first byte was short for
-// the other prompts of the route. This prompt takes most of the remaining time to process, or
-// other prompts are queued at the endpoint, so the larger model's answer arrived too late to be of
-// full use. For a short prompt at an idle endpoint the same answer must be dropped.
+// Under load the smallest model's answer has low confidence, but the larger model's would arrive too
+// late to be of full use: the prompt is long and takes most of the remaining time to process, or
+// other prompts are queued at the endpoint. Guards against dropping the small model's answer then, because the
+// larger model's mean time to the first byte is short over all prompts of the route. For a short
+// prompt at an idle endpoint the same answer must be dropped.
 func TestAnswersAreKeptWhenLargerModelWouldBeLate(t *testing.T) {
 	for _, x := range []struct {
 		name    string
@@ -56,9 +56,9 @@
 	}}
 }
 
-// An endpoint loses an answer that was expected at once. The failure was that its request waited
-// for as long as the route's longest prompts take, because the timeout depended on the route
-// alone.
+// An endpoint loses an answer whose first byte was expected soon. The failure was that the request
+// waited there for as long as the route's longest prompts take, because the timeout depended on the
+// route alone and not on the time predicted for this request.
 func TestFirstByteTimeoutFollowsPredictionError(t *testing.T) {
 	is := is.New(t)
 	l := newLatencyTracker()
--- a/relay/run_test.go
+++ b/relay/run_test.go
@@ -63,8 +63,8 @@
 	}
 }
 
-// runOutOfTime lets the deadline pass while the first endpoint fails the request. The caller gets
-// a refusal for the deadline, and not for the lost endpoint.
+// runOutOfTime lets the deadline pass while the first endpoint drops its answer. The caller must
+// get the refusal for a passed deadline, not the one for a failed endpoint.
 func runOutOfTime(t *testing.T, kind catalog.Kind) {
 	t.Helper()
 	is := is.New(t)
--- a/site/pack_test.go
+++ b/site/pack_test.go
@@ -75,8 +75,8 @@
 	})
 }
 
-// FuzzUnpack unpacks truncated, forged and endless records: none of them are accepted, and
-// nothing panics.
+// FuzzUnpack unpacks arbitrary data, such as truncated, forged or endless records. Nothing may
+// panic, and no record may be accepted if unpacking fails.
 func FuzzUnpack(f *testing.F) {
 	good, err := deflate(registrations(3).GetRecords())
 	if err != nil {
--- a/site/report_test.go
+++ b/site/report_test.go
@@ -10,8 +10,8 @@
 )
 
 // Guards against broadcasts dominating the traffic of a site of 300 entries, as they did when each
-// entry sent one every second. Only the judges broadcast every second; the others send a report to
-// the first three delegates every second and broadcast occasionally.
+// entry sent one every second. Only the judges, which are the first three delegates, broadcast every
+// second; each other entry sends them a report every second and broadcasts occasionally.
 func TestMostEntriesBroadcastRarely(t *testing.T) {
 	is := is.New(t)
 	const entries, duration = 300, 60 * clock.Second
--- a/site/upgrade.go
+++ b/site/upgrade.go
@@ -219,9 +219,9 @@
 // zones.
 const judgeCount = 3
 
-// judge ends an upgrade if its conditions are met, broadcasts this at once and schedules the
-// verdict. An entry that does not receive the others' counts of running requests must not judge:
-// it would assume that the old version is idle.
+// judge ends an upgrade if its conditions are met. It then reports the end to the peers at once and
+// schedules the write of the verdict to the store. An entry that does not receive the others'
+// counts of running requests must not judge: it would assume that the old version is idle.
 func (s *State) judge(u *upgrade.Upgrade) (effects []Effect) {
 	if s.rank() >= judgeCount || !u.Judge(s.now, s.oldRequests(u.Order())) {
 		return nil
--- a/site/upgrade_report_test.go
+++ b/site/upgrade_report_test.go
@@ -18,7 +18,7 @@
 	s := upgradingState()
 	report := &wire.EntryReport{Name: "entry-a", Process: "a/1", Zone: "a", Upgrades: []*wire.UpgradeReport{{Service: "pool", Target: "v2", Number: 7, Old: 3, Kept: []uint64{42}}}}
 	effects := Reduce(s, ReportReceived{Now: 1000, Report: report})
-	is.True(publishes(effects)) // requests of the session must see at once that it is kept
+	is.True(publishes(effects)) // the view must show at once that the session stays on the old version
 	is.True(s.View().KeptByPeer("pool", 42))
 	Reduce(s, ReportReceived{Now: 1100, Report: &wire.EntryReport{Name: "entry-a", Process: "a/1", Zone: "a", ReplyMillis: 5}})
 	is.True(s.View().KeptByPeer("pool", 42))
