--- a/cascade/cascade_test.go
+++ b/cascade/cascade_test.go
@@ -47,15 +47,17 @@
 	is.True(!escalates(-1, 100, latencyTarget))
 }
 
-// The latency target has passed already. The larger model's answer would be late too, so
-// escalating is worth its price only if the answer at hand is poor.
+// No time remains until the latency target, so the larger model's answer would be late. It is then
+// worth its price only if the small model's answer is poor; one with a confidence of 60 must be
+// delivered.
 func TestLateAnswersAreDroppedOnlyWhenPoor(t *testing.T) {
 	is := is.New(t)
 	is.True(!escalates(60, 500, 0))
 }
 
-// Endpoints are busy but nothing waits for the larger model. Its time must not be charged then:
-// poor answers would be delivered for the sake of other requests that are in time anyway.
+// Endpoints are busy but no request waits for the larger model. The larger model's time must then
+// not count against escalation: poor answers would be delivered for the sake of other requests,
+// which are in time anyway.
 func TestLargerModelIsChargedByItsQueueWait(t *testing.T) {
 	is := is.New(t)
 	e := NewEscalator(decision.Strategies{})
--- a/decision/decision.go
+++ b/decision/decision.go
@@ -102,8 +102,8 @@
 
 // Strategies of Drop.
 const (
-	// ByTime weighs the value of a better answer against the larger model's price and its time,
-	// measured as the fraction of the remaining time that its first byte takes.
+	// ByTime weighs the value of a better answer against the larger model's price and time. The
+	// time is measured as the fraction of the remaining time until the larger model's first byte.
 	ByTime Strategy = "by-time"
 	// ByPressure is ByTime with the charge for time scaled by the current load of the endpoints.
 	ByPressure Strategy = "by-pressure"
--- a/emulator/run.go
+++ b/emulator/run.go
@@ -227,6 +227,8 @@
 	return sim.load.Kinds[len(sim.load.Kinds)-1]
 }
 
+// query returns the query for an endpoint. Loads state no body sizes, so one byte of the body is
+// assumed for each token of the prompt's own block.
 func (sim *simulation) query(r *request, model int, now clock.Millis) placement.Query {
 	return placement.Query{
 		Service: "pool", Version: "v1", Zone: r.entry.zone, Model: sim.site.Models[model].Name, Blocks: r.blocks, Bytes: r.blocks[1].Tokens,
--- a/placement/prefix_cache_test.go
+++ b/placement/prefix_cache_test.go
@@ -51,8 +51,8 @@
 }
 
 // A short shared block is not worth the transfer of the prompt to another zone. An endpoint that
-// has a hot shared block cached must not get more requests for that reason than it could accept in
-// an unadvertised cold start.
+// has a hot shared block cached must not get more prompts with that block than it could accept if
+// it turned cold without advertising it.
 func TestAffinityIgnoresShortBlocksAndExceededShare(t *testing.T) {
 	is := is.New(t)
 	s := threeZones()
@@ -70,7 +70,7 @@
 		sel.Begin(e, hot).End()
 	}
 	preferred, _ := allZonesSelector().Select(s, hot)
-	is.True(preferred.Zone != "a") // in zone a it would be the cheapest even beyond its share
+	is.True(preferred.Zone != "a") // in zone a it would be the cheapest endpoint even beyond its share
 	is.True(sends[preferred.ID] <= 3)
 }
 
@@ -94,5 +94,5 @@
 	is.Equal(started.estimates.millisPerToken["m"], old.estimates.millisPerToken["m"])
 	started.estimates.millisPerToken["m"], started.estimates.samples["m"] = 1, 99
 	started.ApplySnapshot(nil, speeds, 100)
-	is.Equal(started.estimates.millisPerToken["m"], 1.0) // own samples are not replaced by fewer ones
+	is.Equal(started.estimates.millisPerToken["m"], 1.0) // a snapshot with fewer samples does not replace the entry's own estimate
 }
--- a/placement/report_test.go
+++ b/placement/report_test.go
@@ -33,12 +33,12 @@
 	return strategies
 }
 
-// subjectsResult counts the prompts, the tokens of shared blocks prefilled again and the late
-// prompts.
+// subjectsResult is the result of simulateSubjects: the number of prompts, of tokens of shared
+// blocks (subjects) that were prefilled again, and of late prompts.
 type subjectsResult struct{ requests, repeated, late int }
 
-// simulateSubjects simulates twenty seconds of prompts for the largest model. If exchange is true,
-// entries report to each other.
+// simulateSubjects simulates twenty seconds of prompts for the largest model. Each prompt begins
+// with one of eighty shared blocks, its subject. If exchange is true, entries report to each other.
 func simulateSubjects(exchange bool) (out subjectsResult) {
 	const (
 		entries, endpoints, subjects = 5, 9, 80
--- a/upgrade/upgrade_test.go
+++ b/upgrade/upgrade_test.go
@@ -115,7 +115,8 @@
 	})
 }
 
-// A good version has as many slow answers as the old one at each threshold. It must be kept.
+// A good version gets as many requests as the old one and exceeds the three thresholds of slow
+// answers as often (35, 20 and 3% of its answers). It must not be rolled back.
 func TestVersionAsSlowAsOldOneIsKept(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		if u, target := untilVerdict(t, 1, 35, 20, 3); u.Phase() != Running {
@@ -217,8 +218,9 @@
 	}
 }
 
-// withDelayedAnswers records timed answers of a new version, as many dropped ones, and ten times as
-// many of both kinds of an old version. It returns the upgrade after a call of Judge at half of its
+// withDelayedAnswers records the given number of timed answers of a new version, as many dropped
+// ones, of which only the first-byte delay is known, and ten times as many of both kinds of an old
+// version. It returns the upgrade after a call of Judge at half of its
 // duration.
 func withDelayedAnswers(answers int64, slow, delayedSlow func(n int64) [len(SlowThresholds)]int64) *Upgrade {
 	u := New(Order{Service: "s", Target: "v2", Duration: 20000}, 0)
@@ -249,9 +251,9 @@
 	is.Equal(u.Phase(), Running)
 }
 
-// On a busy site forecasts of a prompt's wait are rough, so that many first bytes of a good
-// version come later than forecast although its timed answers are not slow. The timed answers must
-// decide there.
+// On a busy site forecasts of a prompt's wait are rough, so many first bytes of a good version come
+// later than forecast, although its timed answers (those whose events were timed) are not slow. The
+// timed answers must then decide.
 func TestDelaysDoNotOutweighTimedAnswers(t *testing.T) {
 	is := is.New(t)
 	few := func(n int64) [len(SlowThresholds)]int64 { return [len(SlowThresholds)]int64{n / 3, n / 5, 0} }
