--- a/choice/endpoint_test.go
+++ b/choice/endpoint_test.go
@@ -164,8 +164,8 @@
 	is.True(changed < 100*subsetSize/50)
 }
 
-// No answer has come from an endpoint for a while, but control received its load. That load must
-// be used, but it must not replace a newer one that came with an answer.
+// An endpoint has not answered this entry for a while, but control has received the endpoint's load.
+// The selection must use control's load, but not in place of a newer load from an answer.
 func TestControlLoadUsedWhenAnswersAreOld(t *testing.T) {
 	is := is.New(t)
 	f := NewInflight()
--- a/evidence/state.go
+++ b/evidence/state.go
@@ -31,12 +31,12 @@
 	reportWindow = 10 * clock.Second
 	// maxReportChanged bounds the changed counts in one report.
 	maxReportChanged = 128
-	// reportUnchanged is how many other counts each report includes in rotation, so that every
-	// count arrives eventually however many reports are lost.
+	// reportUnchanged is the number of unchanged counts that each report includes in rotation, so
+	// that every count arrives eventually even if many reports are lost.
 	reportUnchanged = 8
 )
 
-// Delta is the increase of one key's counts that this process had not yet included in its sums.
+// Delta is the part of one key's counts that is new to this process and was not yet in its sums.
 type Delta struct {
 	Key   Key
 	Stats Stats
--- a/membership/member.go
+++ b/membership/member.go
@@ -162,7 +162,8 @@
 }
 
 // applyLoad stores a load if it is newer than the stored one, since answers may arrive out of
-// order. It reports whether it did.
+// order. Loads of another epoch are dropped; a load without an epoch (0) is not. It reports whether
+// the load was stored.
 func (m *member) applyLoad(l *wire.Load) (stored bool) {
 	if l.GetEpoch() != 0 && l.GetEpoch() != m.epoch {
 		return false
--- a/membership/members.go
+++ b/membership/members.go
@@ -23,8 +23,8 @@
 
 func emptyMembers() *Members { return &Members{} }
 
-// newSnapshot returns a snapshot of the VMs by pool and zone, without the leaving and suspected
-// ones marked.
+// newSnapshot returns a snapshot of the VMs by pool and zone. No VM is marked as leaving or
+// suspected in it yet; withFlags sets these marks.
 func (s *State) newSnapshot() *Members {
 	m := &Members{
 		vms:         make([]provider.VM, 0, len(s.order)),
--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -13,8 +13,8 @@
 	"github.com/parsleydeal/parsleydeal/provider"
 )
 
-// Each script is a sequence of failures of the list, of a VM or of a message, with the expected
-// members after each step.
+// Each script in testdata is a sequence of faults of the VM list, of VMs or of messages, with the
+// expected members after each step.
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		s := New("self")
--- a/rollout/state_test.go
+++ b/rollout/state_test.go
@@ -92,7 +92,7 @@
 	first, second := judges()
 	s := NewState()
 	effects, _ := s.Reduce(event.AttemptEnded{}, deltasOf("m@2", "o", bad), envOf(second, 0, tables(0)))
-	is.Equal(len(appends(effects)), 0) // not its turn yet
+	is.Equal(len(appends(effects)), 0) // the second judge first waits for takeoverDelay
 	effects, _ = s.Reduce(event.Tick{}, nil, envOf(second, takeoverDelay, tables(0)))
 	is.Equal(len(appends(effects)), 1)
 
@@ -172,9 +172,9 @@
 	is.Equal(len(s.Holds(target).List()), 0)
 }
 
-// A rating counts as bad by its difference from 1. The configured quality is 0.9. A mean rating of
-// 0.85 is tolerated, but when ratings fall to 0.6 the version must be held although no request
-// fails.
+// A rating counts as a fraction of a bad outcome, its difference from 1. The configured quality is
+// 0.9. A mean rating of 0.85 is tolerated, but when ratings fall to 0.6 the version must be held
+// although no request fails.
 func TestPoorRatingsHoldVersion(t *testing.T) {
 	is := is.New(t)
 	s := NewState()
@@ -227,7 +227,7 @@
 }
 
 // A process that reads the log rarely must receive a hold from any peer that has read it from the
-// log, but not from the judge on which it is still pending. A judge that keeps receiving its hold
+// log, but not from the judge whose append of it is still pending. A judge that keeps receiving its hold
 // from peers must still renew it on the log.
 func TestHoldIsReceivedInDigests(t *testing.T) {
 	is := is.New(t)
--- a/zone/zone_test.go
+++ b/zone/zone_test.go
@@ -43,7 +43,7 @@
 func TestReturningZoneRampsUp(t *testing.T) {
 	is := is.New(t)
 	f := newFixture()
-	is.Equal(f.state.Ramps().Fraction("b", 0), 1.0) // up when first seen
+	is.Equal(f.state.Ramps().Fraction("b", 0), 1.0) // in service when first seen: no ramp
 	f.setAdminState("b", table.Out, 1000)
 	f.setAdminState("b", table.In, 5000)
 	is.Equal(f.state.Ramps().Fraction("b", 5000), rampStartFraction)
