--- a/bill/statement.go
+++ b/bill/statement.go
@@ -117,8 +117,8 @@
 	s.anomalies = append(s.anomalies, a)
 }
 
-// Finish checks the merged bills and must be called after the last Add. Known reports whether an
-// organisation is or was in the tables; if it is nil, organisations are not checked.
+// Finish checks the merged bills and must be called after the last Add. The function known reports
+// whether an organisation is or was in the tables; if known is nil, organisations are not checked.
 func (s *Statement) Finish(known func(organisation string) bool) {
 	for _, b := range s.Bills() {
 		hasComplete := slices.ContainsFunc(b.GetSteps(), (*wire.Step).GetWhole)
--- a/burn/recorder.go
+++ b/burn/recorder.go
@@ -60,7 +60,8 @@
 	counts map[Key]*Counts
 }
 
-// latency holds the histograms of one route by slot. A slot is overwritten after an hour.
+// latency holds the histograms of one route in a ring of slots. Each slot covers latencySlotWidth
+// and is reused after an hour.
 type latency struct {
 	slots [latencySlotCount]slotHistograms
 }
--- a/checkpoint/checkpoint_test.go
+++ b/checkpoint/checkpoint_test.go
@@ -44,8 +44,8 @@
 	is.Equal(len(appenders(&tables, nil, 63)), 3)
 }
 
-// If the log drops the only record with the tables before the agreed retention, a
-// starting process would find no configuration, so a checkpoint is due at once.
+// The log has dropped the only record with the tables, earlier than the agreed retention. A process
+// that starts now would find no configuration, so a checkpoint must be appended at once.
 func TestExpiredTablesAreAppendedAtOnce(t *testing.T) {
 	is := is.New(t)
 	var tables table.State
--- a/comparison/comparison_test.go
+++ b/comparison/comparison_test.go
@@ -33,8 +33,8 @@
 	})
 }
 
-// A set may be better on one day by chance. With few pairs the confidence interval must be wide
-// enough to show this.
+// A set of strategies may be better on one day by chance. With few pairs of results the confidence
+// interval must be wide enough to show this.
 func TestDifferenceInterval(t *testing.T) {
 	is := is.New(t)
 	mean, half := difference([]float64{0.5, 0.6, 0.7}, []float64{0.6, 0.7, 0.8})
@@ -46,8 +46,8 @@
 	is.True(math.IsNaN(half))
 }
 
-// Each set must be simulated in its own checkout. If the simulation of a day fails with one set,
-// the table must leave that day out for all sets.
+// Each set of strategies must be simulated in its own checkout. If the simulation of a day fails
+// with one set, the results table must leave that day out for all sets.
 func TestRunSimulatesEachSet(t *testing.T) {
 	is := is.New(t)
 	repository := repositoryWith(t, "vm = \"a\"\n")
--- a/control/control.go
+++ b/control/control.go
@@ -135,7 +135,8 @@
 	return effects, changed || reportChanged
 }
 
-// reduceCheckpoints appends the tables to the log again before its retention drops them.
+// reduceCheckpoints returns the effect that appends the tables to the log again, when this is due,
+// before the log's retention drops them.
 func (s *State) reduceCheckpoints(e event.Event) (effects []event.Effect, changed bool) {
 	return s.checkpoints.Reduce(e, &s.tables), false
 }
--- a/control/evidence_test.go
+++ b/control/evidence_test.go
@@ -24,7 +24,7 @@
 // version, how many had been made by then, and the network traffic of a judge.
 func TestEvidenceReachesJudges(t *testing.T) { runEvidenceScript(t, "testdata/evidence") }
 
-// The same test with the 380 entries of the two-year target.
+// The same test with the 380 entries that the system must support.
 func TestBaselineEvidenceReachesJudges(t *testing.T) {
 	if testing.Short() || os.Getenv("BENCH_CHECK") == "" {
 		t.Skip("make bench-check runs this")
@@ -40,43 +40,43 @@
 		c.run(settleTime, nil)
 		c.maxBytes()
 		startedAt := c.now
-		made := new(int)
+		newVersionRequests := new(int)
 		for i, p := range c.procs {
-			c.after(requestInterval*clock.Millis(i)/clock.Millis(n), func() { c.request(p, 0, made) })
+			c.after(requestInterval*clock.Millis(i)/clock.Millis(n), func() { c.request(p, 0, newVersionRequests) })
 		}
 		judge := c.byVM[evidence.Judges(c.listed, "m@2")[0]]
-		known, at := 0, clock.Millis(-1)
+		known, knownAfter := 0, clock.Millis(-1)
 		for c.now < startedAt+measureTime {
 			c.run(100, nil)
-			if known = judge.knownRequests("m@2"); known >= 100 && at < 0 {
-				at = c.now - startedAt
+			if known = judge.knownRequests("m@2"); known >= 100 && knownAfter < 0 {
+				knownAfter = c.now - startedAt
 				break
 			}
 		}
-		exposed := *made
+		requestsUntilKnown := *newVersionRequests
 		c.run(startedAt+measureTime-c.now, nil)
 		highest, mean := c.maxBytes()
 		seconds := int(measureTime / clock.Second)
 		if highest/seconds > maxNodeRate {
 			t.Errorf("a process carries %d bytes/s, at most %d are allowed", highest/seconds, maxNodeRate)
 		}
-		return fmt.Sprintf("100 requests known after %d ms, when %d had been made\nbytes a second: mean %d, most %d\n", at, exposed, mean/seconds, highest/seconds)
+		return fmt.Sprintf("100 requests known after %d ms, when %d had been made\nbytes a second: mean %d, most %d\n", knownAfter, requestsUntilKnown, mean/seconds, highest/seconds)
 	})
 }
 
 // request sends one request and schedules the next after requestInterval. It counts the requests to
-// the new version in made.
-func (c *cluster) request(p *proc, number uint64, made *int) {
+// the new version in newVersionRequests.
+func (c *cluster) request(p *proc, number uint64, newVersionRequests *int) {
 	h := xxhash.Sum64String(fmt.Sprint(p.vm.ID, "/", number))
 	version := "m@1"
 	if h%100 < newVersionPercent {
 		version = "m@2"
-		*made++
+		*newVersionRequests++
 	}
 	route, org := fmt.Sprint("route-", h/100%3), fmt.Sprint("org-", h/1000%10)
 	c.reduce(p, event.AnswerStarted{Now: c.at(p), Route: route, Version: version, Organisation: org})
 	c.reduce(p, event.AttemptEnded{Now: c.at(p), Route: route, Version: version, Organisation: org})
-	c.after(requestInterval, func() { c.request(p, number+1, made) })
+	c.after(requestInterval, func() { c.request(p, number+1, newVersionRequests) })
 }
 
 // knownRequests returns the number of requests to a version in the counts of a process.
--- a/control/failure_test.go
+++ b/control/failure_test.go
@@ -81,7 +81,7 @@
 	c.run(settleTime, nil)
 	for _, p := range c.procs {
 		is.Equal(p.state.tables.Revision(), int64(2))
-		is.True(c.at(p)-p.state.spread.ConfirmedAt() >= settleTime-2*clock.Second) // reading the shortened log does not confirm the tables
+		is.True(c.at(p)-p.state.spread.ConfirmedAt() >= settleTime-2*clock.Second) // not confirmed by reads of the shortened log
 	}
 }
 
--- a/control/size_test.go
+++ b/control/size_test.go
@@ -23,8 +23,9 @@
 	sizeJudgeKeys = 60
 )
 
-// newSizedState returns an entry's state at the size of the two-year target: all VMs listed
-// and the tables in force.
+// newSizedState returns an entry's state at the size that the system must reach, which the size
+// constants define: 380 entries, 1,000 endpoints and 6,600 requests/s. All VMs are listed and the
+// tables are in force.
 func newSizedState(tb testing.TB) *State {
 	tb.Helper()
 	s := NewStateAt("vm-0000", "zone-0", 1)
@@ -69,8 +70,7 @@
 	return c
 }
 
-// reduceSecond applies the events that an entry gets in one second at the size of the two-year
-// target.
+// reduceSecond applies the events that an entry gets in one second at the size of newSizedState.
 func reduceSecond(s *State, n int) (effects int) {
 	now := clock.Millis(n) * clock.Second
 	reduce := func(e event.Event) {
@@ -148,8 +148,8 @@
 	runtime.KeepAlive(s)
 }
 
-// BenchmarkSecond measures one second of an entry's events at the size of the two-year target,
-// without and with the outcome counts that a judge gets.
+// BenchmarkSecond measures one second of an entry's events at the size of newSizedState, without
+// and with the outcome counts that a judge gets.
 func BenchmarkSecond(b *testing.B) {
 	for name, reduceMore := range map[string]func(*State, int){"entry": func(*State, int) {}, "judge": reduceJudgeEvidence} {
 		b.Run(name, func(b *testing.B) {
--- a/control/spread_test.go
+++ b/control/spread_test.go
@@ -16,13 +16,13 @@
 	maxNodeRate = 16 << 10 // bytes per second
 )
 
-// An operator publishes a change, but some processes use the old tables for long: most cannot read
-// the log, peers are unreachable, or a region is partitioned. The script records the exact maximum
-// time until the change was in force in all reachable processes, the bytes per second of a process,
-// and the staleness at the end.
+// An operator publishes a change, but some processes keep the old tables for a long time because
+// most cannot read the log, peers are unreachable, or a region is partitioned. The script records
+// the exact maximum time until the change was in force in all reachable processes, the bytes per
+// second of a process, and the staleness at the end.
 func TestTimeInForce(t *testing.T) { runSpreadScript(t, "testdata/spread") }
 
-// The same test with the 380 entries and 1,000 endpoints of the two-year target.
+// The same test with the 380 entries and 1,000 endpoints that the system must support.
 func TestBaselineTimeInForce(t *testing.T) {
 	if testing.Short() || os.Getenv("BENCH_CHECK") == "" {
 		t.Skip("make bench-check runs this")
--- a/endpoint/admit_test.go
+++ b/endpoint/admit_test.go
@@ -76,9 +76,9 @@
 	r.is.Equal(r.engine.Started(), 1)
 }
 
-// The endpoint starts to drain while a request waits for a slot. The stream in progress must
-// end complete, the waiting request must be refused as not run, and the endpoint must then be
-// idle.
+// The endpoint starts to drain while a request waits for a slot. The stream in progress must be
+// delivered completely, the waiting request must be refused with the report that it did not run, and
+// the endpoint must then be idle.
 func TestDrainRefusesWaitingRequests(t *testing.T) {
 	r := newRig(t, 3)
 	res := r.runWhileQueued(func() {
@@ -92,8 +92,8 @@
 	r.expectRefusal(r.run(t.Context(), r.head("r3"), chatBody), refusal.Leaving, refusal.NotRun)
 }
 
-// More requests arrive than the window of a cold endpoint admits. The engine must never get
-// more than the window; other requests must be refused as not run, with a time to retry.
+// More requests arrive than the window of a cold endpoint admits. The engine must never get more
+// than that. The others must be refused with the report that they did not run and a retry delay.
 func TestColdEndpointStaysWithinItsWindow(t *testing.T) {
 	r := newRig(t, 3)
 	r.patch("[tables.pools.small]\nversions = [\"small@1\"]\ncold-window = 2\nfull-window = 2\nqueue = 1\nqueue-wait = \"1ms\"\n")
@@ -113,8 +113,8 @@
 	r.is.Equal(r.engine.MaxRunning(), 2)
 }
 
-// An engine restarts, and only its generation shows it. The opened window must be back at its
-// cold size before the next burst.
+// An engine restarts, which only its changed generation number shows. The window has grown and
+// must be back at its cold size before the next burst.
 func TestEngineRestartClosesWindow(t *testing.T) {
 	r := newRig(t, 1)
 	r.eventually("window opened", func() bool {
--- a/endpoint/order.go
+++ b/endpoint/order.go
@@ -67,8 +67,8 @@
 	return event.OrderUnknown
 }
 
-// hasNewestLease reports whether the log contains no newer lease of this VM. It returns false
-// if the log cannot be read, since a newer lease may exist; no order is sent then.
+// hasNewestLease reports whether the log contains no newer lease of this VM. It returns false if
+// the log cannot be read, so that no order is sent when a newer lease may exist.
 func (e *Endpoint) hasNewestLease(fence int64) bool {
 	ctx, cancel := context.WithTimeout(e.aborted, pollTimeout.Duration())
 	defer cancel()
--- a/endpoint/run_test.go
+++ b/endpoint/run_test.go
@@ -102,9 +102,9 @@
 	return out
 }
 
-// A caller retries while the first attempt is still in transit. Its entry has the endpoint refuse
-// that attempt, and the endpoint replies that it did not run. The attempt must not run when it
-// arrives later.
+// A caller retries while the first attempt is still in transit. The entry asks the endpoint to
+// refuse that attempt, and the endpoint replies that it has not run. The attempt must not run when
+// it arrives later.
 func TestRefusalBeforeAttemptPreventsRun(t *testing.T) {
 	r := newPlainRig(t)
 	head := r.serviceHead("r1", "POST", "fees")
--- a/entry/rate.go
+++ b/entry/rate.go
@@ -31,7 +31,8 @@
 	sampler *quality.Sampler
 	unsent  chan provider.Sample
 	mu      sync.Mutex
-	// awaited holds at most maxAwaited samples by request ID; order lists the IDs, oldest first.
+	// awaited holds, by request ID, the samples whose ratings have not arrived yet. order lists the
+	// latest IDs, oldest first, including rated ones; it has at most maxAwaited.
 	awaited map[string]event.Rated
 	order   []string
 	// next is the position from which to read the rater's list of ratings, or -1 before the first
--- a/entry/run_test.go
+++ b/entry/run_test.go
@@ -30,7 +30,7 @@
 	is.Equal(outcomeOf(refusal.New(refusal.EngineFailed, "broke").WithRun(refusal.Unknown)), limit.Neutral)
 }
 
-// One of four endpoints has not started and refuses at once, so that it looks the least loaded. If
+// One of four endpoints has not started and refuses at once, so it appears to be the least loaded. If
 // each refusal took from the retry budget, callers would get 503 after ten of them although three
 // endpoints are idle.
 func TestNotStartedEndpointsUseNoRetryBudget(t *testing.T) {
--- a/gate/gate_test.go
+++ b/gate/gate_test.go
@@ -9,9 +9,8 @@
 )
 
 // A large organisation keeps the endpoint busy, and its requests are ahead of a small
-// organisation's in the queue. If slots were given in order of arrival, the small one would get
-// none. They go to the organisation that uses the fewest relative to its weight, so the small one
-// must be next.
+// organisation's in the queue. In order of arrival, the small one would get no slot. The next free
+// slot must go to the small one, as it uses the fewest slots relative to its weight.
 func TestLargeOrganisationCannotStarveSmallOne(t *testing.T) {
 	is := is.New(t)
 	g := New(Limits{Cold: 2, Full: 2, Queue: 4})
@@ -42,7 +41,8 @@
 }
 
 // An engine stalls and produces no more tokens, so no first-token time shows that it turned
-// cold. Requests that wait more than four times the typical time must close the window.
+// cold. When requests wait for their first token for more than four times the typical time, the
+// window must return to its cold size.
 func TestStalledEngineClosesWindow(t *testing.T) {
 	is := is.New(t)
 	g := New(Limits{Cold: 1, Full: 8})
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -57,7 +57,8 @@
 	startedAt clock.Millis
 	hasStart  bool
 	engine    *event.EngineReported
-	// fence is the offset of the current lease, which expires here at leaseExpiresAt.
+	// fence is the log offset of the current lease; leaseExpiresAt is when the lease expires by this
+	// process's clock.
 	fence          int64
 	leaseExpiresAt clock.Millis
 	// leaseRequestedAt is when the pending lease was requested; pendingLease is the ID of its append,
--- a/limit/admission_test.go
+++ b/limit/admission_test.go
@@ -186,8 +186,9 @@
 	is.True(w.size > 50)
 }
 
-// The window is larger than what the gates accept, and many requests wait. A refused request
-// must not start the next one, or the whole queue would be refused within a few round trips.
+// The window is larger than what the gates accept, and many requests wait. If the slot that a
+// refused request frees started the next waiting one, the whole queue would be refused within a few
+// round trips.
 func TestRefusalStartsNoWaitingRequest(t *testing.T) {
 	is := is.New(t)
 	adm := fullAdmission()
--- a/limit/share_test.go
+++ b/limit/share_test.go
@@ -39,8 +39,8 @@
 					requests++
 				}
 			}
-			// The bound includes the requests of the window before this one: Share's own window may
-			// have started up to one window length earlier.
+			// The bound includes the requests of the preceding window length, because the window
+			// that Share uses may have started up to one window length before this one.
 			before := 0
 			for j := range i {
 				if steps[i].at-steps[j].at <= windowLength && !steps[j].retry {
@@ -54,9 +54,10 @@
 	})
 }
 
-// Within one window of 10 s, the first 50 answers are good and the next 50 poor, so that each of the
-// latter needs a retry. With the small slack of one entry, a token bucket would allow a retry for
-// fewer than 34 of the 50 poor answers, although the whole window has enough unused retries for all.
+// Within one window of 10 s, the first 50 answers are good and the next 50 poor, so that each poor
+// one needs a retry. The window's requests earn enough retries for all of them, but a token bucket
+// with a burst as small as one entry's slack (1.7) would not save those that the first 50 requests
+// earn, and would allow fewer than 34 retries.
 func TestShareCarriesUnusedRetriesWithinWindow(t *testing.T) {
 	is := is.New(t)
 	s := NewShare(10*clock.Second, 0.63, 1.7)
--- a/node/billing.go
+++ b/node/billing.go
@@ -141,7 +141,7 @@
 	return nil
 }
 
-// Cancel releases the reservation of a request that ran nothing.
+// Cancel releases the reservation of a request that did not run.
 func (b *Billing) Cancel() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/proof/bill_test.go
+++ b/proof/bill_test.go
@@ -12,9 +12,9 @@
 // largeBound is a bound on the waiting bills that is never reached during an outage of the log.
 const largeBound = 300
 
-// recoveryTime is the time after which every bill is safe again, on the log or with two copies,
-// when a VM was lost and the log is up. It covers the delay of the VM list, the takeover of the
-// bills and the backoff of appends.
+// recoveryTime is how long it takes after the loss of a VM, with the log up, until every bill is
+// safe again, that is, on the log or stored in two copies. It covers the delay of the VM list, the
+// takeover of the bills and the backoff of appends.
 const recoveryTime = 30 * clock.Second
 
 // billingMachine is the state machine for a fleet's bills. It loses only one VM at a time: the
--- a/proof/claim_test.go
+++ b/proof/claim_test.go
@@ -178,8 +178,8 @@
 	cl.updateBatcher(batch.Add{Now: cl.machine.now, Entries: []batch.Entry{{ID: id, Claim: x}}})
 }
 
-// readClaims reads the log up to the claim at offset, looks up which claim holds the key and
-// decides how to continue.
+// readClaims reads the log up to the request's claim at offset, looks up which claim holds the key
+// and decides how to continue.
 func (r *call) readClaims(x *wire.Claim, offset int64) {
 	cl, c := r.claimer, r.claimer.machine
 	for cl.state.Next() <= offset {
--- a/proof/fleet_test.go
+++ b/proof/fleet_test.go
@@ -48,9 +48,9 @@
 	seq     int
 	timers  timers
 	streams map[string][][]byte
-	// logDown makes the log refuse appends and reads. Of the next appends, delayedAppends take
-	// effect only after the caller has timed out; of those after them, lostReplies take effect
-	// without a reply.
+	// logDown makes the log refuse appends and reads. delayedAppends is the number of next appends
+	// that take effect only after the caller has timed out; lostReplies is the number of appends
+	// after those that take effect but get no reply.
 	logDown                     bool
 	lostReplies, delayedAppends int
 	appends                     int
--- a/soak/check_test.go
+++ b/soak/check_test.go
@@ -80,12 +80,12 @@
 	}
 }
 
-// quietPeriod is the minimum time between the last fault that affected an entry and its planned stop
-// for checkDisconnect to apply.
+// quietPeriod is how long an entry must have been unaffected by faults before its planned stop. Only
+// then does checkDisconnect apply.
 const quietPeriod = 3 * time.Second
 
 // checkDisconnect checks a request whose connection ended before the complete answer. A planned
-// stop of an entry that no other fault affects must not cause this.
+// stop of an entry must not cause this unless another fault affects the entry.
 func (k *soak) checkDisconnect(s sent) {
 	p := s.entry
 	p.mu.Lock()
--- a/table/table.go
+++ b/table/table.go
@@ -111,7 +111,7 @@
 	Models []RouteModel `toml:"models"`
 	// QualityTarget is the mean rating that the route must reach, from 0 to 1.
 	QualityTarget float64 `toml:"quality-target"`
-	// Cascade lets a more expensive model answer again after a poor rating.
+	// Cascade allows a second run with a more expensive model if the first answer is rated poor.
 	Cascade bool `toml:"cascade"`
 	// Explore is the largest fraction of requests used to explore versions of uncertain quality.
 	Explore float64 `toml:"explore"`
