--- a/endpoint/admit_test.go
+++ b/endpoint/admit_test.go
@@ -143,7 +143,7 @@
 		r.is.Equal((<-a).text, standin.Text(3))
 	}
 	r.is.Equal(r.engine.Crashes(), 0)
-	r.is.True(r.engine.MaxRunning() > 2) // the window opened
+	r.is.True(r.engine.MaxRunning() > 2) // the window has grown
 	r.waitUntilIdle()
 }
 
--- a/node/bytes_test.go
+++ b/node/bytes_test.go
@@ -41,8 +41,8 @@
 	const (
 		exchanges = 100
 		overhead  = 160
-		// headers is the number of bytes of the TCP and IP headers in each segment. Two
-		// acknowledgements are sent on their own, the others with data.
+		// headers is the number of bytes of the TCP and IP headers in each segment. acks is the
+		// number of acknowledgements per exchange that are sent without data.
 		headers = 52
 		acks    = 2
 	)
--- a/proof/claim_test.go
+++ b/proof/claim_test.go
@@ -81,7 +81,7 @@
 	cl.tick()
 }
 
-// current reports whether the entry is still running; it ends when another entry replaces it.
+// current reports whether the entry is still running, that is, no other entry has replaced it.
 func (cl *claimer) current() bool {
 	for _, x := range cl.machine.claimers {
 		if x == cl {
--- a/proof/fleet_test.go
+++ b/proof/fleet_test.go
@@ -296,8 +296,8 @@
 	}
 	zones := make(map[string]bool)
 	for _, q := range f.processes {
-		// A process that was lost after it had stored a copy still counts for HoldTimeout: its
-		// reply may have been in transit, and the process that made the bill will replace the copy.
+		// A lost process that stored a copy still counts for HoldTimeout: its reply may have
+		// been in transit at the loss, and the process that made the bill will replace the copy.
 		if (q.up || q.lostAt > 0 && f.now-q.lostAt <= bill.HoldTimeout) && q.contains(request) {
 			zones[q.member.Zone] = true
 		}
--- a/session/session_test.go
+++ b/session/session_test.go
@@ -42,8 +42,8 @@
 	is.True(err != nil) // the old secret has been removed
 }
 
-// The wall clocks of two entries differ by minutes: neither may end a session that the other has
-// just signed. A session that is used must last; an unused one must expire.
+// The wall clocks of two entries differ by minutes: neither may reject a session that the other has
+// just signed. A session in use must not expire; an unused one must.
 func TestExpiryToleratesClockSkew(t *testing.T) {
 	is := is.New(t)
 	now := start
