--- a/proof/fleet_test.go
+++ b/proof/fleet_test.go
@@ -48,9 +48,9 @@
 	seq     int
 	timers  timers
 	streams map[string][][]byte
-	// logDown makes the log refuse appends and reads. Of the next appends, delayedAppends take
-	// effect only after the caller has timed out; of those after them, lostReplies take effect
-	// without a reply.
+	// logDown makes the log refuse appends and reads. delayedAppends is the number of next appends
+	// that take effect only after the caller has timed out; lostReplies is the number of appends
+	// after those that take effect but get no reply.
 	logDown                     bool
 	lostReplies, delayedAppends int
 	appends                     int
@@ -296,8 +296,8 @@
 	}
 	zones := make(map[string]bool)
 	for _, q := range f.processes {
-		// A process that was lost after it had stored a copy still counts for HoldTimeout: its
-		// reply may have been in transit, and the process that made the bill will replace the copy.
+		// A lost process that stored a copy still counts for HoldTimeout: its reply may have
+		// been in transit at the loss, and the process that made the bill will replace the copy.
 		if (q.up || q.lostAt > 0 && f.now-q.lostAt <= bill.HoldTimeout) && q.contains(request) {
 			zones[q.member.Zone] = true
 		}
