--- a/cascade/cascade.go
+++ b/cascade/cascade.go
@@ -86,8 +86,8 @@
 	decision.ByPressure: func(a Answer, firstByte clock.Millis, pressure float64) bool {
 		return goodAnswerValue*(gain(a, firstByte)-maxTimeCharge*pressure*congestion(firstByte, a.Remaining)) > 1
 	},
-	decision.ByPrice:  func(a Answer, firstByte clock.Millis, _ float64) bool { return goodAnswerValue*gain(a, firstByte) > 1 },
-	decision.ByRating: func(a Answer, _ clock.Millis, _ float64) bool { return a.Confidence < 50 },
+	decision.ByPrice:      func(a Answer, firstByte clock.Millis, _ float64) bool { return goodAnswerValue*gain(a, firstByte) > 1 },
+	decision.ByConfidence: func(a Answer, _ clock.Millis, _ float64) bool { return a.Confidence < 50 },
 }
 
 // ShouldEscalate reports whether an answer is to be dropped and the request answered by the
--- a/decision/decision.go
+++ b/decision/decision.go
@@ -109,8 +109,8 @@
 	ByPressure Strategy = "by-pressure"
 	// ByPrice weighs the value of a better answer against the larger model's price only.
 	ByPrice Strategy = "by-price"
-	// ByRating drops an answer with a confidence below 50.
-	ByRating Strategy = "by-opinion"
+	// ByConfidence drops an answer with a confidence below 50.
+	ByConfidence Strategy = "by-opinion"
 )
 
 // Strategies of FirstByteTimeout.
@@ -146,7 +146,7 @@
 
 // All is the list of decisions.
 var All = []Decision{
-	{Drop, "half of the prompts are too hard for the smallest model while endpoints are busy", []Strategy{ByPressure, ByTime, ByPrice, ByRating}},
+	{Drop, "half of the prompts are too hard for the smallest model while endpoints are busy", []Strategy{ByPressure, ByTime, ByPrice, ByConfidence}},
 	{FirstByteTimeout, "an endpoint loses an answer, or stops, while others have room", []Strategy{ByMean, ByError, CallerTimeout}},
 	{Start, "entries are stopped and started in turn, and callers go on", []Strategy{Snapshot, Empty}},
 	{EarlyRequests, "all entries are stopped at once, and callers go on", []Strategy{Hold, Refuse}},
